--- a/internal/standin/lab/wordplay.go
+++ b/internal/standin/lab/wordplay.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// sample looks at what otterctl status would say.
+// sample looks at what otterctl status would say until ctx ends.
 func (w *wordPlay) sample(ctx context.Context) {
 	every := time.NewTicker(sampleEvery)
 	defer every.Stop()
@@ -131,18 +131,23 @@
 			return
 		case <-every.C:
 		}
-		asked := time.Now()
-		_, told := w.lab.Fleet.Standing(ctx, 0)
-		answer := time.Now()
-		w.mu.Lock()
-		for agent, f := range told {
-			for _, t := range f.Instances {
-				if t.Runs && t.Version > 0 && len(w.claims) < claimsMost {
-					w.claims = append(w.claims, faults.Claim{Node: agent + "/" + t.Instance, Version: uint64(t.Version), Asked: asked, Answer: answer})
-				}
+		w.sampleOnce(ctx)
+	}
+}
+
+// sampleOnce records as claims the versions that otterctl status shows now.
+func (w *wordPlay) sampleOnce(ctx context.Context) {
+	asked := time.Now()
+	_, told := w.lab.Fleet.Standing(ctx, 0)
+	answer := time.Now()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for agent, f := range told {
+		for _, t := range f.Instances {
+			if t.Runs && t.Version > 0 && len(w.claims) < claimsMost {
+				w.claims = append(w.claims, faults.Claim{Node: agent + "/" + t.Instance, Version: uint64(t.Version), Asked: asked, Answer: answer})
 			}
 		}
-		w.mu.Unlock()
 	}
 }
 
--- a/internal/standin/lab/words_test.go
+++ b/internal/standin/lab/words_test.go
@@ -81,6 +81,7 @@
 // broken judges the fleet by what was written down.
 func (w *worded) broken() []string {
 	w.t.Helper()
+	w.play.sampleOnce(w.ctx(askWithin)) // the periodic samples may all fall outside the short times in which a version is confirmed
 	w.play.end()
 	verdict, err := faults.Check(w.Files())
 	if err != nil {
