--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger judges the four rules from outside the nodes, by what servers are sent
-// and what clients are answered. It knows no clock and no sockets: the simulation and the
-// stand-ins on loopback feed the same one.
+// Package ledger checks the four rules from outside the nodes, by the requests that servers
+// receive and the answers that clients get: no request is lost, no effect happens twice,
+// drains are kept, and no cold server is pushed over. It uses neither a clock nor sockets, so
+// that the simulation and the stand-in servers on loopback share it.
 package ledger
 
 import (
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// Effect tells what a repeat of a request would do.
+// Effect says what a repeat of a request would do.
 type Effect uint8
 
 // The effects of a class.
@@ -20,7 +21,7 @@
 	Unsafe
 )
 
-// Outcome is what a client got.
+// Outcome is the result of a request at its client.
 type Outcome uint8
 
 // The outcomes of a request.
@@ -28,16 +29,16 @@
 	Served Outcome = iota
 	Refused
 	Failed
-	Lost // no whole answer in the client's time
-	Outcomes
+	Lost     // no complete answer before the deadline
+	Outcomes // number of outcomes
 )
 
 func (o Outcome) String() string { return [...]string{"served", "refused", "failed", "lost"}[o] }
 
-// Breach is a way in which a rule breaks.
+// Breach is a kind of rule violation.
 type Breach string
 
-// The breaches.
+// The kinds of violations.
 const (
 	NoAnswer     Breach = "a request without an answer"
 	SecondAnswer Breach = "a second answer"
@@ -49,7 +50,7 @@
 	PushedOver   Breach = "a cold server was pushed over"
 )
 
-// Rule names the rule that a breach breaks.
+// Rule returns the rule that b violates.
 func (b Breach) Rule() string {
 	switch b {
 	case RanTwice, RefusedRan:
@@ -62,111 +63,113 @@
 	return "no request is lost"
 }
 
-// wordsMost are the breaches that are kept word for word.
-const wordsMost = 100
+// maxDescriptions is how many violations are kept with their description.
+const maxDescriptions = 100
 
-// Record is what is known of a request. Its zero value is one that nothing is known of. A
-// record is needed for as long as an attempt, a server or its client may add to it.
+// Record is the state of one request. The zero value is a request about which nothing is
+// known yet. A record must be kept for as long as an attempt, a server or the client may add
+// to it.
 type Record struct {
 	effect     Effect
-	ran        int // effects
-	keyed      time.Duration
+	ran        int           // how often its effect happened
+	lastRan    time.Duration // when it last ran
 	answered   bool
 	answeredAt time.Duration
 	outcome    Outcome
 }
 
-// Answered tells whether the request has its final answer, or counts as lost.
+// Answered reports whether the request has its final answer or counts as lost.
 func (r *Record) Answered() bool { return r.answered }
 
-// Ledger judges. Its memory does not grow with what it is told; records are their
-// holders'. It is not safe for concurrent use.
+// Ledger checks the rules. Its memory use is bounded; callers hold the records. It is not
+// safe for concurrent use.
 type Ledger struct {
-	drain   time.Duration // from when a node is told of a drain until attempts have to end
-	late    time.Duration // after the answer an attempt may still come: it was on its way
-	counts  map[Breach]int
-	words   []string
-	breaks  int
-	repeats int
+	drainGrace   time.Duration // grace period for attempts after a node is told of a drain
+	sendGrace    time.Duration // grace period for attempts that were in flight when the answer was given
+	counts       map[Breach]int
+	descriptions []string
+	violations   int
+	repeats      int
 }
 
-// New makes one with the grace of drains and of attempts that cross their request's end.
+// New creates a Ledger with the grace periods for drains and for attempts that cross their
+// request's answer.
 func New(drain, late time.Duration) *Ledger {
-	return &Ledger{drain: drain, late: late, counts: map[Breach]int{}}
+	return &Ledger{drainGrace: drain, sendGrace: late, counts: map[Breach]int{}}
 }
 
-// Attempt notes one at a server called where. told is since when the node knows that the
-// server takes nothing new; 0 for not at all.
+// Attempt records an attempt at the server named where. told is when the node was told that
+// the server accepts no new requests; 0 if it was not.
 func (l *Ledger) Attempt(now time.Duration, r *Record, id, where string, told time.Duration) {
-	if r.answered && now-r.answeredAt > l.late {
-		l.breach(LateAttempt, "%s went to %s %v after its final answer", id, where, now-r.answeredAt)
+	if r.answered && now-r.answeredAt > l.sendGrace {
+		l.record(LateAttempt, "%s was sent to %s %v after its final answer", id, where, now-r.answeredAt)
 	}
-	if told > 0 && now-told > l.drain {
-		l.breach(AfterDrain, "%s went to %s %v after its drain was told", id, where, now-told)
+	if told > 0 && now-told > l.drainGrace {
+		l.record(AfterDrain, "%s was sent to %s %v after the node was told of its drain", id, where, now-told)
 	}
 }
 
-// Ran notes that a server runs a request. It is false for a repeat that servers drop: of
-// a keyed request whose effect is less than window ago.
+// Ran records that a server runs a request. It returns false for a repeat that servers drop:
+// a keyed request that ran less than window ago.
 func (l *Ledger) Ran(now time.Duration, r *Record, id, where string, effect Effect, window time.Duration) bool {
 	r.effect = effect
-	if effect == Keyed && r.ran > 0 && now-r.keyed < window {
+	if effect == Keyed && r.ran > 0 && now-r.lastRan < window {
 		l.repeats++
 		return false
 	}
 	r.ran++
-	r.keyed = now
+	r.lastRan = now
 	if effect != Safe && r.ran > 1 {
-		l.breach(RanTwice, "%s ran %d times, last at %s", id, r.ran, where)
+		l.record(RanTwice, "%s ran %d times, last at %s", id, r.ran, where)
 	}
-	l.promise(r, id)
+	l.checkRefusal(r, id)
 	return true
 }
 
-// promise checks a refusal's: trying again is harmless.
-func (l *Ledger) promise(r *Record, id string) {
+// checkRefusal checks the guarantee of a refusal: that retrying the request is harmless.
+func (l *Ledger) checkRefusal(r *Record, id string) {
 	if r.answered && r.outcome == Refused && r.effect == Unsafe && r.ran > 0 {
-		l.breach(RefusedRan, "%s was refused and has run", id)
+		l.record(RefusedRan, "%s was refused and has run", id)
 	}
 }
 
-// Answer notes a request's final answer at its client, or Lost. deadline, if not 0, is
-// when it was due.
+// Answer records a request's final answer at its client, or Lost. deadline, if not 0, is
+// when the answer was due.
 func (l *Ledger) Answer(now time.Duration, r *Record, id string, o Outcome, deadline time.Duration) {
 	if r.answered {
-		l.breach(SecondAnswer, "%s was answered twice, %v and %v", id, r.outcome, o)
+		l.record(SecondAnswer, "%s was answered twice, %v and %v", id, r.outcome, o)
 		return
 	}
 	r.answered, r.answeredAt, r.outcome = true, now, o
 	switch {
 	case o == Lost:
-		l.breach(NoAnswer, "%s had no whole answer in time", id)
+		l.record(NoAnswer, "%s had no complete answer before its deadline", id)
 	case deadline > 0 && now > deadline:
-		l.breach(LateAnswer, "%s was answered %v after its time", id, now-deadline)
+		l.record(LateAnswer, "%s was answered %v after its deadline", id, now-deadline)
 	}
-	l.promise(r, id)
+	l.checkRefusal(r, id)
 }
 
-// Fell notes that a cold server was pushed over.
-func (l *Ledger) Fell(where string) { l.breach(PushedOver, "%s fell", where) }
+// Fell records that a cold server was overloaded until it fell over.
+func (l *Ledger) Fell(where string) { l.record(PushedOver, "%s fell over", where) }
 
-func (l *Ledger) breach(b Breach, format string, args ...any) {
-	l.breaks++
+func (l *Ledger) record(b Breach, format string, args ...any) {
+	l.violations++
 	l.counts[b]++
-	if len(l.words) < wordsMost {
-		l.words = append(l.words, fmt.Sprintf("%s: %s: %s", b.Rule(), b, fmt.Sprintf(format, args...)))
+	if len(l.descriptions) < maxDescriptions {
+		l.descriptions = append(l.descriptions, fmt.Sprintf("%s: %s: %s", b.Rule(), b, fmt.Sprintf(format, args...)))
 	}
 }
 
-// Report is a ledger's account.
+// Report is the result of a check.
 type Report struct {
-	Breaks  int            // in all
-	Broken  map[Breach]int // how often each
-	Words   []string       // the first of them
+	Breaks  int            // violations in total
+	Broken  map[Breach]int // violations by kind
+	Words   []string       // descriptions of the first violations
 	Repeats int            // keyed repeats that servers dropped
 }
 
-// Report gives the account so far.
+// Report returns the result so far.
 func (l *Ledger) Report() Report {
-	return Report{Breaks: l.breaks, Broken: maps.Clone(l.counts), Words: slices.Clone(l.words), Repeats: l.repeats}
+	return Report{Breaks: l.violations, Broken: maps.Clone(l.counts), Words: slices.Clone(l.descriptions), Repeats: l.repeats}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A plain model keeps the whole history of each request and looks at it in the end; the
-// ledger, which forgets, must have counted the same.
-func TestAgainstAPlainModel(t *testing.T) {
+// Compares the ledger, which keeps only bounded state, with a reference model that evaluates
+// the complete history of each request at the end: both must count the same violations.
+func TestAgainstReferenceModel(t *testing.T) {
 	type event struct {
 		at     time.Duration
 		answer bool
@@ -63,7 +63,7 @@
 					}
 					dropped := effect == Keyed && runs > 0 && e.at-lastRun < window
 					if dropped == e.ran {
-						t.Fatalf("seed %d: a repeat is dropped %v, want %v", seed, !e.ran, dropped)
+						t.Fatalf("seed %d: repeat dropped: %v, want %v", seed, !e.ran, dropped)
 					}
 					if dropped {
 						continue
@@ -86,19 +86,19 @@
 			}
 			sum += want[b]
 		}
-		if got.Breaks != sum || len(got.Words) != min(sum, wordsMost) {
-			t.Fatalf("seed %d: %d breaks, %d words, want %d", seed, got.Breaks, len(got.Words), sum)
+		if got.Breaks != sum || len(got.Words) != min(sum, maxDescriptions) {
+			t.Fatalf("seed %d: %d violations, %d descriptions, want %d", seed, got.Breaks, len(got.Words), sum)
 		}
 	}
 }
 
-// However much breaks, words stay bounded.
-func TestWordsAreBounded(t *testing.T) {
+// The number of kept descriptions is bounded however many violations there are.
+func TestDescriptionsAreBounded(t *testing.T) {
 	l := New(0, 0)
-	for range 10 * wordsMost {
+	for range 10 * maxDescriptions {
 		l.Fell("s1")
 	}
-	if r := l.Report(); r.Breaks != 10*wordsMost || len(r.Words) != wordsMost || r.Broken[PushedOver] != 10*wordsMost {
-		t.Errorf("%d breaks, %d words", r.Breaks, len(r.Words))
+	if r := l.Report(); r.Breaks != 10*maxDescriptions || len(r.Words) != maxDescriptions || r.Broken[PushedOver] != 10*maxDescriptions {
+		t.Errorf("%d violations, %d descriptions", r.Breaks, len(r.Words))
 	}
 }
