--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,6 @@
-// Command wirehost hosts instances of the decision module on the simulator's
-// wire: batches of events on standard input, one reply each on standard output.
+// Command wirehost runs instances of the decision module for the simulator: it reads batches
+// of events from standard input and writes one reply to each to standard output, in the
+// format of package wire.
 package main
 
 import (
@@ -15,14 +16,14 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // the live heap is small; collections are metered
+	debug.SetGCPercent(800) // the live heap is small, and the cost of collections is measured
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint16]*policy.Balancer{}}
 	reader, writer := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
@@ -35,7 +36,7 @@
 			return err
 		}
 		h.reply.Reset()
-		if err := h.batch(batch); err != nil {
+		if err := h.handleBatch(batch); err != nil {
 			return err
 		}
 		if err := h.reply.WriteTo(writer, batch.Number); err != nil {
@@ -44,29 +45,29 @@
 	}
 }
 
-// host holds the instances; they share nothing but the reply's buffer.
+// host holds the instances; they share only the reply buffer.
 type host struct {
 	instances map[uint16]*policy.Balancer
 	current   uint16
-	named     bool
+	selected  bool
 	reply     wire.Reply
 	event     wire.Event
 }
 
-func (h *host) batch(b *wire.Batch) error {
-	h.named = false
+func (h *host) handleBatch(b *wire.Batch) error {
+	h.selected = false
 	for i := range b.Count {
 		if err := b.Event(i, &h.event); err != nil {
 			return err
 		}
 		e := &h.event
-		if e.Code == wire.Instance {
-			h.current, h.named = e.Instance, true
-			h.reply.For(e.Instance)
+		if e.Code == wire.EventInstance {
+			h.current, h.selected = e.Instance, true
+			h.reply.SetInstance(e.Instance)
 			continue
 		}
-		if !h.named || (e.Code != wire.Open && h.instances[h.current] == nil) {
-			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
+		if !h.selected || (e.Code != wire.EventOpen && h.instances[h.current] == nil) {
+			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance that is not open",
 				wire.ErrFormat, b.Number, i, e.Code)
 		}
 		h.handle(b, e)
@@ -74,7 +75,8 @@
 	return nil
 }
 
-// handle passes one event on. A panic in the module is reported as fatal.
+// handle passes one event to its instance. A panic in the decision module is reported as a
+// fatal action.
 func (h *host) handle(b *wire.Batch, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -84,21 +86,21 @@
 	}()
 	inst := h.instances[h.current]
 	switch e.Code {
-	case wire.Open:
+	case wire.EventOpen:
 		h.open(e)
-	case wire.Stop:
+	case wire.EventStop:
 		delete(h.instances, h.current)
-	case wire.Members:
+	case wire.EventMembers:
 		inst.Members(b.Now, e.Kind, e.Entries)
-	case wire.Request:
+	case wire.EventRequest:
 		inst.Request(b.Now, e.Request)
-	case wire.Started:
+	case wire.EventStarted:
 		inst.Started(b.Now, e.Outcome.ID, e.Outcome.Attempt)
-	case wire.Outcome:
+	case wire.EventOutcome:
 		inst.Outcome(b.Now, e.Outcome)
-	case wire.Left:
+	case wire.EventLeft:
 		inst.Left(b.Now, e.Outcome.ID)
-	case wire.Timer:
+	case wire.EventTimer:
 		inst.Timer(b.Now, e.Token)
 	}
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -14,8 +14,8 @@
 
 const settings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
-// rec is an event record; its parts are written one after the other.
-func rec(parts ...any) []byte {
+// eventRecord encodes an event record from its fields and pads it to its full size.
+func eventRecord(parts ...any) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
 		if err := binary.Write(&b, binary.BigEndian, p); err != nil {
@@ -37,11 +37,11 @@
 	return append(append(b.Bytes(), body...), tail...)
 }
 
-func instance(n uint16) []byte { return rec(uint8(11), n) }
+func instance(n uint16) []byte { return eventRecord(uint8(11), n) }
 
-func open(text string) []byte { return rec(uint8(1), uint64(1), uint32(0), uint32(len(text))) }
+func open(text string) []byte { return eventRecord(uint8(1), uint64(1), uint32(0), uint32(len(text))) }
 
-// codes lists the action codes of all replies.
+// codes returns the action codes of all replies.
 func codes(t *testing.T, out []byte) (all []byte) {
 	t.Helper()
 	for len(out) > 0 {
@@ -60,15 +60,15 @@
 	in := bytes.Join([][]byte{
 		batch(""),
 		batch(settings, instance(4), open(settings)),
-		batch(entry, instance(4), rec(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
-			rec(uint8(3), uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
+		batch(entry, instance(4), eventRecord(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
+			eventRecord(uint8(3), uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
 	}, nil)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	if got := codes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 66, 72}) {
-		t.Fatalf("action codes %v, want context, call_out, notify_me", got)
+		t.Fatalf("action codes %v, want context, send, timer", got)
 	}
 }
 
@@ -86,30 +86,30 @@
 
 func TestRunRejectsEventsForNoInstance(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"never opened": batch("", instance(4), rec(uint8(7), uint64(0))),
-		"not named":    batch("", rec(uint8(7), uint64(0))),
-		"stopped":      batch(settings, instance(4), open(settings), rec(uint8(10)), rec(uint8(7), uint64(0))),
+		"never opened": batch("", instance(4), eventRecord(uint8(7), uint64(0))),
+		"not named":    batch("", eventRecord(uint8(7), uint64(0))),
+		"stopped":      batch(settings, instance(4), open(settings), eventRecord(uint8(10)), eventRecord(uint8(7), uint64(0))),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
 		if err == nil || !strings.Contains(err.Error(), "batch 7, record") {
-			t.Errorf("%s: error %v, want batch and record", name, err)
+			t.Errorf("%s: error %v does not name the batch and the record", name, err)
 		}
 	}
 }
 
-// Guards against a panic of the module that takes the whole host down silently.
+// Guards against a panic in the decision module that ends the whole process without a report.
 func TestPanicIsReportedAsFatal(t *testing.T) {
 	h := host{instances: map[uint16]*policy.Balancer{4: nil}, current: 4}
 	h.reply.Reset()
-	h.reply.For(4)
-	h.handle(&wire.Batch{Number: 7}, &wire.Event{Code: wire.Request})
+	h.reply.SetInstance(4)
+	h.handle(&wire.Batch{Number: 7}, &wire.Event{Code: wire.EventRequest})
 	var out bytes.Buffer
 	if err := h.reply.WriteTo(bufio.NewWriter(&out), 7); err != nil {
 		t.Fatal(err)
 	}
 	if got := codes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 77}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
-		t.Fatalf("action codes %v, want a context and fatal", got)
+		t.Fatalf("action codes %v, want context and fatal", got)
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,13 +9,14 @@
 	"otterstep/policy"
 )
 
-// ms reads a time in milliseconds; it stays at its default where a key is absent.
-type ms struct {
+// optionalMs is a duration in milliseconds in JSON. It records whether it was given, so that absent
+// keys keep their defaults.
+type optionalMs struct {
 	value time.Duration
 	given bool
 }
 
-func (m *ms) UnmarshalJSON(text []byte) error {
+func (m *optionalMs) UnmarshalJSON(text []byte) error {
 	if string(text) == "null" {
 		return nil
 	}
@@ -31,7 +32,7 @@
 	return nil
 }
 
-func (m ms) or(d time.Duration) time.Duration {
+func (m optionalMs) or(d time.Duration) time.Duration {
 	if m.given {
 		return m.value
 	}
@@ -45,7 +46,7 @@
 	}
 	Balancers *int
 	Classes   []struct {
-		DeadlineMs, PromiseMs, KeyTtlMs ms
+		DeadlineMs, PromiseMs, KeyTtlMs optionalMs
 		AimStretch, LateWorth           float64
 		Importance                      *float64
 		Name, Effect, DedupScope        string
@@ -53,7 +54,7 @@
 	}
 	Contract struct {
 		ColdFrom, FallMultiple      *float64
-		ColdMs, FallMs, MustAskInMs ms
+		ColdMs, FallMs, MustAskInMs optionalMs
 	}
 	CountedBy  string
 	Deductions struct{ Waste, LateFail, CrossZone float64 }
@@ -62,8 +63,8 @@
 	Limits     struct {
 		Cancel, RetryAfter, SecondCopies bool
 		MaxAttempts                      *int
-		MaxRetryAfterMs                  ms
-		ConnIdleMs, ConnectTimeoutMs     ms
+		MaxRetryAfterMs                  optionalMs
+		ConnIdleMs, ConnectTimeoutMs     optionalMs
 	}
 	Locality       int
 	OverShareWorth *float64
@@ -71,42 +72,42 @@
 	Zones          []string
 }
 
-// Site is what the settings say beyond the decisions: names as they stand on
-// sockets, in the order of their indices, and the times of connections.
+// Site holds the settings of a node, including those that the decision module does not use:
+// names as they appear in protocols, in the order of their indices, and connection time-outs.
 type Site struct {
 	Settings       policy.Settings
 	Classes        []string
 	Tenants        []string
 	Zones          []string
 	Kinds          []string      // of machines
-	ConnIdle       time.Duration // a server closes a connection that was idle for so long
+	ConnIdle       time.Duration // servers close connections that have been idle for this long
 	ConnectTimeout time.Duration
 }
 
-// set replaces a default by what was given.
+// set replaces a default if a value was given.
 func set[T any](to *T, given *T) {
 	if given != nil {
 		*to = *given
 	}
 }
 
-// ParseSettings reads an instance's settings. Unknown keys are skipped and
-// absent ones keep policy.Defaults; a class without an effect counts as unsafe.
+// ParseSettings parses an instance's settings. Unknown keys are ignored, and absent ones keep
+// the values of policy.Defaults; a class without an effect counts as unsafe.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
 		return policy.Defaults(), fmt.Errorf("settings: %w", err)
 	}
-	return j.policy()
+	return j.toPolicy()
 }
 
-// ParseSite reads the same settings with what a node on sockets needs besides.
+// ParseSite parses the same settings together with those that only a node needs.
 func ParseSite(text []byte) (Site, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
 		return Site{}, fmt.Errorf("settings: %w", err)
 	}
-	s, err := j.policy()
+	s, err := j.toPolicy()
 	if err != nil {
 		return Site{}, err
 	}
@@ -127,7 +128,7 @@
 	return site, nil
 }
 
-func (j *settingsJSON) policy() (policy.Settings, error) {
+func (j *settingsJSON) toPolicy() (policy.Settings, error) {
 	s := policy.Defaults()
 	set(&s.Nodes, j.Balancers)
 	set(&s.OverShareWorth, j.OverShareWorth)
@@ -146,8 +147,8 @@
 	s.Rules.FallFor = j.Contract.FallMs.or(s.Rules.FallFor)
 	s.Rules.MustAsk = j.Contract.MustAskInMs.or(s.Rules.MustAsk)
 	var ok bool
-	if s.ListAsked, ok = word(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
-		return s, fmt.Errorf("settings: RegistryMode: unknown word %q", j.RegistryMode)
+	if s.ListAsked, ok = lookup(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
+		return s, fmt.Errorf("settings: RegistryMode: unknown value %q", j.RegistryMode)
 	}
 	for i, c := range j.Classes {
 		p := policy.Class{
@@ -155,11 +156,11 @@
 			LateWorth: c.LateWorth, Worth: 1, Window: c.KeyTtlMs.or(0), Stream: c.Streaming,
 		}
 		set(&p.Worth, c.Importance)
-		if p.Effect, ok = word(c.Effect, effects); !ok {
-			return s, fmt.Errorf("settings: Classes[%d].Effect: unknown word %q", i, c.Effect)
+		if p.Effect, ok = lookup(c.Effect, effects); !ok {
+			return s, fmt.Errorf("settings: Classes[%d].Effect: unknown value %q", i, c.Effect)
 		}
-		if p.Scope, ok = word(c.DedupScope, scopes); !ok {
-			return s, fmt.Errorf("settings: Classes[%d].DedupScope: unknown word %q", i, c.DedupScope)
+		if p.Scope, ok = lookup(c.DedupScope, scopes); !ok {
+			return s, fmt.Errorf("settings: Classes[%d].DedupScope: unknown value %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, p)
 	}
@@ -176,12 +177,12 @@
 	"pure": policy.Safe, "token": policy.Keyed, "side_effect": policy.Unsafe, "": policy.Unsafe,
 }
 
-// An absent scope is the narrowest.
+// scopes maps the words for a deduplication scope; an absent scope is the narrowest.
 var scopes = map[string]policy.Scope{
 	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell, "": policy.ScopeCell,
 }
 
-func word[T any](w string, words map[string]T) (T, bool) {
+func lookup[T any](w string, words map[string]T) (T, bool) {
 	v, ok := words[w]
 	return v, ok
 }
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -12,7 +12,7 @@
 	"otterstep/policy"
 )
 
-// siteFile is what a site file says that nodes are told; a value may be a range, of which they are told one draw.
+// siteFile holds the settings in a site file that nodes are given; a value may be a range, from which one value is drawn.
 type siteFile struct {
 	Name      string
 	Scale     struct{ Balancers any }
@@ -44,8 +44,8 @@
 	Tenant []struct{ Name string }
 }
 
-// upper gives a value, or the upper end of a range.
-func upper(v any) float64 {
+// upperBound returns a value, or the upper end of a range.
+func upperBound(v any) float64 {
 	if list, ok := v.([]any); ok {
 		v = list[len(list)-1]
 	}
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// settings writes a site's figures as nodes are told them.
+// settings encodes a site file's values as the JSON settings that nodes are given.
 func (s *siteFile) settings(t *testing.T) []byte {
 	t.Helper()
 	type object = map[string]any
@@ -75,10 +75,10 @@
 		accounts = append(accounts, object{"Name": a.Name, "QuotaPerS": 10})
 	}
 	text, err := json.Marshal(object{
-		"Balancers": int(upper(s.Scale.Balancers)), "Zones": s.Net.Zones, "RegistryMode": modes[s.Discovery.Mode],
+		"Balancers": int(upperBound(s.Scale.Balancers)), "Zones": s.Net.Zones, "RegistryMode": modes[s.Discovery.Mode],
 		"Classes": classes, "Accounts": accounts,
 		"Limits":   object{"Cancel": s.Allow.Cancel, "SecondCopies": s.Allow.SecondCopies, "RetryAfter": s.Allow.RetryAfter, "MaxAttempts": s.Allow.MaxAttempts},
-		"Contract": object{"FallMultiple": s.Rules.FallMultiple, "FallMs": s.Rules.FallMs, "MustAskInMs": 1000 * upper(s.Discovery.SilentNoticeS)},
+		"Contract": object{"FallMultiple": s.Rules.FallMultiple, "FallMs": s.Rules.FallMs, "MustAskInMs": 1000 * upperBound(s.Discovery.SilentNoticeS)},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -86,10 +86,9 @@
 	return text
 }
 
-// Guards against settings that only the first customer's names and figures get through: the customers in deploy/sites
-// have other classes, effects, windows, tenants and kinds of discovery, and the node's reader and the module take them
-// as they are.
-func TestOtherCustomersSettings(t *testing.T) {
+// Guards against a parser that handles only one site's settings: the sites in deploy/sites differ in classes, effects,
+// windows, tenants and discovery modes, and both the parser and the decision module must accept them unchanged.
+func TestSiteSettings(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(files) != 2 {
 		t.Fatalf("%v, %v; want two site files", files, err)
@@ -115,7 +114,7 @@
 			got := site.Settings.Classes[i]
 			if site.Classes[i] != c.Name || got.Deadline != time.Duration(c.DeadlineMs)*time.Millisecond ||
 				got.Window != time.Duration(c.WindowMs)*time.Millisecond || got.Worth != c.Worth {
-				t.Errorf("%s: class %s is read as %+v", path, c.Name, got)
+				t.Errorf("%s: class %s is parsed as %+v", path, c.Name, got)
 			}
 			if got.Effect == policy.Unsafe {
 				unsafe++
@@ -132,6 +131,6 @@
 		}
 	}
 	if unsafe != 1 || asked != 1 || alone != 1 {
-		t.Errorf("%d unsafe classes, %d asked discoveries, %d sites without tenants; want one of each", unsafe, asked, alone)
+		t.Errorf("%d unsafe classes, %d sites with on-request discovery, %d sites without tenants; want one of each", unsafe, asked, alone)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire reads and writes the frames of the simulator's binary wire. It
-// decides nothing: it turns event records into the types of package policy and
-// actions into records.
+// Package wire implements the simulator's binary protocol: it decodes event records into the
+// types of package policy and encodes actions as records. It also parses a node's settings.
 package wire
 
 import (
@@ -15,7 +14,7 @@
 	"otterstep/policy"
 )
 
-// The sizes of a frame's parts, in bytes.
+// Sizes of the parts of a frame, in bytes.
 const (
 	batchHeader = 20
 	replyHeader = 12
@@ -25,25 +24,25 @@
 	maxBody     = 1 << 30
 )
 
-// Code tells what an event record is.
+// Code is the type of an event record.
 type Code uint8
 
-// The events.
+// The event codes.
 const (
-	Open     Code = 1
-	Members  Code = 2
-	Request  Code = 3
-	Started  Code = 4
-	Outcome  Code = 5
-	Left     Code = 6
-	Timer    Code = 7
-	Probed   Code = 8
-	Peer     Code = 9
-	Stop     Code = 10
-	Instance Code = 11
+	EventOpen     Code = 1
+	EventMembers  Code = 2
+	EventRequest  Code = 3
+	EventStarted  Code = 4
+	EventOutcome  Code = 5
+	EventLeft     Code = 6
+	EventTimer    Code = 7
+	EventProbed   Code = 8
+	EventPeer     Code = 9
+	EventStop     Code = 10
+	EventInstance Code = 11
 )
 
-// The actions.
+// The action codes.
 const (
 	actCancel  = 65
 	actSend    = 66
@@ -55,7 +54,7 @@
 	actFatal   = 77
 )
 
-// ErrFormat is wrapped by every complaint about a malformed frame.
+// ErrFormat is wrapped by every error about a malformed frame.
 var ErrFormat = errors.New("malformed frame")
 
 // Batch is one frame of events. Its bytes are valid until the next Read.
@@ -79,7 +78,7 @@
 // NewReader reads batches from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 1<<16)} }
 
-// Read returns the next batch. A clean end of input gives io.EOF.
+// Read returns the next batch. It returns io.EOF if the input ends between batches.
 func (r *Reader) Read() (*Batch, error) {
 	if n, err := io.ReadFull(r.in, r.head[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
@@ -108,8 +107,8 @@
 	return &r.batch, nil
 }
 
-// fill reads size bytes into the body; memory grows with what has come in, not
-// with what a header claims.
+// fill reads size bytes into the body. It allocates memory as data arrives, not as much as
+// the header claims.
 func (r *Reader) fill(size int) error {
 	const step = 1 << 20
 	r.body = r.body[:0]
@@ -130,17 +129,17 @@
 	return nil
 }
 
-// Event is one record of a batch. Which fields count depends on Code.
+// Event is one record of a batch. Code determines which fields are valid.
 type Event struct {
 	Code     Code
-	Instance uint16 // Instance
-	Seed     uint64 // Open
-	Settings []byte // Open: JSON
+	Instance uint16 // EventInstance
+	Seed     uint64 // EventOpen
+	Settings []byte // EventOpen: JSON
 	Kind     policy.ListKind
-	Entries  []policy.Entry // Members; valid until the next Event
+	Entries  []policy.Entry // EventMembers; valid until the next call of Batch.Event
 	Request  policy.Request
-	Outcome  policy.Outcome // Outcome, Started (ID, Attempt), Left (ID)
-	Token    uint64         // Timer
+	Outcome  policy.Outcome // EventOutcome, EventStarted (ID, Attempt), EventLeft (ID)
+	Token    uint64         // EventTimer
 }
 
 var statuses = map[uint16]policy.Status{
@@ -160,30 +159,30 @@
 	}
 	e.Code = Code(rec[0])
 	switch e.Code {
-	case Instance:
+	case EventInstance:
 		e.Instance = u16(1)
-	case Open:
+	case EventOpen:
 		e.Seed = u64(1)
 		text, ok := b.slice(u32(9), u32(13), 1)
 		if !ok {
-			return fail("settings out of the tail:", u32(9))
+			return fail("settings beyond the end of the tail: offset", u32(9))
 		}
 		e.Settings = text
-	case Members:
+	case EventMembers:
 		if rec[1] > uint8(policy.ListFailed) {
 			return fail("list kind", rec[1])
 		}
 		e.Kind = policy.ListKind(rec[1])
 		raw, ok := b.slice(u32(10), u32(14), entrySize)
 		if !ok {
-			return fail("entries out of the tail:", u32(10))
+			return fail("entries beyond the end of the tail: offset", u32(10))
 		}
 		return decodeEntries(e, raw, fail)
-	case Request:
+	case EventRequest:
 		left, ok1 := duration(f64(16))
 		hint, ok2 := duration(f64(24))
 		if !ok1 || !ok2 {
-			return fail("time of a query:", f64(16))
+			return fail("time left or hint of a request: time left", f64(16))
 		}
 		if rec[32]&1 == 0 {
 			hint = 0
@@ -191,9 +190,9 @@
 		e.Request = policy.Request{
 			ID: policy.RequestID(u32(1)), Class: int(rec[5]), Tenant: int(u16(6)), Key: u64(8), Left: left, Hint: hint,
 		}
-	case Started:
+	case EventStarted:
 		e.Outcome = policy.Outcome{ID: policy.RequestID(u32(1)), Attempt: int(u16(5)), Server: serverID(rec[15:])}
-	case Outcome:
+	case EventOutcome:
 		status, ok := statuses[u16(5)]
 		if !ok {
 			return fail("status", u16(5))
@@ -206,15 +205,15 @@
 			ID: policy.RequestID(u32(1)), Status: status, Ended: rec[7] != 0,
 			Server: serverID(rec[8:]), Attempt: int(u16(14)), Latency: latency,
 		}
-	case Left:
+	case EventLeft:
 		e.Outcome = policy.Outcome{ID: policy.RequestID(u32(1))}
-	case Timer:
+	case EventTimer:
 		e.Token = u64(1)
-	case Peer:
+	case EventPeer:
 		if _, ok := b.slice(u32(5), u32(9), 1); !ok {
-			return fail("message out of the tail:", u32(5))
+			return fail("message beyond the end of the tail: offset", u32(5))
 		}
-	case Probed, Stop:
+	case EventProbed, EventStop:
 	default:
 		return fail("unknown event code", rec[0])
 	}
@@ -230,7 +229,7 @@
 		weight := float64(math.Float32frombits(binary.BigEndian.Uint32(raw[13:])))
 		started, ok := duration(math.Float64frombits(binary.BigEndian.Uint64(raw[17:])))
 		if !ok || !(weight >= 0) || math.IsInf(weight, 1) {
-			return fail("server weight or start:", weight)
+			return fail("server weight or start time: weight", weight)
 		}
 		e.Entries = append(e.Entries, policy.Entry{
 			Server: serverID(raw), Zone: int(binary.BigEndian.Uint16(raw[6:])),
@@ -240,7 +239,7 @@
 	return nil
 }
 
-// slice gives count items of the tail.
+// slice returns count items of the given size from the tail, starting at offset.
 func (b *Batch) slice(offset, count uint32, size uint64) ([]byte, bool) {
 	end := uint64(offset) + uint64(count)*size
 	if end > uint64(len(b.tail)) {
@@ -253,8 +252,8 @@
 	return policy.ServerID(uint64(binary.BigEndian.Uint32(b))<<16 | uint64(binary.BigEndian.Uint16(b[4:])))
 }
 
-// duration turns milliseconds into a Duration, unless they are no number or
-// too many for one.
+// duration converts milliseconds to a Duration; it returns false for NaN and for values that
+// are out of range.
 func duration(ms float64) (time.Duration, bool) {
 	const most = float64(math.MaxInt64) / 4 / float64(time.Millisecond)
 	if !(ms > -most && ms < most) {
@@ -267,11 +266,11 @@
 
 // Reply collects the actions of one batch.
 type Reply struct {
-	out     []byte
-	tail    []byte
-	count   uint32
-	current int // instance of the last context record; -1: none
-	target  uint16
+	out      []byte
+	tail     []byte
+	count    uint32
+	written  int // instance of the last context record; -1: none
+	instance uint16
 }
 
 // Reset starts a new reply.
@@ -282,22 +281,22 @@
 	r.out = r.out[:replyHeader]
 	r.tail = r.tail[:0]
 	r.count = 0
-	r.current = -1
+	r.written = -1
 }
 
-// For names the instance that the actions from here on belong to.
-func (r *Reply) For(instance uint16) { r.target = instance }
+// SetInstance selects the instance that the following actions belong to.
+func (r *Reply) SetInstance(instance uint16) { r.instance = instance }
 
-// record appends an action record, preceded by its context where that changes.
+// record appends an action record, preceded by a context record if the instance changed.
 func (r *Reply) record(code byte) []byte {
-	if r.current != int(r.target) {
-		r.current = int(r.target)
-		binary.BigEndian.PutUint16(r.append(actContext)[1:], r.target)
+	if r.written != int(r.instance) {
+		r.written = int(r.instance)
+		binary.BigEndian.PutUint16(r.appendRecord(actContext)[1:], r.instance)
 	}
-	return r.append(code)
+	return r.appendRecord(code)
 }
 
-func (r *Reply) append(code byte) []byte {
+func (r *Reply) appendRecord(code byte) []byte {
 	var blank [actionSize]byte
 	r.out = append(r.out, blank[:]...)
 	rec := r.out[len(r.out)-actionSize:]
@@ -343,7 +342,7 @@
 // WatchList implements policy.Host.
 func (r *Reply) WatchList() { r.record(actWatch)[1] = 1 }
 
-// Fatal says that the decision code has failed.
+// Fatal reports that the decision module has failed.
 func (r *Reply) Fatal(text string) {
 	rec := r.record(actFatal)
 	binary.BigEndian.PutUint32(rec[1:], uint32(len(r.tail)))
@@ -351,7 +350,7 @@
 	r.tail = append(r.tail, text...)
 }
 
-// WriteTo writes the reply to the given batch.
+// WriteTo writes the frame that replies to the given batch.
 func (r *Reply) WriteTo(w *bufio.Writer, batch uint32) error {
 	binary.BigEndian.PutUint32(r.out[0:], r.count)
 	binary.BigEndian.PutUint32(r.out[4:], uint32(len(r.out)-replyHeader+len(r.tail)))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,7 @@
 	"otterstep/policy"
 )
 
-func unhex(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -24,13 +24,13 @@
 	return raw
 }
 
-// record pads an event record to its size.
+// record decodes a hexadecimal event record and pads it to its full size.
 func record(t testing.TB, text string) []byte {
-	raw := unhex(t, text)
+	raw := decodeHex(t, text)
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
-// frame builds a batch at 8,500 ms with number 12.
+// frame builds batch number 12 with a clock of 8500 ms.
 func frame(count int, records, tail []byte) []byte {
 	head := make([]byte, batchHeader)
 	binary.BigEndian.PutUint32(head[0:], uint32(len(records)+len(tail)))
@@ -70,13 +70,13 @@
 		record(t, "06 0e6f2b19"),
 		record(t, "04 5d3a91c4 0002 4022800000000000 0a124a07 1f93"),
 		record(t, "0a"),
-	), unhex(t, "0a124a07 1f93 0001 0003 0002 01 3f800000 0000000000000000"+
+	), decodeHex(t, "0a124a07 1f93 0001 0003 0002 01 3f800000 0000000000000000"+
 		"0a9011f2 1fbc 0000 0000 0000 02 3fc00000 40b7d40000000000"))
 	events, err := decodeAll(raw)
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
-		t.Fatalf("ends with %v, want a clean end", err)
+		t.Fatalf("the input ends with %v, want io.EOF", err)
 	}
-	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != Stop {
+	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != EventStop {
 		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].Token, events[7].Code)
 	}
 	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1, Key: 0x91f03b7c55d20a64,
@@ -109,11 +109,11 @@
 	var r Reply
 	r.Reset()
 	const server = policy.ServerID(0x0a124a071f93)
-	r.For(3)
+	r.SetInstance(3)
 	r.Send(0x5d3a91c4, server, 80*time.Millisecond)
 	r.SetTimer(8400*time.Millisecond, 0x4d)
 	r.Cancel(0x5d3a91c4, 1)
-	r.For(5)
+	r.SetInstance(5)
 	r.Refuse(0x0e6f2b19, 250*time.Millisecond)
 	r.Fail(7)
 	r.WatchList()
@@ -123,10 +123,10 @@
 		t.Fatal(err)
 	}
 	pad := func(text string) []byte {
-		raw := unhex(t, text)
+		raw := decodeHex(t, text)
 		return append(raw, make([]byte, actionSize-len(raw))...)
 	}
-	want := join(unhex(t, "00000009 000000de 0000000c"),
+	want := join(decodeHex(t, "00000009 000000de 0000000c"),
 		pad("44 0003"), pad("42 5d3a91c4 0a124a07 1f93 4054000000000000"),
 		pad("48 40c0680000000000 000000000000004d"),
 		pad("41 5d3a91c4 0001"), pad("44 0005"), pad("47 0e6f2b19 406f400000000000"), pad("49 00000007"),
@@ -136,7 +136,7 @@
 	}
 }
 
-// Each malformed frame must give one plain error with its batch, and no panic.
+// malformed holds frames that must each give a one-line error that names the batch, and no panic.
 var malformed = map[string]func(testing.TB) []byte{
 	"truncated header":    func(testing.TB) []byte { return frame(0, nil, nil)[:7] },
 	"truncated body":      func(t testing.TB) []byte { return frame(1, record(t, "0b 0003"), nil)[:40] },
@@ -166,15 +166,15 @@
 	"clock not a number": func(testing.TB) []byte { f := frame(0, nil, nil); f[4], f[5] = 0x7f, 0xf8; return f },
 	"unknown server state": func(t testing.TB) []byte {
 		return frame(1, record(t, "02 01 0000000000000001 00000000 00000001"),
-			unhex(t, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000"))
+			decodeHex(t, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000"))
 	},
 	"weight not a number": func(t testing.TB) []byte {
 		return frame(1, record(t, "02 01 0000000000000001 00000000 00000001"),
-			unhex(t, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000"))
+			decodeHex(t, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000"))
 	},
 }
 
-func TestMalformedFramesGiveAPlainError(t *testing.T) {
+func TestMalformedFramesGiveOneLineError(t *testing.T) {
 	for name, build := range malformed {
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeAll(build(t))
