--- a/internal/sim/returns/returns.go
+++ b/internal/sim/returns/returns.go
@@ -1,7 +1,7 @@
-// Package returns plays in virtual time how a whole fleet comes back after all of its processes
-// were killed and some of what they knew was lost. What an agent may start is decided by the
-// code that serves (packages recovery, pace and duty); machines, disks, links and discovery
-// are models.
+// Package returns simulates in virtual time how a whole fleet restarts after all of its
+// processes were killed and some of their persisted state was lost. The production code
+// decides what an agent may start (packages recovery, pace and duty); machines, disks, links
+// and discovery are modelled.
 package returns
 
 import (
@@ -16,139 +16,139 @@
 	"otterstep/internal/sim"
 )
 
-// The losses.
+// The kinds of data loss.
 const (
-	Nothing  = "nothing"
-	AThird   = "a-third"  // of the records
-	Records  = "records"  // all of them
-	Memories = "memories" // records and their copies
-	OldDisks = "old"      // all records and copies are put back from before the latest changes
-	Mixed    = "mixed"    // each agent draws one of these
+	Nothing          = "nothing"
+	ThirdOfRecords   = "a-third"  // the records of a third of the agents
+	Records          = "records"  // all records
+	RecordsAndCopies = "memories" // all records and their copies
+	RestoredDisks    = "old"      // all records and copies are restored from before the latest changes
+	Mixed            = "mixed"    // each agent draws one of nothing, records, memories and old
 )
 
-// Losses lists them.
-var Losses = []string{Nothing, AThird, Records, Memories, OldDisks, Mixed}
+// Losses lists the kinds of data loss.
+var Losses = []string{Nothing, ThirdOfRecords, Records, RecordsAndCopies, RestoredDisks, Mixed}
 
-// Options size a return.
+// Options configure a simulated fleet restart.
 type Options struct {
 	Agents, Instances int
 	Loss              string
-	Changes           int // operators' words on instances before
+	Changes           int // changes of the desired state by operators before the kill
 	Pace              pace.Bound
-	Within            time.Duration // the agents start within this
-	Council           time.Duration // from when on the council answers; negative: there is none
-	Away              time.Duration // until when discovery is away
-	Service           time.Duration // of one call of discovery; one at a time
+	Within            time.Duration // agents start within this time
+	Council           time.Duration // when the council begins to answer; negative: there is none
+	Away              time.Duration // when discovery becomes available
+	Service           time.Duration // duration of a discovery call; calls are handled one at a time
 	Seed              uint64
-	Limit             time.Duration
-	// Naive goes by an agent's own record alone and takes what is missing for a first start, as
-	// before there was any recovery.
+	Limit             time.Duration // when the simulation ends
+	// Naive makes agents use only their own records and treat a missing record as a first
+	// start. This is the behaviour without recovery, for comparison.
 	Naive bool
 }
 
-// Result is how it went.
+// Result is the result of a simulated fleet restart.
 type Result struct {
-	Half, Most, All time.Duration // of what is to be up: 50%, 90%, all; 0: not within the limit
-	Wrong           int           // instances started that the newest surviving word calls down
-	Held            int           // instances that nobody had decided on at the limit
-	Late            int           // instances to be up that were not at the limit
-	StartsMost      int           // within 100 ms
-	CallsMost       int           // of discovery, likewise
-	Calls           int
+	Half, Most, All time.Duration // until 50%, 90% and all of the instances to be started were up; 0: not within the limit
+	Wrong           int           // instances started although the newest surviving state says down
+	Held            int           // instances still undecided at the limit
+	Late            int           // instances that should have been up at the limit and were not
+	StartsMost      int           // most instance starts within 100 ms
+	CallsMost       int           // most discovery calls within 100 ms
+	Calls           int           // discovery calls in total
 }
 
 const (
-	settleEvery = 100 * time.Millisecond // as the agent's
-	askAgain    = 200 * time.Millisecond // and up to twice it, as the agent's
-	callAgain   = 250 * time.Millisecond // a node's next call of discovery, and up to twice it
-	callWait    = 2 * time.Second        // the longest a call waits for its turn
-	answersIn   = 20 * time.Millisecond  // of the council, at most
-	startsIn    = 300 * time.Millisecond // of an instance, at most
-	stretch     = 100 * time.Millisecond
+	decideInterval  = 100 * time.Millisecond // interval of decisions, as in the agent
+	councilRetry    = 200 * time.Millisecond // least retry delay to the council, randomized up to twice this, as in the agent
+	callRetry       = 250 * time.Millisecond // least retry delay of a node's discovery call, randomized up to twice this
+	maxCallWait     = 2 * time.Second        // longest queueing time of a discovery call
+	maxCouncilDelay = 20 * time.Millisecond  // longest response time of the council
+	maxStartTime    = 300 * time.Millisecond // longest start-up time of an instance
+	rateWindow      = 100 * time.Millisecond // window for StartsMost and CallsMost
 )
 
-// word is what one place says of an instance.
-type word struct {
+// desiredState is one source's desired state of an instance.
+type desiredState struct {
 	up         bool
 	generation uint64
 }
 
 type instance struct {
-	name    string
-	agent   *agent
-	record  *word // nil: it is gone
-	copied  *word
-	truth   word // the newest that survives anywhere
-	settled bool
-	up      bool
+	name     string
+	agent    *agent
+	record   *desiredState // the agent's record; nil: lost
+	copy     *desiredState // the copy of the record; nil: lost
+	expected desiredState  // the newest state that survives anywhere
+	decided  bool
+	up       bool
 }
 
 type agent struct {
-	name    string
-	memory  recovery.Memory
-	council recovery.Council
-	known   bool
-	back    int
-	began   time.Duration
-	turns   *pace.Turns
-	all     []*instance
-	told    map[string]duty.Desired
+	name         string
+	memory       recovery.Memory
+	council      recovery.Council
+	councilKnows bool
+	answerRank   int
+	began        time.Duration
+	turns        *pace.Turns
+	instances    []*instance
+	councilState map[string]duty.Desired
 }
 
-type play struct {
-	opt           Options
-	engine        *sim.Engine
-	rng           *rand.Rand
-	state         *duty.State
-	agents        []*agent
-	want, up      int
-	back          int // agents that have reported
-	busy          int // calls of discovery that wait
-	result        Result
-	starts, calls []time.Duration
+type simulation struct {
+	opt            Options
+	engine         *sim.Engine
+	rng            *rand.Rand
+	state          *duty.State
+	agents         []*agent
+	wanted, up     int
+	answeredAgents int // agents that the council has answered
+	queuedCalls    int // discovery calls in the queue
+	result         Result
+	starts, calls  []time.Duration
 }
 
-// Play plays one return.
+// Play simulates one fleet restart.
 func Play(opt Options) (Result, error) {
 	if opt.Agents < 1 || opt.Instances < opt.Agents || !slices.Contains(Losses, opt.Loss) {
-		return Result{}, fmt.Errorf("returns: %d agents, %d instances, loss %q: at least one agent, an instance each, a loss of %v", opt.Agents, opt.Instances, opt.Loss, Losses)
+		return Result{}, fmt.Errorf("returns: invalid options: %d agents, %d instances, loss %q: want at least one agent, at least one instance per agent and a loss from %v", opt.Agents, opt.Instances, opt.Loss, Losses)
 	}
-	p := &play{opt: opt, engine: sim.NewEngine(0), rng: sim.Stream(opt.Seed, "returns"), state: duty.New()}
-	if err := p.before(); err != nil {
+	p := &simulation{opt: opt, engine: sim.NewEngine(0), rng: sim.Stream(opt.Seed, "returns"), state: duty.New()}
+	if err := p.buildHistory(); err != nil {
 		return Result{}, err
 	}
-	p.lose()
+	p.applyLoss()
 	for _, a := range p.agents {
-		p.engine.At(p.upTo(opt.Within), func() { p.begin(a) })
+		p.engine.At(p.randUpTo(opt.Within), func() { p.startAgent(a) })
 	}
 	p.engine.Run(opt.Limit)
 	for _, a := range p.agents {
-		for _, i := range a.all {
+		for _, i := range a.instances {
 			switch {
-			case !i.settled:
+			case !i.decided:
 				p.result.Held++
-			case i.truth.up && !i.up:
+			case i.expected.up && !i.up:
 				p.result.Late++
 			}
 		}
 	}
 	p.result.Calls = len(p.calls)
-	p.result.StartsMost, p.result.CallsMost = most(p.starts), most(p.calls)
+	p.result.StartsMost, p.result.CallsMost = maxInWindow(p.starts), maxInWindow(p.calls)
 	return p.result, nil
 }
 
-func (p *play) upTo(d time.Duration) time.Duration {
+func (p *simulation) randUpTo(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
 	return time.Duration(p.rng.Int64N(int64(d)))
 }
 
-// most gives the most within a stretch, of times in order.
-func most(times []time.Duration) (n int) {
+// maxInWindow returns the largest number of the sorted times within any window of length rateWindow.
+func maxInWindow(times []time.Duration) (n int) {
 	from := 0
 	for to := range times {
-		for times[to]-times[from] > stretch {
+		for times[to]-times[from] > rateWindow {
 			from++
 		}
 		n = max(n, to-from+1)
@@ -156,9 +156,10 @@
 	return n
 }
 
-// before is the fleet's history: all are up, then operators change some. A change is in the
-// record and its copy before it counts; the latest may not have reached the council.
-func (p *play) before() error {
+// buildHistory builds the fleet's history: all instances are up, and then operators change some. A
+// change takes effect after it is written to the record and its copy; recent changes may not
+// have reached the council.
+func (p *simulation) buildHistory() error {
 	var all []*instance
 	for n := range p.opt.Agents {
 		a := &agent{name: fmt.Sprintf("m%d", n+1)}
@@ -166,8 +167,8 @@
 	}
 	for n := range p.opt.Instances {
 		a := p.agents[n%p.opt.Agents]
-		i := &instance{name: fmt.Sprintf("n%d", n+1), agent: a, record: &word{true, 1}, copied: &word{true, 1}}
-		a.all = append(a.all, i)
+		i := &instance{name: fmt.Sprintf("n%d", n+1), agent: a, record: &desiredState{true, 1}, copy: &desiredState{true, 1}}
+		a.instances = append(a.instances, i)
 		all = append(all, i)
 	}
 	for _, a := range p.agents {
@@ -177,8 +178,8 @@
 	}
 	for range p.opt.Changes {
 		i := all[p.rng.IntN(len(all))]
-		next := word{p.rng.IntN(2) == 0, i.record.generation + 1}
-		i.record, i.copied = &next, &next
+		next := desiredState{p.rng.IntN(2) == 0, i.record.generation + 1}
+		i.record, i.copy = &next, &next
 		if p.rng.IntN(20) > 0 {
 			if err := p.report(i.agent, false); err != nil {
 				return err
@@ -188,12 +189,12 @@
 	return nil
 }
 
-// report tells the council of an agent, or asks it.
-func (p *play) report(a *agent, asks bool) error {
+// report sends an agent's records to the council or, if asks is set, queries it.
+func (p *simulation) report(a *agent, asks bool) error {
 	r := duty.Report{Agent: a.name, Folder: "f", Starts: 1, Asks: asks}
 	if !asks {
 		r.Instances = map[string]duty.Desired{}
-		for _, i := range a.all {
+		for _, i := range a.instances {
 			if i.record != nil {
 				r.Instances[i.name] = duty.Desired{Up: i.record.up, Generation: i.record.generation}
 			}
@@ -203,97 +204,97 @@
 	if answer.Err != nil {
 		return fmt.Errorf("returns: %w", answer.Err)
 	}
-	a.told, a.known = answer.Told.Instances, answer.Told.Known
+	a.councilState, a.councilKnows = answer.Told.Instances, answer.Told.Known
 	return nil
 }
 
-// lose takes away what is lost, and notes what the newest surviving word is.
-func (p *play) lose() {
+// applyLoss discards the lost data and determines the newest surviving state of each instance.
+func (p *simulation) applyLoss() {
 	for n, a := range p.agents {
 		loss := p.opt.Loss
 		if loss == Mixed {
-			loss = []string{Nothing, Records, Memories, OldDisks}[p.rng.IntN(4)]
+			loss = []string{Nothing, Records, RecordsAndCopies, RestoredDisks}[p.rng.IntN(4)]
 		}
 		switch {
-		case loss == Records || loss == AThird && n%3 == 0:
+		case loss == Records || loss == ThirdOfRecords && n%3 == 0:
 			a.memory = recovery.Lost
-		case loss == Memories:
+		case loss == RecordsAndCopies:
 			a.memory = recovery.Blank
 		}
-		if err := p.report(a, true); err != nil { // what the council knows
-			panic(err) // asking is never refused
+		if err := p.report(a, true); err != nil { // sets a.councilState to what the council knows
+			panic(err) // cannot happen: queries are never refused
 		}
-		for _, i := range a.all {
+		for _, i := range a.instances {
 			if a.memory != recovery.Whole {
 				i.record = nil
 			}
 			if a.memory == recovery.Blank {
-				i.copied = nil
+				i.copy = nil
 			}
-			if loss == OldDisks {
-				was := word{true, 1}
-				i.record, i.copied = &was, &was
+			if loss == RestoredDisks {
+				was := desiredState{true, 1}
+				i.record, i.copy = &was, &was
 			}
-			for _, w := range []*word{i.record, i.copied} {
-				if w != nil && w.generation > i.truth.generation {
-					i.truth = *w
+			for _, w := range []*desiredState{i.record, i.copy} {
+				if w != nil && w.generation > i.expected.generation {
+					i.expected = *w
 				}
 			}
-			// Without a council there is no word of it.
-			if d := a.told[i.name]; p.opt.Council >= 0 && d.Generation > i.truth.generation {
-				i.truth = word{d.Up, d.Generation}
+			// The council's state counts only if there is a council.
+			if d := a.councilState[i.name]; p.opt.Council >= 0 && d.Generation > i.expected.generation {
+				i.expected = desiredState{d.Up, d.Generation}
 			}
-			if i.truth.up {
-				p.want++
+			if i.expected.up {
+				p.wanted++
 			}
 		}
-		a.told, a.known = nil, false
+		a.councilState, a.councilKnows = nil, false
 	}
 }
 
-// begin is an agent's start.
-func (p *play) begin(a *agent) {
+// startAgent starts an agent.
+func (p *simulation) startAgent(a *agent) {
 	a.began = p.engine.Now()
 	a.turns = p.opt.Pace.Turns(p.rng.Float64)
 	if p.opt.Council >= 0 {
 		a.council = recovery.Silent
-		p.ask(a)
+		p.askCouncil(a)
 	}
-	p.settle(a)
+	p.decide(a)
 }
 
-func (p *play) ask(a *agent) {
+func (p *simulation) askCouncil(a *agent) {
 	if p.engine.Now() < p.opt.Council {
-		p.engine.After(askAgain+p.upTo(askAgain), func() { p.ask(a) })
+		p.engine.After(councilRetry+p.randUpTo(councilRetry), func() { p.askCouncil(a) })
 		return
 	}
-	p.engine.After(p.upTo(answersIn), func() {
+	p.engine.After(p.randUpTo(maxCouncilDelay), func() {
 		if err := p.report(a, true); err != nil {
-			panic(err) // asking is never refused
+			panic(err) // cannot happen: queries are never refused
 		}
-		p.back++
-		a.council, a.back = recovery.Answered, p.back
-		p.settle(a)
+		p.answeredAgents++
+		a.council, a.answerRank = recovery.Answered, p.answeredAgents
+		p.decide(a)
 	})
 }
 
-// settle is the agent's: it clears what is known by now.
-func (p *play) settle(a *agent) {
+// decide acts, as the agent does, on all instances whose desired state is known by now.
+func (p *simulation) decide(a *agent) {
 	held := false
-	for _, i := range a.all {
-		if i.settled {
+	for _, i := range a.instances {
+		if i.decided {
 			continue
 		}
-		f := recovery.Facts{Memory: a.memory, Council: a.council, Known: a.known, Elapsed: p.engine.Now() - a.began}
-		say := func(source string, w *word) {
+		f := recovery.Facts{Memory: a.memory, Council: a.council, Known: a.councilKnows, Elapsed: p.engine.Now() - a.began}
+		say := func(source string, w *desiredState) {
 			if w != nil {
 				f.Words = append(f.Words, recovery.Word{Source: source, Up: w.up, Generation: w.generation})
 			}
 		}
 		say("the record", i.record)
-		say("its copy", i.copied)
-		if d, ok := a.told[i.name]; ok && a.council == recovery.Answered {
-			say("the council", &word{d.Up, d.Generation})
+		say("its copy", i.copy)
+		if d, ok := a.councilState[i.name]; ok && a.council == recovery.Answered {
+			say("the council", &desiredState{d.Up, d.Generation})
 		}
 		v := recovery.Decide(f)
 		if p.opt.Naive {
@@ -303,62 +304,62 @@
 			held = true
 			continue
 		}
-		i.settled = true
+		i.decided = true
 		if v.Word.Up {
-			p.turn(a, i)
+			p.startPaced(a, i)
 		}
 	}
-	if held && p.opt.Council >= 0 { // else nothing will be known that is not
-		p.engine.After(settleEvery, func() { p.settle(a) })
+	if held && p.opt.Council >= 0 { // without a council no more information will arrive
+		p.engine.After(decideInterval, func() { p.decide(a) })
 	}
 }
 
-// turn starts an instance when its turn has come.
-func (p *play) turn(a *agent, i *instance) {
+// startPaced starts an instance when the pace allows it.
+func (p *simulation) startPaced(a *agent, i *instance) {
 	at := p.engine.Now()
-	if p.opt.Pace.Rate > 0 && !(a.council == recovery.Answered && a.back*len(a.all) <= p.opt.Pace.Burst) {
+	if p.opt.Pace.Rate > 0 && !(a.council == recovery.Answered && a.answerRank*len(a.instances) <= p.opt.Pace.Burst) {
 		at = a.began + a.turns.Next(at-a.began)
 	}
 	p.engine.At(at, func() {
 		p.starts = append(p.starts, p.engine.Now())
-		if !i.truth.up {
+		if !i.expected.up {
 			p.result.Wrong++
 		}
-		p.engine.After(p.upTo(startsIn), func() { p.call(i) })
+		p.engine.After(p.randUpTo(maxStartTime), func() { p.callDiscovery(i) })
 	})
 }
 
-// call is a node's call of discovery, which works through calls in turn.
-func (p *play) call(i *instance) {
+// callDiscovery is a node's discovery call; discovery handles calls one at a time.
+func (p *simulation) callDiscovery(i *instance) {
 	now := p.engine.Now()
 	p.calls = append(p.calls, now)
-	wait := time.Duration(p.busy) * p.opt.Service
-	again := func() { p.engine.After(callAgain+p.upTo(callAgain), func() { p.call(i) }) }
+	wait := time.Duration(p.queuedCalls) * p.opt.Service
+	again := func() { p.engine.After(callRetry+p.randUpTo(callRetry), func() { p.callDiscovery(i) }) }
 	switch {
 	case now < p.opt.Away:
 		again()
-	case wait > callWait:
-		p.engine.After(callWait, again)
+	case wait > maxCallWait:
+		p.engine.After(maxCallWait, again)
 	default:
-		p.busy++
+		p.queuedCalls++
 		p.engine.After(wait+p.opt.Service, func() {
-			p.busy--
+			p.queuedCalls--
 			i.up = true
-			if i.truth.up {
+			if i.expected.up {
 				p.up++
-				p.reached()
+				p.recordProgress()
 			}
 		})
 	}
 }
 
-// reached notes the times.
-func (p *play) reached() {
+// recordProgress notes when Half, Most and All are reached.
+func (p *simulation) recordProgress() {
 	for _, step := range []struct {
 		at    *time.Duration
 		share float64
 	}{{&p.result.Half, 0.5}, {&p.result.Most, 0.9}, {&p.result.All, 1}} {
-		if *step.at == 0 && float64(p.up) >= step.share*float64(p.want) {
+		if *step.at == 0 && float64(p.up) >= step.share*float64(p.wanted) {
 			*step.at = p.engine.Now()
 		}
 	}
--- a/internal/sim/returns/returns_test.go
+++ b/internal/sim/returns/returns_test.go
@@ -14,11 +14,11 @@
 	}
 }
 
-// 300 instances under 100 agents, whose machines lose nothing, records, all of their own or get
-// old disks back: nothing that the newest surviving word calls down is started, nothing is held
-// once the council answers, and all that is to be up is. Agents that go by their own record
-// alone are seen to fail.
-func TestNothingStaleInLargeFleets(t *testing.T) {
+// 300 instances under 100 agents whose machines lose nothing, their records, or records and copies,
+// or have old disks restored: no instance is started that the newest surviving state says is down,
+// none stays undecided once the council answers, and all that should be up are. Agents that use
+// only their own records must fail this, which shows that the check detects it.
+func TestLargeFleetsStartNothingStale(t *testing.T) {
 	wrong := 0
 	for seed := range uint64(50) {
 		o := fleet(seed)
@@ -36,12 +36,12 @@
 		wrong += r.Wrong
 	}
 	if wrong == 0 {
-		t.Error("agents without recovery start nothing wrong")
+		t.Error("agents without recovery start no instance wrongly")
 	}
 }
 
-// Paced, all agents together stay under the bound in each 100 ms, and fewer start at once than
-// without; discovery that is away keeps nobody from coming back behind it.
+// With a pace, the starts of all agents together stay under the bound in each 100 ms and are fewer
+// than without one; all instances come up even if discovery is unavailable at first.
 func TestPacedReturn(t *testing.T) {
 	for seed := range uint64(10) {
 		o := fleet(seed)
@@ -64,9 +64,9 @@
 	}
 }
 
-// Without a council, what nobody knows is held, and what a copy knows is not.
+// Without a council, instances without any surviving state are held; those with a copy are not.
 func TestReturnWithoutCouncil(t *testing.T) {
-	for loss, holds := range map[string]bool{Nothing: false, Records: false, Memories: true} {
+	for loss, holds := range map[string]bool{Nothing: false, Records: false, RecordsAndCopies: true} {
 		o := fleet(1)
 		o.Loss, o.Council = loss, -1
 		r, err := Play(o)
@@ -76,7 +76,7 @@
 	}
 	for _, o := range []Options{{}, {Agents: 2, Instances: 1, Loss: Nothing}, {Agents: 1, Instances: 1, Loss: "x"}} {
 		if _, err := Play(o); err == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("%+v is accepted", o)
 		}
 	}
 }
