--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -9,8 +9,8 @@
 	"otterstep/policy"
 )
 
-// BenchmarkLoop gives the cost of one request of the loop with a server that answers
-// at once: time and allocations, one request at a time.
+// BenchmarkLoop measures the time and allocations of one request through the loop, with a
+// server that answers immediately and one request at a time.
 func BenchmarkLoop(b *testing.B) {
 	l, err := New(Options{Settings: settings(), Seed: 1, Clock: NewClock(), Watch: func() {}, Drop: func(Server) {}})
 	if err != nil {
@@ -28,7 +28,7 @@
 	for i := range names {
 		names[i] = fmt.Sprint(i)
 	}
-	m := &answering{}
+	m := &okMessage{}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -40,9 +40,9 @@
 	}
 }
 
-type answering struct{}
+type okMessage struct{}
 
-func (answering) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (okMessage) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
 	turn.Begin()
 	return Reply{Status: policy.OK}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,11 @@
-// Package core drives one Balancer for one pool of servers: requests, attempts,
-// timers and members. It knows no protocol: a front hands it requests with a way to make
-// one attempt at one server, and gets one final answer for each. Pools share nothing.
+// Package core drives one policy.Balancer for one pool of servers: requests, attempts,
+// timers and pool membership. It is protocol-independent: a front submits requests together
+// with a way to make one attempt at one server, and gets exactly one final answer for each.
+// Pools share no state.
 //
-// A Machine is stepped with times and events and returns what is to be done; a Loop is
-// the goroutine, the clock and the attempts round one.
+// A Machine is a deterministic state machine: it takes timestamped events and returns the
+// actions to perform. A Loop runs a Machine on a goroutine with a real clock and makes the
+// attempts.
 package core
 
 import (
@@ -13,76 +15,79 @@
 	"otterstep/policy"
 )
 
-// Deadlines. A client counts its time from when it sent, so the module is told
-// somewhat less; the backstop stands between the module's end and the client's.
+// Deadline margins. A client's deadline runs from when it sent the request, so the decision
+// module is given slightly less time; the backstop fires between the module's deadline and
+// the client's.
 const (
 	clientMargin   = 12 * time.Millisecond
 	backstopMargin = 4 * time.Millisecond
 )
 
-// Kind tells how a request ended for its client.
+// Kind is how a request ended for its client.
 type Kind uint8
 
-// The ends of a request.
+// The ways in which a request can end.
 const (
 	Served Kind = iota
 	Refused
 	Failed
-	Overdue   // failed because the time was up
-	Duplicate // its name is that of another request
-	Left      // its client went away; there is no answer
-	Kinds     // how many there are
+	Overdue   // failed because its deadline passed
+	Duplicate // another request has the same name
+	Left      // the client disconnected; there is no answer
+	Kinds     // number of kinds
 )
 
-// String words a kind as operators see it.
+// String returns the kind as it appears in metrics and operator output.
 func (k Kind) String() string {
 	return [Kinds]string{"served", "refused", "failed", "overdue", "duplicate", "left"}[k]
 }
 
-// Answer is the one final answer of a request.
+// Answer is the single final answer to a request.
 type Answer struct {
 	Kind       Kind
 	RetryAfter time.Duration // Refused
-	Body       any           // Served: the Reply's
+	Body       any           // Served: Reply.Body
 }
 
-// Server is one life of a server. A front's connections go by it, not by the
-// address: a new server may stand at the address of one that has gone, and must not
-// be sent what was left of the old one's connections.
+// Server is one incarnation of a server process. Fronts key their connections by it rather
+// than by address: a new server may take over the address of a removed one, and must not be
+// reached over the old one's connections.
 type Server struct {
 	ID      policy.ServerID
 	Addr    string
 	Started time.Duration
 }
 
-// Reply is what came of an attempt.
+// Reply is the result of an attempt.
 type Reply struct {
 	Status   policy.Status
-	Body     any  // OK: what the front will pass on
-	Rejected bool // the server can't use the request
-	// Spent tells that no further attempt can be made, as the request's body has gone by.
+	Body     any  // OK: what the front forwards to the client
+	Rejected bool // the server rejected the request as invalid
+	// Spent is set if no further attempt can be made because the request's body was streamed
+	// and is no longer available.
 	Spent bool
 }
 
-// Message is what a front was asked to do, and how it asks a server. It does not
-// change once it is handed over.
+// Message is a front's representation of a request, which knows how to make an attempt at a
+// server. It is immutable once submitted.
 type Message interface {
-	// Attempt makes one attempt and gives up when ctx ends, or at end at the latest,
-	// however late its goroutine comes to run. turn.Begin is asked right before the first byte; if it says no, nothing may
-	// go out. The status tells whether the request may have run. It is called on a
-	// goroutine of its own, perhaps several times at once.
+	// Attempt makes one attempt and gives up when ctx is done, or at end at the latest,
+	// however late its goroutine is scheduled. turn.Begin must be called right before the
+	// first byte is written; if it returns false, nothing may be sent. The status says whether
+	// the server may have processed the request. Attempt is called on its own goroutine,
+	// possibly several times concurrently.
 	Attempt(ctx context.Context, to Server, end time.Time, turn Turn) Reply
 }
 
-// Request is a client's request as a front hands it over.
+// Request is a client's request as submitted by a front.
 type Request struct {
-	policy.Request // ID and Left are the core's to set
-	// Name is taken once: a second request of a name that is or lately was in use ends
-	// as Duplicate.
+	policy.Request // ID and Left are set by this package
+	// Name must be unique: a second request with a name that is in use, or was recently,
+	// ends as Duplicate.
 	Name     string
-	Deadline time.Duration // module's time: the client gives up
+	Deadline time.Duration // when the client gives up, in the pool's clock
 	Message  Message
-	Answers  chan<- Answer // of a Loop: room for the one answer
-	// While policy.Request.Coming holds, Deadline bounds the wait for a server only: an
-	// attempt that has one goes on for as long as the client sends, and tells Sent.
+	Answers  chan<- Answer // for a Loop: must have room for the answer
+	// While policy.Request.Coming is set, Deadline bounds only the wait for a server: an
+	// attempt that has one continues for as long as the client sends, and then calls Sent.
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -21,13 +21,13 @@
 	return s
 }
 
-// start runs a loop in a bubble until the test's end, with ready servers 1 to n.
+// start runs a loop with ready servers 1 to n until stop is called.
 func start(t *testing.T, seed uint64, n int) (l *Loop, stop func()) {
 	t.Helper()
 	return startWith(t, seed, n, func(*policy.Settings) {})
 }
 
-// startWith is start with other settings.
+// startWith is start with changed settings.
 func startWith(t *testing.T, seed uint64, n int, change func(*policy.Settings)) (l *Loop, stop func()) {
 	t.Helper()
 	set := settings()
@@ -51,15 +51,15 @@
 	}
 }
 
-// message is a front's in no protocol at all: attempt plays a server.
-type message struct {
+// testMessage is a Message without a protocol: the attempt function stands in for the server.
+type testMessage struct {
 	mu      sync.Mutex
 	begun   []Server
-	ran     int // attempts that have run at their server, or may have
+	ran     int // attempts that their server processed, or may have
 	attempt func(ctx context.Context, to Server, wait time.Duration) (policy.Status, bool)
 }
 
-func (m *message) Attempt(ctx context.Context, to Server, end time.Time, turn Turn) Reply {
+func (m *testMessage) Attempt(ctx context.Context, to Server, end time.Time, turn Turn) Reply {
 	if !turn.Begin() {
 		return Reply{Status: policy.Moot}
 	}
@@ -75,13 +75,13 @@
 	return Reply{Status: status, Body: to.Addr}
 }
 
-// says answers at once with one status.
-func says(s policy.Status) func(context.Context, Server, time.Duration) (policy.Status, bool) {
+// respondWith returns an attempt function that answers immediately with the given status.
+func respondWith(s policy.Status) func(context.Context, Server, time.Duration) (policy.Status, bool) {
 	return func(context.Context, Server, time.Duration) (policy.Status, bool) { return s, s == policy.OK }
 }
 
-// Whatever servers do and clients put up with: each request ends once, in its time;
-// an unsafe one runs once at most, and one that has run is not refused.
+// With random server failures and clients that disconnect, each request ends exactly once and
+// within its deadline; an unsafe one runs at most once, and one that has run is not refused.
 func TestEachRequestEndsOnce(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -98,7 +98,7 @@
 				var clients sync.WaitGroup
 				for n := range 150 {
 					time.Sleep(time.Duration(chance(20)) * time.Millisecond)
-					m := &message{attempt: func(ctx context.Context, _ Server, wait time.Duration) (policy.Status, bool) {
+					m := &testMessage{attempt: func(ctx context.Context, _ Server, wait time.Duration) (policy.Status, bool) {
 						select {
 						case <-time.After(time.Duration(chance(60)) * time.Millisecond):
 						case <-ctx.Done():
@@ -131,7 +131,7 @@
 						Deadline: l.Clock().Now() + left, Message: m, Answers: answers,
 					})
 					if !ok {
-						t.Fatal("not taken")
+						t.Fatal("request not accepted")
 					}
 					clients.Go(func() {
 						if leaves {
@@ -157,7 +157,7 @@
 							t.Errorf("%d: an unsafe request ran %d times and ended as %v", n, m.ran, a.Kind)
 						}
 						if a.Kind == Served && a.Body == nil {
-							t.Errorf("%d: served nothing", n)
+							t.Errorf("%d: served without a body", n)
 						}
 					})
 				}
@@ -173,51 +173,51 @@
 					}
 				}
 				if ends != 150 {
-					t.Errorf("%d ends were counted, want 150", ends)
+					t.Errorf("%d ended requests were counted, want 150", ends)
 				}
 			})
 		})
 	}
 }
 
-// ask hands a request over and waits for its end.
-func ask(t *testing.T, l *Loop, name string, class int, m Message) Answer {
+// submitAndWait submits a request and waits for its answer.
+func submitAndWait(t *testing.T, l *Loop, name string, class int, m Message) Answer {
 	t.Helper()
 	answers := make(chan Answer, 1)
 	if _, ok := l.Submit(Request{
 		Request: policy.Request{Class: class}, Name: name, Deadline: l.Clock().Now() + time.Second, Message: m, Answers: answers,
 	}); !ok {
-		t.Fatal("not taken")
+		t.Fatal("request not accepted")
 	}
 	return <-answers
 }
 
-func TestNamesAreTakenOnce(t *testing.T) {
+func TestDuplicateNamesAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, stop := start(t, 1, 1)
 		defer stop()
-		m := &message{attempt: says(policy.OK)}
-		if a := ask(t, l, "x", 0, m); a.Kind != Served || a.Body != "server 1" {
+		m := &testMessage{attempt: respondWith(policy.OK)}
+		if a := submitAndWait(t, l, "x", 0, m); a.Kind != Served || a.Body != "server 1" {
 			t.Errorf("first: %+v", a)
 		}
-		if a := ask(t, l, "x", 0, m); a.Kind != Duplicate || len(m.begun) != 1 {
+		if a := submitAndWait(t, l, "x", 0, m); a.Kind != Duplicate || len(m.begun) != 1 {
 			t.Errorf("second: %+v, %d attempts", a, len(m.begun))
 		}
 		time.Sleep(time.Minute)
-		if a := ask(t, l, "x", 0, m); a.Kind != Served {
+		if a := submitAndWait(t, l, "x", 0, m); a.Kind != Served {
 			t.Errorf("a minute later: %+v", a)
 		}
 	})
 }
 
-// A request that the server can't use is at fault itself: it fails at once, goes
-// nowhere else, and is not held against the server.
+// A request that a server rejects as invalid fails immediately, is not retried, and does not
+// count against the server.
 func TestRejectedRequestsFailAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, stop := start(t, 1, 3)
 		defer stop()
 		for n := range 10 {
-			if a := ask(t, l, fmt.Sprint(n), 0, rejecting{}); a.Kind != Failed {
+			if a := submitAndWait(t, l, fmt.Sprint(n), 0, rejectedMessage{}); a.Kind != Failed {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -233,38 +233,38 @@
 	})
 }
 
-type rejecting struct{}
+type rejectedMessage struct{}
 
-func (rejecting) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (rejectedMessage) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
 	turn.Begin()
 	return Reply{Status: policy.Error, Rejected: true}
 }
 
-// Nothing begins at a server once the loop has given the attempt up.
-func TestGivenUpAttemptsNeverBegin(t *testing.T) {
+// No attempt begins at a server once the loop has abandoned it.
+func TestAbandonedAttemptsNeverBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, stop := start(t, 1, 1)
 		defer stop()
-		m := &late{began: make(chan bool, 1)}
-		if a := ask(t, l, "x", 2, m); a.Kind != Refused {
-			t.Errorf("ended as %v, want a refusal, as nothing was sent", a.Kind)
+		m := &slowConnect{began: make(chan bool, 1)}
+		if a := submitAndWait(t, l, "x", 2, m); a.Kind != Refused {
+			t.Errorf("ended as %v, want a refusal because nothing was sent", a.Kind)
 		}
 		if <-m.began {
-			t.Error("it began after the client's time")
+			t.Error("the attempt began after the client's deadline")
 		}
 	})
 }
 
-// late takes long to connect, whatever its context says.
-type late struct{ began chan bool }
+// slowConnect is slow to connect and ignores its context.
+type slowConnect struct{ began chan bool }
 
-func (m *late) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *slowConnect) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
 	time.Sleep(3 * time.Second)
 	m.began <- turn.Begin()
 	return Reply{Status: policy.Moot}
 }
 
-func TestServersThatAreGoneAreDropped(t *testing.T) {
+func TestRemovedServersAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dropped []string
 		l, err := New(Options{Settings: settings(), Clock: NewClock(), Watch: func() {}, Drop: func(s Server) { dropped = append(dropped, s.Addr) }})
@@ -289,7 +289,7 @@
 	})
 }
 
-func TestStoppedLoopTakesNothing(t *testing.T) {
+func TestStoppedLoopAcceptsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, stop := start(t, 1, 1)
 		stop()
@@ -299,14 +299,14 @@
 			}
 		}
 		if _, err := l.Inspect(t.Context()); err == nil {
-			t.Error("it was inspected")
+			t.Error("a stopped loop was inspected")
 		}
 		l.Members(policy.ListFull, nil, nil) // must return
 	})
 }
 
-// What a server lets know early reaches the module, until the attempt is over.
-func TestTurnsTellTheModule(t *testing.T) {
+// Taken and Started reach the decision module until the attempt is over.
+func TestTurnEventsReachTheModule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := settings()
 		set.Classes[2].Parked = true
@@ -319,10 +319,10 @@
 		go l.Run(ctx)
 		l.Members(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{"a"})
 		for n := range 3 {
-			m := &ringing{taken: make(chan Turn, 1), answer: make(chan struct{})}
+			m := &turnReporter{turns: make(chan Turn, 1), answer: make(chan struct{})}
 			answers := make(chan Answer, 1)
 			l.Submit(Request{Request: policy.Request{Class: 2}, Name: fmt.Sprint(n), Deadline: l.Clock().Now() + time.Second, Message: m, Answers: answers})
-			turn := <-m.taken // the next one is sent only because this one is no load
+			turn := <-m.turns // the next request is sent only if this one counts as no load
 			turn.Taken()
 			turn.Started()
 			if n < 2 {
@@ -331,7 +331,7 @@
 			}
 			close(m.answer)
 			<-answers
-			turn.Started() // over: it says nothing any more
+			turn.Started() // the attempt is over: has no effect
 		}
 		v, err := l.Inspect(t.Context())
 		if err != nil || v.Servers[0].InFlight != 0 || v.Servers[0].Judged != 3 || v.Out != 0 || v.Requests != 2 {
@@ -340,45 +340,44 @@
 	})
 }
 
-// ringing lets the test ring and answer.
-type ringing struct {
-	taken  chan Turn
+// turnReporter passes its Turn to the test and answers when the test says so.
+type turnReporter struct {
+	turns  chan Turn
 	answer chan struct{}
 }
 
-func (m *ringing) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *turnReporter) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
 	turn.Begin()
-	m.taken <- turn
+	m.turns <- turn
 	<-m.answer
 	return Reply{Status: policy.OK}
 }
 
-// What happened: beside busy loops a server was told 11 ms more than its client had left (node's
-// TestToldTimeIsWhatIsLeft). Why: an attempt was handed the time that was left when it was decided on, and counted it
-// from the moment at which its goroutine came to run. Now it is handed the moment at which it ends. The goroutine is
-// held back here for 300 ms.
-func TestLateGoroutineHasNoMoreTime(t *testing.T) {
+// An attempt is given the time at which it ends, not the time left. When it was given the time left, it counted that from
+// the moment at which its goroutine was scheduled, and beside busy loops a server was told 11 ms more than its client had
+// left (TestToldTimeIsWhatIsLeft in package node). The goroutine is delayed here by 300 ms.
+func TestDelayedGoroutineKeepsItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, err := New(Options{Settings: settings(), Clock: NewClock(), Watch: func() {}, Drop: func(Server) {}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := l.clock.Now()
-		l.machine.Members(now, policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{"a"})
+		l.machine.UpdateServers(now, policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{"a"})
 		left := time.Duration(0)
-		m := &message{attempt: func(_ context.Context, _ Server, wait time.Duration) (policy.Status, bool) {
+		m := &testMessage{attempt: func(_ context.Context, _ Server, wait time.Duration) (policy.Status, bool) {
 			left = wait
 			return policy.OK, true
 		}}
 		l.machine.Submit(now, Request{Name: "r", Deadline: now + time.Second, Message: m, Answers: make(chan Answer, 1)})
 		for _, a := range l.machine.Actions() {
-			if a.Act == Start {
-				time.Sleep(300 * time.Millisecond) // the bubble's clock
-				l.attempt(t.Context(), a.Attempt)
+			if a.Kind == ActionStart {
+				time.Sleep(300 * time.Millisecond) // virtual time in the synctest bubble
+				l.runAttempt(t.Context(), a.Attempt)
 			}
 		}
 		if left <= 0 || left > 700*time.Millisecond {
-			t.Errorf("an attempt that starts 300 ms late has %v of a second", left)
+			t.Errorf("an attempt that starts 300 ms late has %v of 1 s left", left)
 		}
 	})
 }
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -10,21 +10,20 @@
 	"otterstep/policy"
 )
 
-// gated is a message whose attempts are still connecting until the gate opens; then they ask whether they
-// may begin.
-type gated struct {
+// gatedMessage is a message whose attempts stay in the connecting state until the gate opens; then they call Begin.
+type gatedMessage struct {
 	connecting chan struct{}
 	gate       chan struct{}
 	begun      chan bool
 }
 
-func newGated() *gated {
-	return &gated{make(chan struct{}, 8), make(chan struct{}), make(chan bool, 8)}
+func newGatedMessage() *gatedMessage {
+	return &gatedMessage{make(chan struct{}, 8), make(chan struct{}), make(chan bool, 8)}
 }
 
-func (m *gated) Attempt(ctx context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *gatedMessage) Attempt(ctx context.Context, _ Server, _ time.Time, turn Turn) Reply {
 	m.connecting <- struct{}{}
-	<-m.gate // whatever ctx says: a connect that comes up in the same instant
+	<-m.gate // ignores ctx: the connection is established at the moment of cancellation
 	began := turn.Begin()
 	m.begun <- began
 	if !began {
@@ -34,9 +33,10 @@
 	return Reply{Status: policy.Cancelled}
 }
 
-// Guards rule 1 at a node's end: the kill comes at a time that no client's deadline moves, so that requests
-// that were taken before the node was told are due ahead of it as well, whatever state they are in.
-func TestEndingCutsOpenRequests(t *testing.T) {
+// No request may be lost when a node shuts down: the process is killed at a fixed time that no client's deadline
+// extends, so requests accepted before the shutdown was announced are answered before it too, whatever state they
+// are in.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, stop := startWith(t, 1, 2, func(s *policy.Settings) {
 			for i := range s.Classes {
@@ -51,36 +51,36 @@
 		}
 		var all []chan Answer
 		began := time.Now()
-		for n := range 60 { // of each class; most of them wait for room
+		for n := range 60 { // of all classes; most of them are queued
 			answers := make(chan Answer, 1)
 			all = append(all, answers)
 			l.Submit(Request{
 				Request: policy.Request{Class: n % 3, Key: uint64(n)}, Name: fmt.Sprint(n),
-				Deadline: l.Clock().Now() + time.Hour, Message: &message{attempt: silent}, Answers: answers,
+				Deadline: l.Clock().Now() + time.Hour, Message: &testMessage{attempt: silent}, Answers: answers,
 			})
 		}
 		const due = 3600 * time.Millisecond
 		l.EndIn(due)
 		for n, answers := range all {
 			if a := <-answers; a.Kind == Served {
-				t.Errorf("%d: served, though no server answers", n)
+				t.Errorf("%d: served although no server answers", n)
 			}
 		}
 		if took := time.Since(began); took > due {
-			t.Errorf("the last answer came after %v, the end was due after %v", took, due)
+			t.Errorf("the last answer came after %v, the shutdown is due after %v", took, due)
 		}
 	})
 }
 
-// Guards against work for clients that are gone: an attempt that is still connecting when its client leaves
-// never begins, also where the settings let no attempt be cancelled.
-func TestNothingBeginsBehindALeaving(t *testing.T) {
+// Guards against work for disconnected clients: an attempt that is still connecting when its client leaves never
+// begins, even if the settings forbid cancelling attempts.
+func TestNoAttemptBeginsAfterClientIsGone(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for class := range 3 {
 			synctest.Test(t, func(t *testing.T) {
 				l, stop := startWith(t, 1, 2, func(s *policy.Settings) { s.Limits.Cancel = cancel })
 				defer stop()
-				m := newGated()
+				m := newGatedMessage()
 				ticket, _ := l.Submit(Request{
 					Request: policy.Request{Class: class}, Name: "a",
 					Deadline: l.Clock().Now() + 2*time.Second, Message: m, Answers: make(chan Answer, 1),
@@ -90,16 +90,17 @@
 				synctest.Wait()
 				close(m.gate)
 				if <-m.begun {
-					t.Errorf("class %d, cancel %v: the attempt began behind its client's leaving", class, cancel)
+					t.Errorf("class %d, cancel %v: the attempt began after its client had left", class, cancel)
 				}
 			})
 		}
 	}
 }
 
-// Guards rule 3 while an attempt connects: once its server is told to drain, is gone, has restarted or stands elsewhere,
-// the attempt never begins there, however late its connection comes up, and the request is served by another server.
-func TestNothingBeginsAtAServerThatHasLeft(t *testing.T) {
+// Drains must be kept while an attempt connects: once its server is listed as draining or gone, has restarted or has
+// moved to another address, the attempt never begins there, however late the connection is established, and the request
+// goes to another server.
+func TestNoAttemptBeginsAtRemovedServer(t *testing.T) {
 	for name, change := range map[string]func(*policy.Entry, *string) policy.ListKind{
 		"drains":        func(e *policy.Entry, _ *string) policy.ListKind { e.State = policy.Draining; return policy.ListDelta },
 		"is gone":       func(e *policy.Entry, _ *string) policy.ListKind { e.State = policy.Gone; return policy.ListDelta },
@@ -111,7 +112,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				l, stop := startWith(t, 1, 1, func(*policy.Settings) {})
 				defer stop()
-				answers, m := make(chan Answer, 1), newGated()
+				answers, m := make(chan Answer, 1), newGatedMessage()
 				l.Submit(Request{
 					Request: policy.Request{Class: 2}, Name: "a",
 					Deadline: l.Clock().Now() + 2*time.Second, Message: m, Answers: answers,
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -9,20 +9,20 @@
 	"otterstep/policy"
 )
 
-// Options are what a Loop is made of.
+// Options configure a Loop.
 type Options struct {
 	Settings policy.Settings
 	Seed     uint64
 	Clock    Clock
-	// Watch asks for a watch of the server list; it must not block.
+	// Watch requests a watch of the server list; it must not block.
 	Watch func()
-	// Drop is told of a server that is gone, or that is no longer the process or at the
-	// address that it was; it must not block.
+	// Drop is called for a server that was removed, restarted or moved to another address;
+	// it must not block.
 	Drop func(Server)
 }
 
-// Loop is the driver of a Machine: one goroutine steps it by the clock, everything else
-// posts events; attempts run on goroutines of their own.
+// Loop drives a Machine: one goroutine steps it by the clock, all others post events to
+// that goroutine, and each attempt runs on its own goroutine.
 type Loop struct {
 	clock   Clock
 	watch   func()
@@ -32,7 +32,7 @@
 	machine *Machine
 }
 
-// New makes a loop; Run runs it. An impossible setting gives an error that names it.
+// New creates a loop; call Run to start it. An invalid setting gives an error that names it.
 func New(o Options) (*Loop, error) {
 	m, err := NewMachine(o.Settings, o.Seed)
 	if err != nil {
@@ -44,55 +44,56 @@
 	}, nil
 }
 
-// Ticket stands for a request that was handed over.
+// Ticket identifies a submitted request.
 type Ticket struct{ request *Pending }
 
-// Turn is what a front needs of the loop for one attempt. Its methods may be called on
-// any goroutine.
+// Turn is a front's handle on one attempt. Its methods may be called on any goroutine.
 type Turn struct {
 	loop    *Loop
 	attempt *Attempt
 }
 
-// Begin claims the right to write the request; false once the loop gave the attempt up.
+// Begin claims the right to write the request; it returns false once the loop has abandoned
+// the attempt.
 func (t Turn) Begin() bool { return t.attempt.Begin() }
 
-// Pass claims the right to give the client the answer while it comes; see Attempt.Pass.
+// Pass claims the right to relay the answer to the client as it arrives; see
+// Attempt.ClaimAnswer.
 func (t Turn) Pass() bool {
-	if !t.attempt.Pass() {
+	if !t.attempt.ClaimAnswer() {
 		return false
 	}
-	t.loop.post(func() { t.loop.machine.Passed(t.loop.clock.Now(), t.attempt) })
+	t.loop.post(func() { t.loop.machine.AnswerClaimed(t.loop.clock.Now(), t.attempt) })
 	return true
 }
 
-// Sent is Machine.Sent.
+// Sent posts Machine.RequestSent.
 func (t Turn) Sent(left time.Duration) {
-	t.loop.post(func() { t.loop.machine.Sent(t.loop.clock.Now(), t.attempt, left) })
+	t.loop.post(func() { t.loop.machine.RequestSent(t.loop.clock.Now(), t.attempt, left) })
 }
 
-// Taken is Machine.Taken.
+// Taken posts Machine.Accepted.
 func (t Turn) Taken() {
-	t.loop.post(func() { t.loop.machine.Taken(t.loop.clock.Now(), t.attempt) })
+	t.loop.post(func() { t.loop.machine.Accepted(t.loop.clock.Now(), t.attempt) })
 }
 
-// Started is Machine.Started.
+// Started posts Machine.StreamStarted.
 func (t Turn) Started() {
-	t.loop.post(func() { t.loop.machine.Started(t.loop.clock.Now(), t.attempt) })
+	t.loop.post(func() { t.loop.machine.StreamStarted(t.loop.clock.Now(), t.attempt) })
 }
 
-// Clock gives the module's clock.
+// Clock returns the pool's clock.
 func (l *Loop) Clock() Clock { return l.clock }
 
-// Stopped is closed once Run has returned: what is handed over from then on gets no
-// answer.
+// Stopped returns a channel that is closed once Run has returned: requests submitted after
+// that get no answer.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Members hands over a list of servers or changes to it, with the entries' addresses,
-// and returns once it is in place.
+// Members applies a server list, or changes to it, with the entries' addresses, and returns
+// once it is in effect.
 func (l *Loop) Members(kind policy.ListKind, entries []policy.Entry, addrs []string) {
 	placed := make(chan struct{})
-	if l.post(func() { l.machine.Members(l.clock.Now(), kind, entries, addrs); close(placed) }) {
+	if l.post(func() { l.machine.UpdateServers(l.clock.Now(), kind, entries, addrs); close(placed) }) {
 		select {
 		case <-placed:
 		case <-l.stopped:
@@ -100,10 +101,10 @@
 	}
 }
 
-// Cordon leaves a server out by hand, or lets it serve again as called at the given time, and
-// returns once that is in place; an error tells that it may not be.
+// Cordon takes a server out of service on an operator's request, or puts it back with called
+// as the time of that request. It returns once this is in effect; on an error it may not be.
 func (l *Loop) Cordon(ctx context.Context, id policy.ServerID, out bool, called time.Duration) error {
-	return l.do(ctx, func() {
+	return l.postAndWait(ctx, func() {
 		if out {
 			l.machine.Cordon(l.clock.Now(), id)
 		} else {
@@ -112,29 +113,31 @@
 	})
 }
 
-// Pass gives what the module has learnt to another process of the same node.
+// Pass returns what the decision module has learnt, for another process of the same node
+// that takes over.
 func (l *Loop) Pass(ctx context.Context) (mem policy.Memory, err error) {
-	err = l.do(ctx, func() { mem = l.machine.Pass(l.clock.Now()) })
+	err = l.postAndWait(ctx, func() { mem = l.machine.HandOver(l.clock.Now()) })
 	return mem, err
 }
 
-// Learnt gives what the module has learnt, to be kept, and changes nothing.
+// Learnt returns a copy of what the decision module has learnt, to be persisted. It does not
+// change the module's state.
 func (l *Loop) Learnt(ctx context.Context) (mem policy.Memory, err error) {
-	err = l.do(ctx, func() { mem = l.machine.Learnt(l.clock.Now()) })
+	err = l.postAndWait(ctx, func() { mem = l.machine.Learned(l.clock.Now()) })
 	return mem, err
 }
 
-// Recall takes over what another process of the same node has learnt.
+// Recall restores what another process of the same node has learnt.
 func (l *Loop) Recall(ctx context.Context, mem policy.Memory) (err error) {
 	var bad error
-	if err := l.do(ctx, func() { bad = l.machine.Recall(l.clock.Now(), mem) }); err != nil {
+	if err := l.postAndWait(ctx, func() { bad = l.machine.Restore(l.clock.Now(), mem) }); err != nil {
 		return err
 	}
 	return bad
 }
 
-// do has the loop handle an event and returns once it has.
-func (l *Loop) do(ctx context.Context, event func()) error {
+// postAndWait posts an event and waits until the loop has handled it.
+func (l *Loop) postAndWait(ctx context.Context, event func()) error {
 	done := make(chan struct{})
 	select {
 	case l.events <- func() { event(); close(done) }:
@@ -153,33 +156,34 @@
 	}
 }
 
-// Share tells that this process is only a part of its node; see policy.Balancer.Share.
+// Share sets the share of its node's traffic that this process gets; see
+// policy.Balancer.Share.
 func (l *Loop) Share(part float64) {
-	l.post(func() { l.machine.Share(l.clock.Now(), part) })
+	l.post(func() { l.machine.SetNodePart(l.clock.Now(), part) })
 }
 
-// Submit hands a request over; false once the loop has stopped. The answer comes on
-// the request's channel, exactly once, unless Leave comes first.
+// Submit submits a request; it returns false once the loop has stopped. The answer is sent
+// on the request's channel exactly once, unless Leave is called first.
 func (l *Loop) Submit(q Request) (*Ticket, bool) {
 	t := &Ticket{}
 	return t, l.post(func() { t.request = l.machine.Submit(l.clock.Now(), q) })
 }
 
-// Leave tells that a request's client went away.
+// Leave reports that a request's client has disconnected.
 func (l *Loop) Leave(t *Ticket) {
-	l.post(func() { l.machine.Left(l.clock.Now(), t.request) })
+	l.post(func() { l.machine.ClientGone(l.clock.Now(), t.request) })
 }
 
-// EndIn tells that the pool ends after d: answers are due by then.
+// EndIn announces that the pool shuts down after d: all answers are due by then.
 func (l *Loop) EndIn(d time.Duration) {
-	l.post(func() { l.machine.EndIn(l.clock.Now(), d) })
+	l.post(func() { l.machine.ShutDownIn(l.clock.Now(), d) })
 }
 
-// Inspect has the loop copy its state as one event among the others, at a cost that
-// grows with the listed servers only.
+// Inspect returns a copy of the loop's state, taken as one event among the others. Its cost
+// is proportional to the number of listed servers.
 func (l *Loop) Inspect(ctx context.Context) (View, error) {
 	var v View
-	err := l.do(ctx, func() { v = l.machine.Inspect(l.clock.Now()) })
+	err := l.postAndWait(ctx, func() { v = l.machine.Inspect(l.clock.Now()) })
 	if err != nil {
 		return View{}, err
 	}
@@ -188,7 +192,7 @@
 
 var errStopped = errors.New("the loop has stopped")
 
-// Run handles events until ctx ends. What is out then is given up.
+// Run handles events until ctx is done; attempts in flight are then cancelled.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.stopped)
 	wake := time.NewTimer(0)
@@ -196,17 +200,17 @@
 	for {
 		select {
 		case <-ctx.Done():
-			for _, a := range l.machine.Out() {
-				a.end()
+			for _, a := range l.machine.InFlight() {
+				a.stop()
 			}
 			return
 		case event := <-l.events:
 			event()
-			l.carryOut()
+			l.performActions()
 		case <-wake.C:
 		}
 		for l.machine.Tick(l.clock.Now()) {
-			l.carryOut()
+			l.performActions()
 		}
 		if due, ok := l.machine.Due(); ok {
 			wake.Reset(due - l.clock.Now())
@@ -214,7 +218,7 @@
 	}
 }
 
-// post hands an event to the loop; false once it has stopped.
+// post queues an event for the loop; it returns false once the loop has stopped.
 func (l *Loop) post(event func()) bool {
 	select {
 	case l.events <- event:
@@ -224,35 +228,35 @@
 	}
 }
 
-// carryOut does what the Machine says. Nothing here waits.
-func (l *Loop) carryOut() {
+// performActions performs the Machine's pending actions. It never blocks.
+func (l *Loop) performActions() {
 	for _, a := range l.machine.Actions() {
-		switch a.Act {
-		case Start:
+		switch a.Kind {
+		case ActionStart:
 			ctx, cancel := context.WithCancel(context.Background())
-			a.Attempt.driver = cancel
-			go l.attempt(ctx, a.Attempt)
-		case End:
-			a.Attempt.end()
-		case Respond:
+			a.Attempt.cancel = cancel
+			go l.runAttempt(ctx, a.Attempt)
+		case ActionEnd:
+			a.Attempt.stop()
+		case ActionRespond:
 			a.Pending.Answers <- a.Answer
-		case Watch:
+		case ActionWatch:
 			l.watch()
-		case Drop:
+		case ActionDrop:
 			l.drop(a.Server)
 		}
 	}
 }
 
-// end stops an attempt's goroutine, if it ever had one.
-func (a *Attempt) end() {
-	if a.driver != nil {
-		a.driver()
+// stop cancels the context of an attempt's goroutine, if one was started.
+func (a *Attempt) stop() {
+	if a.cancel != nil {
+		a.cancel()
 	}
 }
 
-// attempt makes one attempt on a goroutine of its own.
-func (l *Loop) attempt(ctx context.Context, a *Attempt) {
+// runAttempt makes one attempt and reports its result. It runs on its own goroutine.
+func (l *Loop) runAttempt(ctx context.Context, a *Attempt) {
 	p := a.Message.Attempt(ctx, a.To, l.clock.Wall(a.End), Turn{l, a})
 	at := l.clock.Now()
 	l.post(func() { l.machine.Finished(l.clock.Now(), a, p, at) })
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -12,34 +12,34 @@
 	"otterstep/policy"
 )
 
-// Pending is a client's request while the Machine owes something for it or an attempt
-// of it is out. Only who steps the Machine touches it.
+// Pending is a client's request that is unanswered or has attempts in flight. Except for
+// claimed, it is accessed only by the goroutine that steps the Machine.
 type Pending struct {
-	Answers chan<- Answer // as the request had it
-
-	id       policy.RequestID
-	message  Message // nil once nothing more will be sent
-	class    int
-	end      time.Duration // attempts are given up
-	deadline time.Duration // the client's
-	late     time.Duration // an answer from then on is late; 0: none is
-	coming   bool          // its end is on its way from the client
-	answered bool
-	attempts []*Attempt
-	out      int
-	// claimed is set by whoever gives the one final answer: the Machine, or the attempt
-	// whose answer goes to the client while it comes.
+	Answers chan<- Answer // Request.Answers
+
+	id              policy.RequestID
+	message         Message // nil once nothing more will be sent
+	class           int
+	attemptDeadline time.Duration // when attempts are abandoned
+	deadline        time.Duration // when the client gives up
+	lateFrom        time.Duration // answers from this time on miss the class's aim; 0: no aim
+	uploading       bool          // the request is still being received from the client
+	answered        bool
+	attempts        []*Attempt
+	inFlight        int
+	// claimed is set by whoever gives the final answer: the Machine, or the attempt whose
+	// answer is relayed to the client as it arrives.
 	claimed atomic.Bool
 }
 
-// The phases of an attempt's write. They are shared with its goroutine, so that
-// nothing goes out after the Machine has given the attempt up, and the Machine knows
-// whether anything may have.
+// The phases of an attempt. They are shared with the attempt's goroutine, so that nothing is
+// sent after the Machine has abandoned the attempt, and the Machine knows whether anything
+// may have been sent.
 const (
-	unsent int32 = iota
-	writing
-	passing // its answer goes to the client: it ends by itself
-	abandoned
+	phaseUnsent int32 = iota
+	phaseWriting
+	phaseRelaying // its answer is being relayed to the client; the Machine does not end it
+	phaseAbandoned
 )
 
 // Attempt is one attempt at one server.
@@ -47,51 +47,52 @@
 	Pending *Pending
 	Message Message
 	To      Server
-	End     time.Duration // it is given up then at the latest
+	End     time.Duration // it is abandoned then at the latest
 
 	index  int
 	server policy.ServerID
 	sent   time.Duration
 	phase  atomic.Int32
-	over   bool               // its outcome was told; what still comes is dropped
-	driver context.CancelFunc // ends it: the Loop's
+	ended  bool               // its outcome was reported; later events are ignored
+	cancel context.CancelFunc // cancels its goroutine; set by the Loop
 }
 
-// Begin claims the right to write the request; false once the Machine gave it up. It
-// may be called on any goroutine.
-func (a *Attempt) Begin() bool { return a.phase.CompareAndSwap(unsent, writing) }
+// Begin claims the right to write the request; it returns false once the Machine has
+// abandoned the attempt. It may be called on any goroutine.
+func (a *Attempt) Begin() bool { return a.phase.CompareAndSwap(phaseUnsent, phaseWriting) }
 
-// Pass claims the right to give the client this attempt's answer while it comes, from its
-// first byte on: it is the request's one final answer, and the client's time is no limit to
-// it any more. It is false once the Machine gave the attempt up, or the request was
-// answered otherwise; then none of it may go to the client. Begin comes first. It may be
-// called on any goroutine; tell Passed next.
-func (a *Attempt) Pass() bool {
-	return a.phase.CompareAndSwap(writing, passing) && !a.Pending.claimed.Swap(true)
+// ClaimAnswer claims the right to relay this attempt's answer to the client as it arrives, from the
+// first byte on: it becomes the request's final answer, and the client's deadline no longer
+// applies to it. ClaimAnswer returns false if the Machine has abandoned the attempt or the request
+// has another answer; then none of this answer may reach the client. Begin must have been
+// called before, and Machine.AnswerClaimed must be called next. ClaimAnswer may be called on any
+// goroutine.
+func (a *Attempt) ClaimAnswer() bool {
+	return a.phase.CompareAndSwap(phaseWriting, phaseRelaying) && !a.Pending.claimed.Swap(true)
 }
 
-// Act is a kind of action.
-type Act uint8
+// ActionKind is a kind of action.
+type ActionKind uint8
 
-// The actions. Each Start is followed by one End.
+// The actions. Each ActionStart is followed by one ActionEnd.
 const (
-	Start   Act = iota // make Action.Attempt, and tell Finished of it
-	End                // Action.Attempt is over: nothing more is read or written for it
-	Respond            // Action.Answer is the one answer of Action.Pending
-	Watch              // ask for a watch of the server list
-	Drop               // Action.Server is gone, or is no longer the process or at the address that it was
+	ActionStart   ActionKind = iota // make Action.Attempt and report its result to Finished
+	ActionEnd                       // Action.Attempt has ended: stop reading and writing for it
+	ActionRespond                   // Action.Answer is the final answer to Action.Pending
+	ActionWatch                     // request a watch of the server list
+	ActionDrop                      // Action.Server was removed, restarted or moved to another address
 )
 
-// Action is what is to be done after an event.
+// Action is something to be done after an event.
 type Action struct {
-	Act     Act
+	Kind    ActionKind
 	Attempt *Attempt
 	Pending *Pending
 	Answer  Answer
 	Server  Server
 }
 
-// timer is an entry of the one heap of timers.
+// timer is an entry in the timer heap.
 type timer struct {
 	at   time.Duration
 	fire func()
@@ -106,33 +107,33 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // let go of what it holds
+	old[len(old)-1] = timer{} // release the closure to the garbage collector
 	*h = old[:len(old)-1]
 	return last
 }
 
 // Machine owns the Balancer and the requests. It has no goroutine and no clock: each event
-// comes with its time, which never goes back, and Actions gives what is to be done. Same
-// settings, seed and events, same actions. It implements policy.Host; what must reach
-// the module after the present event is queued, since the module must not be called from
-// within itself.
+// carries its time, which never goes back, and Actions returns what is to be done. The same
+// settings, seed and events give the same actions. It implements policy.Host; calls to the
+// decision module that arise while it runs are queued until the current event is handled,
+// because the module is not re-entrant.
 type Machine struct {
-	balancer *policy.Balancer
-	now      time.Duration
-	requests map[policy.RequestID]*Pending
-	servers  map[policy.ServerID]Server
-	lastID   policy.RequestID
-	ids      recentIDs
-	counts   [][Kinds]int64  // by class
-	aims     []time.Duration // by class; 0: none, or one that grows with the work
-	late     []int64         // of those served, by class: after the class's aim
-	endBy    time.Duration   // the pool ends: answers are due by then; 0: not so far
-	timers   timerHeap
-	queue    []func()
-	actions  []Action
-}
-
-// NewMachine makes one. An impossible setting gives an error that names it.
+	balancer   *policy.Balancer
+	now        time.Duration
+	requests   map[policy.RequestID]*Pending
+	servers    map[policy.ServerID]Server
+	lastID     policy.RequestID
+	ids        recentIDs
+	counts     [][Kinds]int64  // by class
+	aims       []time.Duration // by class; 0: none, or one that scales with the request's work
+	late       []int64         // by class: requests served after the class's aim
+	shutdownAt time.Duration   // shutdown time by which answers are due; 0: no shutdown announced
+	timers     timerHeap
+	queue      []func()
+	actions    []Action
+}
+
+// NewMachine creates a Machine. An invalid setting gives an error that names it.
 func NewMachine(set policy.Settings, seed uint64) (*Machine, error) {
 	m := &Machine{
 		ids:    newRecentIDs(set.Classes),
@@ -152,15 +153,15 @@
 	return m, nil
 }
 
-// Actions gives what is to be done, in order, and forgets it. The slice is good until
-// the next event.
+// Actions returns the pending actions in order and clears them. The slice is valid until the
+// next event.
 func (m *Machine) Actions() []Action {
 	a := m.actions
 	m.actions = m.actions[:0]
 	return a
 }
 
-// Due gives when Tick is to be called next; false for never.
+// Due returns when Tick must next be called; false if no timer is pending.
 func (m *Machine) Due() (time.Duration, bool) {
 	if len(m.timers) == 0 {
 		return 0, false
@@ -168,7 +169,7 @@
 	return m.timers[0].at, true
 }
 
-// Tick handles the earliest timer that is due; false if none is.
+// Tick handles the earliest timer that is due; it returns false if none is.
 func (m *Machine) Tick(now time.Duration) bool {
 	if len(m.timers) == 0 || m.timers[0].at > now {
 		return false
@@ -177,7 +178,7 @@
 	return true
 }
 
-// step handles one event and then what the module's actions have queued.
+// step handles one event and then whatever the module's actions have queued.
 func (m *Machine) step(now time.Duration, event func()) {
 	m.now = max(m.now, now)
 	event()
@@ -189,129 +190,133 @@
 	m.queue = nil
 }
 
-// Members takes a list of servers or changes to it, with the entries' addresses.
-func (m *Machine) Members(now time.Duration, kind policy.ListKind, entries []policy.Entry, addrs []string) {
-	m.step(now, func() { m.members(kind, entries, addrs) })
+// UpdateServers applies a server list, or changes to it, with the entries' addresses.
+func (m *Machine) UpdateServers(now time.Duration, kind policy.ListKind, entries []policy.Entry, addrs []string) {
+	m.step(now, func() { m.updateServers(kind, entries, addrs) })
 }
 
-// Cordon leaves a server out by hand until Uncordon. An attempt that was chosen before and
-// has not begun never will.
+// Cordon takes a server out of service on an operator's request until Uncordon. Attempts
+// already assigned to it that have not begun are cancelled.
 func (m *Machine) Cordon(now time.Duration, id policy.ServerID) { m.step(now, func() { m.cordon(id) }) }
 
-// Uncordon lets a server serve again that was left out by hand, as called at the given time.
+// Uncordon puts a cordoned server back into service; called is the time of that request.
 func (m *Machine) Uncordon(now time.Duration, id policy.ServerID, called time.Duration) {
 	m.step(now, func() { m.balancer.Uncordon(m.now, id, called) })
 }
 
-// Pass gives what the module has learnt to another process of the same node.
-func (m *Machine) Pass(now time.Duration) (mem policy.Memory) {
+// HandOver returns what the decision module has learnt, for another process of the same node
+// that takes over.
+func (m *Machine) HandOver(now time.Duration) (mem policy.Memory) {
 	m.step(now, func() { mem = m.balancer.Pass(m.now) })
 	return mem
 }
 
-// Learnt gives what the module has learnt, to be kept.
-func (m *Machine) Learnt(now time.Duration) (mem policy.Memory) {
+// Learned returns a copy of what the decision module has learnt, to be persisted.
+func (m *Machine) Learned(now time.Duration) (mem policy.Memory) {
 	m.step(now, func() { mem = m.balancer.Learnt(m.now) })
 	return mem
 }
 
-// Recall takes over what another process of the same node has learnt.
-func (m *Machine) Recall(now time.Duration, mem policy.Memory) (err error) {
+// Restore restores what another process of the same node has learnt.
+func (m *Machine) Restore(now time.Duration, mem policy.Memory) (err error) {
 	m.step(now, func() { err = m.balancer.Recall(m.now, mem) })
 	return err
 }
 
-// Share tells that this process is only a part of its node; see policy.Balancer.Share.
-func (m *Machine) Share(now time.Duration, part float64) {
+// SetNodePart sets the share of its node's traffic that this process gets; see
+// policy.Balancer.Share.
+func (m *Machine) SetNodePart(now time.Duration, part float64) {
 	m.step(now, func() { m.balancer.Share(m.now, part) })
 }
 
-// Submit takes a request in. It is answered exactly once, unless Left comes first.
+// Submit accepts a request. It is answered exactly once, unless ClientGone is called first.
 func (m *Machine) Submit(now time.Duration, q Request) (p *Pending) {
 	m.step(now, func() { p = m.submit(q) })
 	return p
 }
 
-// Left tells that a request's client went away.
-func (m *Machine) Left(now time.Duration, p *Pending) { m.step(now, func() { m.left(p) }) }
+// ClientGone reports that a request's client has disconnected.
+func (m *Machine) ClientGone(now time.Duration, p *Pending) { m.step(now, func() { m.clientGone(p) }) }
 
-// Finished tells what came of an attempt, and when.
+// Finished reports the result of an attempt and when it ended.
 func (m *Machine) Finished(now time.Duration, a *Attempt, r Reply, at time.Duration) {
 	m.step(now, func() { m.finished(a, r, at) })
 }
 
-// Taken tells that a server has a request and works on it; see policy.Balancer.Taken.
-func (m *Machine) Taken(now time.Duration, a *Attempt) {
-	m.early(now, a, (*policy.Balancer).Taken)
+// Accepted reports that a server has accepted a request and is working on it; see
+// policy.Balancer.Taken.
+func (m *Machine) Accepted(now time.Duration, a *Attempt) {
+	m.attemptEvent(now, a, (*policy.Balancer).Taken)
 }
 
-// Started tells that an answer has begun, as that of a stream does: from then on the
-// request is tried nowhere else. Telling it again changes nothing.
-func (m *Machine) Started(now time.Duration, a *Attempt) {
-	m.early(now, a, (*policy.Balancer).Started)
+// StreamStarted reports that an answer, such as a stream, has begun: from then on the request is
+// not tried at another server. Repeated calls have no effect.
+func (m *Machine) StreamStarted(now time.Duration, a *Attempt) {
+	m.attemptEvent(now, a, (*policy.Balancer).Started)
 }
 
-// Sent tells that the last byte of a request that was still coming has gone out, and that its
-// client waits for left from now on.
-func (m *Machine) Sent(now time.Duration, a *Attempt, left time.Duration) {
+// RequestSent reports that the last byte of a request with Coming set has been sent to the server,
+// and that its client waits for at most left from now on.
+func (m *Machine) RequestSent(now time.Duration, a *Attempt, left time.Duration) {
 	m.step(now, func() {
 		r := a.Pending
-		if a.over || !r.coming {
+		if a.ended || !r.uploading {
 			return
 		}
-		r.coming, a.sent = false, m.now
-		left = m.due(r, m.now+left)
+		r.uploading, a.sent = false, m.now
+		left = m.setDeadline(r, m.now+left)
 		m.balancer.Sent(m.now, r.id, a.index, left)
-		m.watch(r)
+		m.scheduleDeadline(r)
 	})
 }
 
-// Passed tells that an attempt's Pass was true: its request is answered, and tried nowhere
-// else. Finished follows when the answer has ended.
-func (m *Machine) Passed(now time.Duration, a *Attempt) {
+// AnswerClaimed reports that an attempt's ClaimAnswer returned true: its request counts as answered and is
+// not tried at another server. Finished follows when the answer has ended.
+func (m *Machine) AnswerClaimed(now time.Duration, a *Attempt) {
 	m.step(now, func() {
-		if a.over {
+		if a.ended {
 			return
 		}
 		m.answer(a.Pending, Answer{Kind: Served})
 		m.balancer.Started(m.now, a.Pending.id, a.index)
-		m.settle(a.Pending)
+		m.release(a.Pending)
 	})
 }
 
-func (m *Machine) early(now time.Duration, a *Attempt, event func(*policy.Balancer, time.Duration, policy.RequestID, int)) {
+func (m *Machine) attemptEvent(now time.Duration, a *Attempt, event func(*policy.Balancer, time.Duration, policy.RequestID, int)) {
 	m.step(now, func() {
-		if !a.over {
+		if !a.ended {
 			event(m.balancer, m.now, a.Pending.id, a.index)
 		}
 	})
 }
 
-// EndIn tells that the pool ends after d: answers are due by then, those to requests that are open too.
-func (m *Machine) EndIn(now, d time.Duration) {
+// ShutDownIn announces that the pool shuts down after d: all answers are due by then, including
+// those to requests already open.
+func (m *Machine) ShutDownIn(now, d time.Duration) {
 	m.step(now, func() {
-		m.endBy = m.now + d
+		m.shutdownAt = m.now + d
 		for _, id := range slices.Sorted(maps.Keys(m.requests)) {
-			if r := m.requests[id]; !r.answered && !r.coming && r.deadline > m.endBy { // Sent sets the time of one that is coming
-				m.balancer.Shorten(m.now, id, m.due(r, r.deadline))
-				m.watch(r)
+			if r := m.requests[id]; !r.answered && !r.uploading && r.deadline > m.shutdownAt { // RequestSent sets the deadline of a request still being received
+				m.balancer.Shorten(m.now, id, m.setDeadline(r, r.deadline))
+				m.scheduleDeadline(r)
 			}
 		}
 	})
 }
 
-// View is a pool's state for those who look on.
+// View is a snapshot of a pool's state for operators.
 type View struct {
 	policy.View
-	Listed   map[policy.ServerID]Server // those of View.Servers
-	Counts   [][Kinds]int64             // ends of requests so far, by class
-	Late     []int64                    // of those served, after their class's aim
-	Requests int                        // owed an answer or with an attempt out
+	Listed   map[policy.ServerID]Server // the servers in View.Servers
+	Counts   [][Kinds]int64             // ended requests, by class and Kind
+	Late     []int64                    // requests served after their class's aim, by class
+	Requests int                        // unanswered or with attempts in flight
 	Timers   int
-	Members  int // servers listed, whatever their state
+	Members  int // listed servers in any state
 }
 
-// Inspect copies the state, at a cost that grows with the listed servers only.
+// Inspect copies the state. Its cost is proportional to the number of listed servers.
 func (m *Machine) Inspect(now time.Duration) View {
 	m.now = max(m.now, now)
 	v := View{
@@ -325,11 +330,11 @@
 	return v
 }
 
-// Out gives the attempts that were started and are not over.
-func (m *Machine) Out() (out []*Attempt) {
+// InFlight returns the attempts in flight.
+func (m *Machine) InFlight() (out []*Attempt) {
 	for _, r := range m.requests {
 		for _, a := range r.attempts {
-			if !a.over {
+			if !a.ended {
 				out = append(out, a)
 			}
 		}
@@ -337,20 +342,20 @@
 	return out
 }
 
-func (m *Machine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-func (m *Machine) after(at time.Duration, fire func()) {
+func (m *Machine) schedule(at time.Duration, fire func()) {
 	heap.Push(&m.timers, timer{at, fire})
 }
 
 // ---- events
 
-// members takes a list of servers or changes to it. Connections to a server that
-// is gone, or that is no longer the process or at the address that it was, are
-// closed; a late word on an old server does not touch a new one at its address. An attempt
-// that was chosen before and has not begun does not begin at a server that drains, is gone or
-// is another one by now: its connect may take longer than the rule on drains allows.
-func (m *Machine) members(kind policy.ListKind, entries []policy.Entry, endpoints []string) {
+// updateServers applies a server list or changes to it. Connections to a server that was removed,
+// restarted or moved to another address are closed; a late update about an old server does
+// not affect a new one at its address. Attempts that have not begun are cancelled if their
+// server drains, was removed or was replaced: connecting may take longer than the grace
+// period that the rule on drains allows.
+func (m *Machine) updateServers(kind policy.ListKind, entries []policy.Entry, endpoints []string) {
 	old := m.servers
 	if kind == policy.ListFull || kind == policy.ListCached {
 		m.servers = make(map[policy.ServerID]Server, len(entries))
@@ -371,180 +376,180 @@
 	changed := len(drains) > 0
 	for id, b := range old {
 		if m.servers[id] != b {
-			m.act(Action{Act: Drop, Server: b})
+			m.emit(Action{Kind: ActionDrop, Server: b})
 			changed = true
 		}
 	}
 	m.balancer.Members(m.now, kind, entries)
 	if changed {
-		m.takeBackAll(func(a *Attempt) bool { return drains[a.server] || m.servers[a.server] != a.To })
+		m.cancelUnsentAll(func(a *Attempt) bool { return drains[a.server] || m.servers[a.server] != a.To })
 	}
 }
 
-// cordon has the module leave the server out first, so that what is taken back goes elsewhere.
-// The process is restarted meanwhile as a rule, so its idle connections are of no use.
+// cordon updates the module first, so that cancelled attempts are retried at other servers.
+// Idle connections are dropped because a cordoned server is usually restarted.
 func (m *Machine) cordon(id policy.ServerID) {
 	m.balancer.Cordon(m.now, id)
-	m.takeBackAll(func(a *Attempt) bool { return a.server == id })
+	m.cancelUnsentAll(func(a *Attempt) bool { return a.server == id })
 	if to, listed := m.servers[id]; listed {
-		m.act(Action{Act: Drop, Server: to})
+		m.emit(Action{Kind: ActionDrop, Server: to})
 	}
 }
 
-// takeBackAll is takeBack for all requests, in their order.
-func (m *Machine) takeBackAll(which func(*Attempt) bool) {
+// cancelUnsentAll calls cancelUnsent for all requests, ordered by ID.
+func (m *Machine) cancelUnsentAll(which func(*Attempt) bool) {
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
-		m.takeBack(m.requests[id], which)
+		m.cancelUnsent(m.requests[id], which)
 	}
 }
 
-// takeBack ends those of a request's attempts of which nothing was written yet: they never run.
-func (m *Machine) takeBack(r *Pending, which func(*Attempt) bool) {
+// cancelUnsent cancels the selected attempts of a request that have not written anything yet;
+// they cannot have run.
+func (m *Machine) cancelUnsent(r *Pending, which func(*Attempt) bool) {
 	for _, a := range r.attempts {
-		if which(a) && !a.over && a.phase.CompareAndSwap(unsent, abandoned) {
+		if which(a) && !a.ended && a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned) {
 			m.queue = append(m.queue, func() {
-				if !a.over {
-					m.outcome(a, policy.Moot, m.now)
+				if !a.ended {
+					m.reportOutcome(a, policy.Moot, m.now)
 				}
 			})
 		}
 	}
 }
 
-func every(*Attempt) bool { return true }
+func anyAttempt(*Attempt) bool { return true }
 
-// submit takes a request in.
 func (m *Machine) submit(q Request) *Pending {
 	if !m.ids.add(m.now, q.Name) {
 		r := &Pending{class: q.Class, Answers: q.Answers}
 		m.answer(r, Answer{Kind: Duplicate})
 		return r
 	}
-	for m.lastID++; m.requests[m.lastID] != nil; m.lastID++ { // ids wrap around in the end
+	for m.lastID++; m.requests[m.lastID] != nil; m.lastID++ { // IDs eventually wrap around
 	}
-	r := &Pending{id: m.lastID, class: q.Class, message: q.Message, Answers: q.Answers, coming: q.Coming}
+	r := &Pending{id: m.lastID, class: q.Class, message: q.Message, Answers: q.Answers, uploading: q.Coming}
 	if aim := m.aims[q.Class]; aim > 0 {
-		r.late = m.now + aim
+		r.lateFrom = m.now + aim
 	}
-	q.ID, q.Left = r.id, m.due(r, q.Deadline)
+	q.ID, q.Left = r.id, m.setDeadline(r, q.Deadline)
 	m.requests[r.id] = r
 	m.balancer.Request(m.now, q.Request)
 	if !r.answered {
-		m.watch(r)
+		m.scheduleDeadline(r)
 	}
 	return r
 }
 
-// due sets when a request's client gives up, and gives the time that the module has.
-func (m *Machine) due(r *Pending, deadline time.Duration) time.Duration {
-	if m.endBy > 0 {
-		deadline = min(deadline, m.endBy)
+// setDeadline sets a request's deadlines and returns the time that remains for the decision module.
+func (m *Machine) setDeadline(r *Pending, deadline time.Duration) time.Duration {
+	if m.shutdownAt > 0 {
+		deadline = min(deadline, m.shutdownAt)
 	}
 	left := max(0, deadline-m.now)
 	r.deadline = m.now + left
-	r.end = r.deadline - min(clientMargin, left/2)
-	return r.end - m.now
+	r.attemptDeadline = r.deadline - min(clientMargin, left/2)
+	return r.attemptDeadline - m.now
 }
 
-// watch has a request end in its client's time.
-func (m *Machine) watch(r *Pending) {
+// scheduleDeadline schedules the timers that end a request by its client's deadline.
+func (m *Machine) scheduleDeadline(r *Pending) {
 	left := r.deadline - m.now
-	m.after(r.end, func() { m.expire(r) })
-	m.after(r.deadline-min(backstopMargin, left/4), func() { m.backstop(r) })
+	m.schedule(r.attemptDeadline, func() { m.expire(r) })
+	m.schedule(r.deadline-min(backstopMargin, left/4), func() { m.backstop(r) })
 }
 
-// expire gives up what is out at the client's deadline. The module hears of
-// time-outs of a request still open and words the final answer itself.
+// expire abandons a request's attempts in flight shortly before the client's deadline. The
+// module receives these as time-outs of an open request and chooses the final answer.
 func (m *Machine) expire(r *Pending) {
-	if m.now < r.end || r.coming { // Sent has set another time, or will
+	if m.now < r.attemptDeadline || r.uploading { // RequestSent has changed the deadline, or will
 		return
 	}
 	for _, a := range r.attempts {
-		if !a.over && !r.answered {
+		if !a.ended && !r.answered {
 			m.abandon(a, policy.Timeout)
 		}
 	}
 }
 
-// backstop guards the rule that each request is answered in its client's time,
-// should the module not have done so by now.
+// backstop answers a request that the module has not answered shortly before the client's
+// deadline, so that every request is answered in time.
 func (m *Machine) backstop(r *Pending) {
-	if m.now < r.end || r.coming && r.out > 0 {
+	if m.now < r.attemptDeadline || r.uploading && r.inFlight > 0 {
 		return
 	}
 	if !r.answered {
 		m.answer(r, Answer{Kind: Overdue})
 		m.balancer.Left(m.now, r.id)
-		m.settle(r)
+		m.release(r)
 	}
 }
 
-// left is told when the client went away.
-func (m *Machine) left(r *Pending) {
+// clientGone ends a request whose client has disconnected.
+func (m *Machine) clientGone(r *Pending) {
 	if !r.answered {
 		r.answered = true
 		r.claimed.Store(true)
 		m.counts[r.class][Left]++
 		m.balancer.Left(m.now, r.id)
-		m.settle(r)
+		m.release(r)
 	}
 }
 
-// finished takes what came of an attempt.
+// finished handles the result of an attempt.
 func (m *Machine) finished(a *Attempt, p Reply, at time.Duration) {
-	if a.over {
+	if a.ended {
 		return
 	}
 	switch {
 	case p.Status == policy.OK:
 		m.answer(a.Pending, Answer{Kind: Served, Body: p.Body})
 	case p.Rejected:
-		// The request is at fault, and would be at any server: nothing to hold
-		// against this one, and nothing to try again.
+		// The request is invalid, and any other server would reject it as well: do not
+		// count it against this server and do not retry.
 		m.answer(a.Pending, Answer{Kind: Failed})
 		p.Status = policy.Cancelled
 	}
 	if p.Spent {
 		m.balancer.Last(a.Pending.id)
 	}
-	m.outcome(a, p.Status, at)
+	m.reportOutcome(a, p.Status, at)
 }
 
-// abandon ends an attempt from this side. One that was not written yet can't
-// have run, and never will: its goroutine finds the phase changed. One whose answer goes
-// to the client is left to end by itself.
+// abandon ends an attempt from this side. One that has not been written cannot have run and
+// never will, because its goroutine sees the changed phase. One whose answer is being relayed
+// to the client is left alone.
 func (m *Machine) abandon(a *Attempt, status policy.Status) {
 	switch {
-	case a.phase.CompareAndSwap(unsent, abandoned):
+	case a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned):
 		status = policy.Moot
-	case !a.phase.CompareAndSwap(writing, abandoned) && a.phase.Load() == passing:
+	case !a.phase.CompareAndSwap(phaseWriting, phaseAbandoned) && a.phase.Load() == phaseRelaying:
 		return
 	}
-	m.outcome(a, status, m.now)
+	m.reportOutcome(a, status, m.now)
 }
 
-// outcome tells the module of an attempt's end, once for each.
-func (m *Machine) outcome(a *Attempt, status policy.Status, at time.Duration) {
+// reportOutcome reports the end of an attempt to the module, once per attempt.
+func (m *Machine) reportOutcome(a *Attempt, status policy.Status, at time.Duration) {
 	r := a.Pending
-	a.over = true
-	m.act(Action{Act: End, Attempt: a})
-	r.out--
+	a.ended = true
+	m.emit(Action{Kind: ActionEnd, Attempt: a})
+	r.inFlight--
 	m.balancer.Outcome(m.now, policy.Outcome{
 		ID: r.id, Attempt: a.index, Server: a.server, Status: status,
 		Ended: r.answered, Latency: max(0, at-a.sent),
 	})
-	m.settle(r)
+	m.release(r)
 }
 
-// answer gives the client its final answer; only the first one counts. If an attempt has
-// claimed that for an answer that comes, it stands, whatever else has happened meanwhile.
+// answer gives the client its final answer; only the first call counts. If an attempt has
+// claimed the request for an answer that it relays, that one takes precedence.
 func (m *Machine) answer(r *Pending, a Answer) {
 	if r.answered {
 		return
 	}
 	r.answered = true
 	claimed := r.claimed.Swap(true)
-	if r.late != 0 && m.now >= r.late && (claimed || a.Kind == Served) {
+	if r.lateFrom != 0 && m.now >= r.lateFrom && (claimed || a.Kind == Served) {
 		m.late[r.class]++
 	}
 	if claimed {
@@ -552,17 +557,17 @@
 		return
 	}
 	m.counts[r.class][a.Kind]++
-	m.act(Action{Act: Respond, Pending: r, Answer: a})
+	m.emit(Action{Kind: ActionRespond, Pending: r, Answer: a})
 }
 
-// settle forgets a request that is answered and has nothing out. Of what has not begun by then nothing
-// goes out, whether or not the settings let attempts be cancelled: a client that has left would be
-// served behind its back.
-func (m *Machine) settle(r *Pending) {
+// release removes a request that is answered and has no attempts in flight. Attempts that have
+// not begun are cancelled even if the settings forbid cancelling: otherwise work would be
+// done for a client that has disconnected.
+func (m *Machine) release(r *Pending) {
 	if r.answered {
-		r.message = nil // the heap may hold the request for a while
-		m.takeBack(r, every)
-		if r.out == 0 {
+		r.message = nil // the timer heap may reference the request for a while
+		m.cancelUnsent(r, anyAttempt)
+		if r.inFlight == 0 {
 			delete(m.requests, r.id)
 		}
 	}
@@ -578,23 +583,23 @@
 	}
 	a := &Attempt{Pending: r, Message: r.message, index: len(r.attempts), server: server, sent: m.now}
 	r.attempts = append(r.attempts, a)
-	r.out++
+	r.inFlight++
 	to, listed := m.servers[server]
 	if r.answered || !listed {
-		a.phase.Store(abandoned)
-		m.queue = append(m.queue, func() { m.outcome(a, policy.Moot, m.now) })
+		a.phase.Store(phaseAbandoned)
+		m.queue = append(m.queue, func() { m.reportOutcome(a, policy.Moot, m.now) })
 		return
 	}
-	a.To, a.End = to, r.end
+	a.To, a.End = to, r.attemptDeadline
 	if timeout > 0 && m.now+timeout < a.End {
 		a.End = m.now + timeout
-		m.after(m.now+timeout, func() {
-			if !a.over {
+		m.schedule(m.now+timeout, func() {
+			if !a.ended {
 				m.abandon(a, policy.Timeout)
 			}
 		})
 	}
-	m.act(Action{Act: Start, Attempt: a})
+	m.emit(Action{Kind: ActionStart, Attempt: a})
 }
 
 // Cancel implements policy.Host.
@@ -605,7 +610,7 @@
 	}
 	a := r.attempts[index]
 	m.queue = append(m.queue, func() {
-		if !a.over {
+		if !a.ended {
 			m.abandon(a, policy.Cancelled)
 		}
 	})
@@ -613,23 +618,23 @@
 
 // Refuse implements policy.Host.
 func (m *Machine) Refuse(id policy.RequestID, retryAfter time.Duration) {
-	m.end(id, Answer{Kind: Refused, RetryAfter: retryAfter})
+	m.endRequest(id, Answer{Kind: Refused, RetryAfter: retryAfter})
 }
 
 // Fail implements policy.Host.
-func (m *Machine) Fail(id policy.RequestID) { m.end(id, Answer{Kind: Failed}) }
+func (m *Machine) Fail(id policy.RequestID) { m.endRequest(id, Answer{Kind: Failed}) }
 
-func (m *Machine) end(id policy.RequestID, a Answer) {
+func (m *Machine) endRequest(id policy.RequestID, a Answer) {
 	if r := m.requests[id]; r != nil {
 		m.answer(r, a)
-		m.settle(r)
+		m.release(r)
 	}
 }
 
 // SetTimer implements policy.Host.
 func (m *Machine) SetTimer(at time.Duration, token uint64) {
-	m.after(at, func() { m.balancer.Timer(m.now, token) })
+	m.schedule(at, func() { m.balancer.Timer(m.now, token) })
 }
 
 // WatchList implements policy.Host.
-func (m *Machine) WatchList() { m.act(Action{Act: Watch}) }
+func (m *Machine) WatchList() { m.emit(Action{Kind: ActionWatch}) }
--- a/internal/core/pass_test.go
+++ b/internal/core/pass_test.go
@@ -12,26 +12,26 @@
 	"otterstep/policy"
 )
 
-// streaming plays servers whose answers come for longer than anybody's deadline, or that
-// fail before they begin one.
-type streaming struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	passed int
-	cut    bool // the Loop ended an attempt that had passed
+// streamingMessage simulates servers whose answers take longer than any deadline, or that fail
+// before they begin one.
+type streamingMessage struct {
+	mu      sync.Mutex
+	rng     *rand.Rand
+	relayed int
+	cutOff  bool // the Loop ended an attempt whose answer was being relayed
 }
 
-func (m *streaming) chance(n int) int {
+func (m *streamingMessage) chance(n int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rng.IntN(n)
 }
 
-func (m *streaming) Attempt(ctx context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *streamingMessage) Attempt(ctx context.Context, _ Server, _ time.Time, turn Turn) Reply {
 	if !turn.Begin() {
 		return Reply{Status: policy.Moot}
 	}
-	time.Sleep(time.Duration(m.chance(1100)) * time.Millisecond) // whatever ctx says: Pass must know
+	time.Sleep(time.Duration(m.chance(1100)) * time.Millisecond) // ignores ctx: Pass must detect that the attempt was abandoned
 	if m.chance(4) == 0 {
 		return Reply{Status: policy.Error}
 	}
@@ -39,12 +39,12 @@
 		return Reply{Status: policy.Cancelled}
 	}
 	m.mu.Lock()
-	m.passed++
+	m.relayed++
 	m.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		m.mu.Lock()
-		m.cut = true
+		m.cutOff = true
 		m.mu.Unlock()
 		return Reply{Status: policy.Cancelled}
 	case <-time.After(5 * time.Second):
@@ -55,9 +55,9 @@
 	return Reply{Status: policy.OK}
 }
 
-// An answer that goes to the client while it comes is the request's only one, whatever the
-// deadline, other attempts or a client that leaves do meanwhile; and nothing cuts it off.
-func TestPassedAnswersAreTheOnlyOnes(t *testing.T) {
+// An answer that is relayed to the client as it arrives is the request's only answer, whatever
+// happens with the deadline, other attempts or the client meanwhile, and it is not cut off.
+func TestRelayedAnswerIsTheOnlyOne(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			l, stop := start(t, seed, 40)
@@ -68,14 +68,14 @@
 			var mu sync.Mutex
 			for n := range 120 {
 				time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
-				m := &streaming{rng: rand.New(rand.NewPCG(seed, uint64(n)))}
+				m := &streamingMessage{rng: rand.New(rand.NewPCG(seed, uint64(n)))}
 				answers := make(chan Answer, 2)
 				ticket, ok := l.Submit(Request{
 					Request: policy.Request{Class: n % 3}, Name: fmt.Sprint(n),
 					Deadline: l.Clock().Now() + time.Second, Message: m, Answers: answers,
 				})
 				if !ok {
-					t.Fatal("not taken")
+					t.Fatal("request not accepted")
 				}
 				leaves := rng.IntN(8) == 0
 				clients.Go(func() {
@@ -88,11 +88,11 @@
 					defer m.mu.Unlock()
 					mu.Lock()
 					defer mu.Unlock()
-					got := m.passed + len(answers)
-					if got > 1 || got == 0 && !leaves || m.cut {
-						t.Errorf("seed %d, request %d: %d passed, %d answers, cut %v", seed, n, m.passed, len(answers), m.cut)
+					got := m.relayed + len(answers)
+					if got > 1 || got == 0 && !leaves || m.cutOff {
+						t.Errorf("seed %d, request %d: %d passed, %d answers, cut %v", seed, n, m.relayed, len(answers), m.cutOff)
 					}
-					passed += m.passed
+					passed += m.relayed
 					answered += len(answers)
 				})
 			}
@@ -102,7 +102,7 @@
 				t.Errorf("seed %d: left behind: %+v, %v", seed, v, err)
 			}
 			if passed < 20 || answered < 5 {
-				t.Errorf("seed %d: %d passed, %d answered otherwise: too few to tell", seed, passed, answered)
+				t.Errorf("seed %d: %d relayed, %d answered otherwise: too few for a meaningful check", seed, passed, answered)
 			}
 		})
 	}
--- a/internal/core/recent.go
+++ b/internal/core/recent.go
@@ -7,38 +7,38 @@
 	"otterstep/policy"
 )
 
-// recentIDs knows the ids of requests that are open or were lately. Servers tell
-// requests apart by their ids, so a second one with the id of another client's open
-// request could be given that one's answer. It may also reach the node a moment
-// after that answer, so ids stay known for a while. Two generations of hashes keep
-// it small: each is dropped whole.
+// recentIDs is the set of request IDs that are open or were recently. Servers identify
+// requests by ID, so a second request with the ID of another client's open request could
+// receive that request's answer. The duplicate may also arrive shortly after that answer, so
+// IDs are remembered for a while. Memory is bounded by keeping two generations of hashes and
+// dropping the older one as a whole.
 type recentIDs struct {
-	seed       maphash.Seed
-	every      time.Duration
-	since      time.Duration
-	young, old map[uint64]struct{}
+	seed              maphash.Seed
+	interval          time.Duration
+	rotatedAt         time.Duration
+	current, previous map[uint64]struct{}
 }
 
-// newRecentIDs keeps an id for longer than any request may be open.
+// newRecentIDs returns a set that remembers an ID for longer than any request may be open.
 func newRecentIDs(classes []policy.Class) recentIDs {
 	every := 2 * time.Second
 	for _, c := range classes {
 		every = max(every, c.Deadline)
 	}
-	return recentIDs{seed: maphash.MakeSeed(), every: every, young: map[uint64]struct{}{}}
+	return recentIDs{seed: maphash.MakeSeed(), interval: every, current: map[uint64]struct{}{}}
 }
 
-// add notes an id; false if it is known already.
+// add records an ID; it returns false if the ID is already known.
 func (ids *recentIDs) add(now time.Duration, id string) bool {
-	if now-ids.since > ids.every {
-		if ids.old = ids.young; now-ids.since > 2*ids.every {
-			ids.old = nil
+	if now-ids.rotatedAt > ids.interval {
+		if ids.previous = ids.current; now-ids.rotatedAt > 2*ids.interval {
+			ids.previous = nil
 		}
-		ids.since, ids.young = now, map[uint64]struct{}{}
+		ids.rotatedAt, ids.current = now, map[uint64]struct{}{}
 	}
 	h := maphash.String(ids.seed, id)
-	_, young := ids.young[h]
-	_, old := ids.old[h]
-	ids.young[h] = struct{}{}
+	_, young := ids.current[h]
+	_, old := ids.previous[h]
+	ids.current[h] = struct{}{}
 	return !young && !old
 }
--- a/internal/core/recent_test.go
+++ b/internal/core/recent_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-func TestRecentIDsForgetInTheEnd(t *testing.T) {
+func TestRecentIDsExpire(t *testing.T) {
 	ids := newRecentIDs(nil)
-	if !ids.add(0, "a") || ids.add(ids.every, "a") {
-		t.Error("an id must be new once, and known for a while")
+	if !ids.add(0, "a") || ids.add(ids.interval, "a") {
+		t.Error("an ID must be new once and then known for a while")
 	}
 	for i := range 1000 {
-		ids.add(time.Duration(i)*ids.every/100, fmt.Sprint("b", i))
+		ids.add(time.Duration(i)*ids.interval/100, fmt.Sprint("b", i))
 	}
-	if n := len(ids.young) + len(ids.old); n > 250 {
-		t.Errorf("%d ids held, want those of two generations", n)
+	if n := len(ids.current) + len(ids.previous); n > 250 {
+		t.Errorf("%d IDs held, want at most two generations", n)
 	}
-	if !ids.add(100*ids.every, "a") {
-		t.Error("an id is held for good")
+	if !ids.add(100*ids.interval, "a") {
+		t.Error("an ID is never forgotten")
 	}
 }
--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -13,58 +13,58 @@
 	"otterstep/policy"
 )
 
-// Load is what clients ask for: an open loop, so that a slow answer does not slow the
-// asking.
+// Load describes the requests of clients. It is an open-loop load: slow answers do not delay
+// further requests.
 type Load struct {
-	Rate    float64   // requests a second at most, over all nodes
+	Rate    float64   // peak requests per second, over all nodes
 	Shares  []float64 // of the classes
 	Tenants int
-	Skew    float64 // Zipf's exponent of the tenants; 0: all alike
-	Keys    int     // different keys; 0: each request its own
-	Bursts  bool    // arrivals in groups of ten
-	Curve   func(time.Duration) float64
+	Skew    float64                     // Zipf exponent of the tenants; 0: uniform
+	Keys    int                         // number of distinct keys; 0: a unique key per request
+	Bursts  bool                        // arrivals in groups of ten
+	Curve   func(time.Duration) float64 // fraction of Rate over time; nil: constant
 	comeback.Habits
-	// Impatient is the share of clients that leave without an answer after a time that is
-	// uniform from 0 to twice Patience.
+	// Impatient is the share of clients that disconnect without an answer after a time that
+	// is uniformly distributed from 0 to twice Patience.
 	Impatient float64
 	Patience  time.Duration
-	Trace     []Arrival // plays these, by their times, in place of Rate, Curve and Shares
+	Trace     []Arrival // if set, is replayed instead of Rate, Curve and Shares
 }
 
 // Arrival is a request of a recorded trace.
 type Arrival struct {
 	At            time.Duration // since the start
 	Class, Tenant int
-	Key           uint64 // 0: its own
+	Key           uint64 // 0: a unique key
 }
 
-// clients draw requests and judge their ends.
+// clients generates requests and handles their answers.
 type clients struct {
 	world   *World
 	rng     *rand.Rand
-	tenants []float64 // cumulative
-	last    uint64
+	tenants []float64 // cumulative weights
+	lastKey uint64
 }
 
-// request is what a client wants, over all of its tries.
+// request is a client's request, across all of its tries.
 type request struct {
 	class, tenant int
 	key           uint64
 	began, end    time.Duration
 	tries         int
 	client        comeback.Client
-	patience      time.Duration // it leaves after that; 0: it stays to its end
+	patience      time.Duration // the client disconnects after that; 0: it waits until the deadline
 }
 
-// try is one try of a request: one request at one node.
+// try is one try of a request at one node.
 type try struct {
 	*request
 	world    *World
 	record   *record
 	deadline time.Duration
-	over     bool
-	at       *node
-	pending  *core.Pending // of ours
+	ended    bool
+	node     *node
+	pending  *core.Pending // set by machineBalancer
 }
 
 func newClients(w *World) *clients {
@@ -77,8 +77,8 @@
 	return c
 }
 
-// arrive schedules the next arrival: Poisson by thinning under a curve.
-func (c *clients) arrive() {
+// scheduleArrival schedules the next arrival of a Poisson process, thinned by Load.Curve.
+func (c *clients) scheduleArrival() {
 	w := c.world
 	l := w.opt.Load
 	if l.Trace != nil {
@@ -96,10 +96,10 @@
 		}
 		if l.Curve == nil || c.rng.Float64() < l.Curve(w.engine.Now()-w.start) {
 			for range group {
-				c.ask()
+				c.startRandom()
 			}
 		}
-		c.arrive()
+		c.scheduleArrival()
 	})
 }
 
@@ -114,15 +114,15 @@
 			if a.Key != 0 {
 				q.key = a.Key
 			}
-			c.begin(q)
+			c.start(q)
 			c.replay(n + 1)
 		})
 	}
 }
 
-func (c *clients) ask() { c.begin(c.draw()) }
+func (c *clients) startRandom() { c.start(c.draw()) }
 
-// draw gives a request at random.
+// draw returns a random request.
 func (c *clients) draw() *request {
 	w := c.world
 	l := w.opt.Load
@@ -139,21 +139,21 @@
 	}
 	x := c.rng.Float64() * c.tenants[len(c.tenants)-1]
 	q.tenant, _ = slices.BinarySearch(c.tenants, x)
-	c.last++
-	if q.key = c.last; l.Keys > 0 {
+	c.lastKey++
+	if q.key = c.lastKey; l.Keys > 0 {
 		q.key = 1 + c.rng.Uint64N(uint64(l.Keys))
 	}
 	return q
 }
 
-func (c *clients) begin(q *request) {
+func (c *clients) start(q *request) {
 	w := c.world
 	q.end = q.began + w.settings.Classes[q.class].Deadline
 	w.results.Asked++
 	c.try(q)
 }
 
-// try sends a request to a node at random that is up.
+// try sends a request to a random node that is up.
 func (c *clients) try(q *request) {
 	w := c.world
 	q.tries++
@@ -165,49 +165,49 @@
 		}
 		up = w.nodes[(up.index+1)%len(w.nodes)]
 	}
-	t := &try{request: q, world: w, deadline: q.end, at: up}
-	t.record = w.ledger.begin(w.results.Tries, q.class, q.end)
+	t := &try{request: q, world: w, deadline: q.end, node: up}
+	t.record = w.checker.openRecord(w.results.Tries, q.class, q.end)
 	w.engine.At(q.end+10*time.Millisecond, func() {
-		if !t.over {
-			t.over = true
-			w.ledger.end(t.record, true)
-			w.end(t, "unanswered")
+		if !t.ended {
+			t.ended = true
+			w.checker.closeRecord(t.record, true)
+			w.requestEnded(t, "unanswered")
 		}
 	})
 	if q.patience > 0 && q.tries == 1 {
-		w.engine.At(q.began+q.patience, t.leave)
+		w.engine.At(q.began+q.patience, t.clientLeaves)
 	}
 	w.engine.After(w.opt.ClientNet.Draw(c.rng), func() { up.submit(t) })
 }
 
-// leave ends a try whose client waits no longer; its node hears of that a while later.
-func (t *try) leave() {
-	if t.over {
+// clientLeaves ends a try whose client disconnects; the node learns of it one network latency later.
+func (t *try) clientLeaves() {
+	if t.ended {
 		return
 	}
-	t.over = true
+	t.ended = true
 	w := t.world
-	w.ledger.end(t.record, false)
-	w.end(t, "left")
-	w.engine.After(w.opt.ClientNet.Draw(w.clients.rng), func() { t.at.left(t) })
+	w.checker.closeRecord(t.record, false)
+	w.requestEnded(t, "left")
+	w.engine.After(w.opt.ClientNet.Draw(w.clients.rng), func() { t.node.clientGone(t) })
 }
 
-// answered takes an answer that has come.
+// answered handles an answer that has arrived at the client.
 func (t *try) answered(a core.Answer) {
 	w := t.world
-	w.ledger.answered(t.record, a.Kind)
-	if t.over {
+	w.checker.answered(t.record, a.Kind)
+	if t.ended {
 		return
 	}
-	t.over = true
-	w.ledger.end(t.record, true)
+	t.ended = true
+	w.checker.closeRecord(t.record, true)
 	wait, again := t.client.Again(comeback.Answer{
 		Tries: t.tries, Refused: a.Kind == core.Refused, Unsafe: w.settings.Classes[t.class].Effect == policy.Unsafe,
 		RetryAfter: a.RetryAfter, Left: t.end - w.engine.Now(),
 	}, w.clients.rng)
 	switch {
 	case a.Kind == core.Served || !again:
-		w.end(t, a.Kind.String())
+		w.requestEnded(t, a.Kind.String())
 	case wait == 0:
 		w.clients.try(t.request)
 	default:
@@ -215,22 +215,22 @@
 	}
 }
 
-// gone tells that the node died with the try: its client sees that, and the rules owe it
-// nothing.
-func (t *try) gone() {
-	if t.over {
+// nodeCrashed ends a try whose node crashed. The client notices, and the rules do not require an
+// answer in this case.
+func (t *try) nodeCrashed() {
+	if t.ended {
 		return
 	}
-	t.over = true
-	t.world.ledger.end(t.record, false)
-	t.world.end(t, "node died")
+	t.ended = true
+	t.world.checker.closeRecord(t.record, false)
+	t.world.requestEnded(t, "node died")
 }
 
 func sortTries(all []*try) {
 	slices.SortFunc(all, func(a, b *try) int { return cmp.Compare(a.record.id, b.record.id) })
 }
 
-// word gives a try as the digest has it.
-func (t *try) word(how string) string {
+// digestLine returns the line for an ended try that goes into the digest.
+func (t *try) digestLine(how string) string {
 	return fmt.Sprintf("%d %d %d %d %s\n", t.record.id, t.class, t.began, t.world.engine.Now(), how)
 }
--- a/internal/sim/cold_test.go
+++ b/internal/sim/cold_test.go
@@ -9,15 +9,15 @@
 	"otterstep/internal/standin/racing"
 )
 
-// coldFleet is a fleet of thirty nodes that each see little. Servers come back cold under a burst, one by one and a
-// third of them at once; nodes hear of it up to a second apart, and ten of them are new then.
+// coldFleet has thirty nodes, each of which sees little of the load. Servers restart cold under load, one at a time and a
+// third of them at once; nodes learn of this up to a second apart, and ten of them restart themselves meanwhile.
 func coldFleet(o *Options) {
 	o.Nodes, o.For, o.Warm = 30, 7*time.Second, 0
 	o.Told = Times{Kind: "uniform", Mean: 500 * time.Millisecond}
 	o.Settings.Rules.ColdFrom, o.Settings.Rules.ColdFor = 0.1, 8*time.Second
 	o.Settings.Rules.FallMultiple, o.Settings.Rules.FallFor = 2, 1500*time.Millisecond
-	servers(o, 12, func(s *ServerOptions) { s.Rules = o.Settings.Rules })
-	o.Load.Rate = 1500 // of 2,400 that all servers can do warm
+	replaceServers(o, 12, func(s *ServerOptions) { s.Rules = o.Settings.Rules })
+	o.Load.Rate = 1500 // the capacity of all warm servers is 2,400
 	var new []int
 	for i := range 10 {
 		new = append(new, 3*i)
@@ -30,10 +30,10 @@
 	}
 }
 
-// Guards rule 4 by the sum of a fleet: over 50 seeds (8 with -short) no cold server gets more from all nodes together than the
-// settings allow and chance explains, N + 2 x root of N + 2, also while a third of them start at once. Nodes that
-// choose at random do that to it, so that the count sees it.
-func TestColdServersGetNoMoreThanTheFleetMaySend(t *testing.T) {
+// Checks the limit on cold servers over a whole fleet: with 50 seeds (8 with -short), no cold server gets more requests
+// from all nodes together than the settings allow plus random variation, N + 2*sqrt(N) + 2, even while a third of the
+// servers start at once. Random choice exceeds that, which shows that the check detects it.
+func TestFleetKeepsColdServerLimit(t *testing.T) {
 	racing.Skip(t)
 	t.Parallel()
 	seeds := uint64(50)
@@ -43,14 +43,14 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			t.Parallel()
-			r := run(t, small(coldFleet), seed+1)
+			r := run(t, smallWorld(coldFleet), seed+1)
 			if r.ColdOver > 0 || r.Broken[ledger.PushedOver] > 0 {
-				t.Errorf("%.1f requests over what chance explains; %v", r.ColdOver, r.Broken)
+				t.Errorf("%.1f requests beyond the limit and random variation; broken %v", r.ColdOver, r.Broken)
 			}
 		})
 	}
-	r := run(t, small(func(o *Options) { coldFleet(o); o.Policy = "random" }), 1)
+	r := run(t, smallWorld(func(o *Options) { coldFleet(o); o.Policy = "random" }), 1)
 	if r.ColdOver == 0 {
-		t.Error("random choice sends cold servers no more than they bear")
+		t.Error("random choice does not exceed the limit on cold servers")
 	}
 }
--- a/internal/sim/discovery.go
+++ b/internal/sim/discovery.go
@@ -6,79 +6,79 @@
 	"otterstep/policy"
 )
 
-// discovery tells nodes of servers: by itself, or where they have to ask as one service
-// for all that works through calls in turn. It may be away, or answer with an old list.
-// That a node which does not ask counts as told all the same is not modelled: the ledger
-// goes by what a node has heard.
+// discovery delivers the server list to nodes. It either pushes changes or, with
+// Options.Asked, is a single service that handles the nodes' calls one at a time. It may be
+// unavailable or return a stale list. The rule that a node which does not ask counts as told
+// anyway is not modelled: the rule checks use what a node has actually received.
 type discovery struct {
-	world *World
-	away  bool
-	stale bool                  // what changes is not listed
-	busy  int                   // calls that wait or are worked on
-	full  int                   // calls turned away, as they would have waited too long
-	calls map[time.Duration]int // by tenths of a second
+	world    *World
+	down     bool
+	stale    bool                  // changes are not listed
+	queued   int                   // calls that are queued or in progress
+	rejected int                   // calls rejected because they would have waited too long
+	calls    map[time.Duration]int // calls in each tenth of a second
 }
 
 const tenth = 100 * time.Millisecond
 
-// begin has a node that has just started know what it knows then: all that is listed, or
-// where it has to ask the same as a list from some time ago.
-func (d *discovery) begin(n *node) {
+// sendInitialList gives a node that has just started its initial list: the current one, or, where it
+// must query discovery, the same as a cached list.
+func (d *discovery) sendInitialList(n *node) {
 	kind := policy.ListFull
-	if d.world.opt.Asked || d.away && d.world.opt.Kept != nil {
+	if d.world.opt.Asked || d.down && d.world.opt.Kept != nil {
 		kind = policy.ListCached
 	}
-	if n.life > 1 && kind == policy.ListCached && (d.world.opt.Blank || d.world.opt.Kept != nil) {
-		n.comeBack()
+	if n.incarnation > 1 && kind == policy.ListCached && (d.world.opt.Blank || d.world.opt.Kept != nil) {
+		n.restore()
 		return
 	}
 	n.members(kind, d.world.servers)
 }
 
-// tell lists changes, and has each node that is listening hear of them, each a while later.
-func (d *discovery) tell(kind policy.ListKind, servers []*Server) {
-	if d.away || d.stale {
+// publish publishes changes and delivers them to each watching node after a random delay.
+func (d *discovery) publish(kind policy.ListKind, servers []*Server) {
+	if d.down || d.stale {
 		return
 	}
 	for _, s := range servers {
 		s.listed = s.opt.Entry
 	}
 	for _, n := range d.world.nodes {
-		if d.world.opt.Asked && !n.watches {
+		if d.world.opt.Asked && !n.watching {
 			continue
 		}
-		life := n.life
+		life := n.incarnation
 		d.world.engine.After(d.world.opt.Told.Draw(n.rng), func() {
-			if n.life == life {
+			if n.incarnation == life {
 				n.members(kind, servers)
 			}
 		})
 	}
 }
 
-// ask is a node's call for the list and for what changes from then on.
-func (d *discovery) ask(n *node) {
-	w, life := d.world, n.life
+// handleCall handles a node's call for the list and for a watch of later changes.
+func (d *discovery) handleCall(n *node) {
+	w, life := d.world, n.incarnation
 	answer := func(kind policy.ListKind, servers []*Server) {
-		if n.life == life && !n.down {
-			n.watches = kind != policy.ListFailed
+		if n.incarnation == life && !n.down {
+			n.watching = kind != policy.ListFailed
 			n.members(kind, servers)
 		}
 	}
 	d.calls[w.engine.Now().Truncate(tenth)]++
 	way := w.opt.Net.Latency.Draw(n.rng)
-	wait := time.Duration(d.busy+1) * w.opt.Call
+	wait := time.Duration(d.queued+1) * w.opt.Call
 	if wait > w.opt.AskWait {
-		d.full++
+		d.rejected++
 	}
-	if d.away || wait > w.opt.AskWait {
+	if d.down || wait > w.opt.AskWait {
 		w.engine.After(2*way, func() { answer(policy.ListFailed, nil) })
 		return
 	}
-	d.busy++
+	d.queued++
 	w.engine.After(way+wait, func() {
-		d.busy--
-		if d.away {
+		d.queued--
+		if d.down {
 			answer(policy.ListFailed, nil)
 			return
 		}
@@ -86,19 +86,19 @@
 	})
 }
 
-// trouble begins or ends one of its own.
-func (d *discovery) trouble(what string, on bool) {
+// applyFault begins or ends a fault of discovery.
+func (d *discovery) applyFault(what string, on bool) {
 	if what == "stale" {
 		d.stale = on
-	} else if d.away = on; on && d.world.opt.Asked {
-		for _, n := range d.world.nodes { // their watches end
-			if n.watches {
-				n.watches = false
+	} else if d.down = on; on && d.world.opt.Asked {
+		for _, n := range d.world.nodes { // break the nodes' watches
+			if n.watching {
+				n.watching = false
 				n.members(policy.ListFailed, nil)
 			}
 		}
 	}
 	if !on {
-		d.tell(policy.ListFull, d.world.servers) // all hear of all that has changed
+		d.publish(policy.ListFull, d.world.servers) // publish everything that has changed meanwhile
 	}
 }
--- a/internal/sim/engine.go
+++ b/internal/sim/engine.go
@@ -1,6 +1,7 @@
-// Package sim plays nodes, servers, networks, clients and their faults in virtual time:
-// one thread of events, one seed, one run, the same each time. The nodes are core's
-// Machines, the very code that serves; all round them are models.
+// Package sim is a discrete-event simulation of nodes, servers, networks, clients and their
+// faults in virtual time. It is single-threaded and deterministic: the same seed gives the
+// same run. The nodes are core.Machines, the code that runs in production; everything around
+// them is modelled.
 package sim
 
 import (
@@ -11,33 +12,32 @@
 	"time"
 )
 
-// Engine is virtual time: events in the order of their times, and of their making where
-// these are equal.
+// Engine runs events in virtual time, ordered by time and, where times are equal, by creation.
 type Engine struct {
-	now   time.Duration
-	made  uint64
-	queue events
+	now     time.Duration
+	created uint64
+	queue   eventQueue
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
-type events []event
+type eventQueue []event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *events) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
 // Pop implements heap.Interface.
-func (q *events) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -45,22 +45,22 @@
 	return e
 }
 
-// NewEngine starts virtual time at start.
+// NewEngine returns an Engine whose virtual time begins at start.
 func NewEngine(start time.Duration) *Engine { return &Engine{now: start} }
 
-// Now gives the virtual time.
+// Now returns the virtual time.
 func (e *Engine) Now() time.Duration { return e.now }
 
-// At has do run at a time, or next if that has gone by.
+// At schedules do for the given time, or for now if that time has passed.
 func (e *Engine) At(at time.Duration, do func()) {
-	e.made++
-	heap.Push(&e.queue, event{max(at, e.now), e.made, do})
+	e.created++
+	heap.Push(&e.queue, event{max(at, e.now), e.created, do})
 }
 
-// After has do run after d.
+// After schedules do to run after d.
 func (e *Engine) After(d time.Duration, do func()) { e.At(e.now+d, do) }
 
-// Run runs events until none is left or the next is later than end; it gives how many
+// Run runs events until none is left or the next one is later than end, and returns how many
 // ran.
 func (e *Engine) Run(end time.Duration) (ran int) {
 	for len(e.queue) > 0 && e.queue[0].at <= end {
@@ -73,8 +73,8 @@
 	return ran
 }
 
-// Stream gives a stream of random numbers of its own to each model, so that a change to
-// one does not change what the others draw.
+// Stream returns the random number generator of a model. Each model has its own, so that a
+// change to one model does not change the numbers that the others draw.
 func Stream(seed uint64, model string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, model)
--- a/internal/sim/herd.go
+++ b/internal/sim/herd.go
@@ -12,46 +12,46 @@
 	"otterstep/policy"
 )
 
-// Herd is a whole tier that is killed with its servers and comes back, all at once and cold, while discovery is
-// away and overbooked behind that.
+// Herd is a scenario in which all nodes and servers of a tier are killed and restart at the same time, the servers
+// cold, while discovery is unavailable and then overloaded with calls.
 type Herd struct {
 	Nodes, Servers int
-	Load           float64       // of what the servers can do warm, with a tenth of it for chance; 0.5 is half
-	Away           time.Duration // of discovery, from the kill on
-	Call           time.Duration // of discovery, which works through the nodes' calls in turn
-	For            time.Duration // that is looked at, from the return on
-	Kept           *Kept         // nil: nodes come back knowing nothing
-	Believe        bool          // nodes take what they kept at its word
+	Load           float64       // offered load as a fraction of the warm servers' capacity
+	Away           time.Duration // how long discovery is unavailable, from the kill on
+	Call           time.Duration // duration of a discovery call; calls are handled one at a time
+	For            time.Duration // observed time after the restart
+	Kept           *Kept         // persisted state; nil: nodes restart without any
+	Believe        bool          // nodes trust persisted state as if discovery had confirmed it
 	Comeback       comeback.Habits
-	Fall           float64 // multiple of what a cold server can do that pushes it over; 2 if 0
-	Queue          int     // of each server; 32 if 0
-	Again          int     // all nodes are killed again at so many of the first seconds
-	Cut            bool    // every other server is cut off for the first 3 s
+	Fall           float64 // load, as a multiple of its capacity, that makes a cold server fall over; 2 if 0
+	Queue          int     // queue capacity of each server; 32 if 0
+	Again          int     // all nodes are killed again after each of the first n seconds
+	Cut            bool    // every other server is unreachable for the first 3 s
 }
 
-// HerdResult is how a herd came back. Times count from its return; zero: not within For.
+// HerdResult is the result of a Herd. Times are counted from the restart; zero means not reached within For.
 type HerdResult struct {
-	First, Half, Most, Full time.Duration // of what was served before: any, 50%, 90%, 97%
-	Attempts, Refusals      float64       // for each request served on the way to 90%
+	First, Half, Most, Full time.Duration // until the rate of served requests reached any, 50%, 90%, 97% of the rate before
+	Attempts, Refusals      float64       // per request served until 90% was reached
 	Fell                    int           // servers that were pushed over
-	Broken                  int           // other rules
-	Pushed                  []float64     // of each server: the most that was sent, as a part of what pushes it over
-	Served                  []float64     // by tenths of a second from the return on, as a share of before
+	Broken                  int           // violations of other rules
+	Pushed                  []float64     // peak load of each cold server, as a fraction of the load that makes it fall over
+	Served                  []float64     // served rate in each tenth of a second after the restart, as a fraction of before
 }
 
 const (
-	herdSettles = 8 * time.Second // until the kill
-	herdBefore  = 2 * time.Second // of which so much is the service of before
-	herdDead    = time.Second
-	herdWindow  = 5 // tenths of a second that service is taken over
-	herdCores   = 4
-	herdWork    = 20 * time.Millisecond
+	restartSettleTime    = 8 * time.Second // time before the kill
+	restartReferenceTime = 2 * time.Second // the end of that time, in which the reference rate is measured
+	restartDownTime      = time.Second     // time from the kill to the restart
+	restartRateWindow    = 5               // width of the moving average of the served rate, in tenths of a second
+	restartCores         = 4
+	restartMeanWork      = 20 * time.Millisecond
 )
 
-// Play plays a seed's return.
+// Play simulates the scenario with the given seed.
 func (h Herd) Play(seed uint64) (HerdResult, error) {
 	if h.Nodes < 1 || h.Servers < 1 || h.Load <= 0 || h.For < time.Second || h.Away < 0 || h.Call <= 0 {
-		return HerdResult{}, errors.New("sim: a herd has at least one node and server, a load, a second to come back in, and discovery's calls take a time")
+		return HerdResult{}, errors.New("sim: invalid herd: at least one node and one server, a positive load, at least 1 s after the restart, a non-negative discovery outage and a positive duration of discovery calls are required")
 	}
 	set := policy.Defaults()
 	set.Classes = []policy.Class{
@@ -61,20 +61,20 @@
 	}
 	set.Limits = policy.Limits{MaxAttempts: 4, SecondCopies: true, Cancel: true, MaxRetryAfter: time.Second}
 	set.Rules = policy.Rules{ColdFrom: 0.3, ColdFor: 9 * time.Second, FallMultiple: cmp.Or(h.Fall, 2), FallFor: time.Second, MustAsk: 5 * time.Second}
-	rate := h.Load * float64(h.Servers*herdCores) / herdWork.Seconds()
+	rate := h.Load * float64(h.Servers*restartCores) / restartMeanWork.Seconds()
 	o := Options{
-		Nodes: h.Nodes, Settings: set, For: herdSettles + herdDead + h.For, Kept: h.Kept, Blank: true,
+		Nodes: h.Nodes, Settings: set, For: restartSettleTime + restartDownTime + h.For, Kept: h.Kept, Blank: true,
 		Net:       Network{Latency: Times{Kind: "exponential", Mean: time.Millisecond}},
 		ClientNet: Times{Kind: "constant", Mean: time.Millisecond}, Told: Times{Kind: "uniform", Mean: 100 * time.Millisecond},
 		Asked: true, Call: h.Call, AskWait: 2 * time.Second, Planted: Planted{Believe: h.Believe},
 		Load: Load{Rate: rate, Shares: []float64{0.7, 0.2, 0.1}, Tenants: 5, Skew: 1, Habits: h.Comeback},
 	}
-	service := Times{Kind: "lognormal", Mean: herdWork, Sigma: 0.5}
+	service := Times{Kind: "lognormal", Mean: restartMeanWork, Sigma: 0.5}
 	var servers, nodes, half []int
 	for i := range h.Servers {
 		o.Servers = append(o.Servers, ServerOptions{
 			Entry: policy.Entry{Server: policy.ServerID(i + 1), Zone: i % 2, State: policy.Ready, Weight: 1}, Addr: fmt.Sprint("s", i+1),
-			Parallel: herdCores, Queue: cmp.Or(h.Queue, 32), Service: map[int]Times{0: service, 1: service, 2: service}, Rules: set.Rules,
+			Parallel: restartCores, Queue: cmp.Or(h.Queue, 32), Service: map[int]Times{0: service, 1: service, 2: service}, Rules: set.Rules,
 		})
 		if servers = append(servers, i); i%2 == 1 {
 			half = append(half, i)
@@ -83,11 +83,11 @@
 	for i := range h.Nodes {
 		nodes = append(nodes, i)
 	}
-	back := herdSettles + herdDead
+	back := restartSettleTime + restartDownTime
 	o.Faults = []Fault{
-		{At: herdSettles - 50*time.Millisecond, For: 50*time.Millisecond + herdDead + h.Away, What: "discovery"},
-		{At: herdSettles, For: herdDead, What: "crash", Servers: servers},
-		{At: herdSettles, For: herdDead + 50*time.Millisecond, What: "node-crash", Servers: nodes},
+		{At: restartSettleTime - 50*time.Millisecond, For: 50*time.Millisecond + restartDownTime + h.Away, What: "discovery"},
+		{At: restartSettleTime, For: restartDownTime, What: "crash", Servers: servers},
+		{At: restartSettleTime, For: restartDownTime + 50*time.Millisecond, What: "node-crash", Servers: nodes},
 	}
 	for n := range h.Again {
 		o.Faults = append(o.Faults, Fault{At: back + time.Duration(n+1)*time.Second, For: 50 * time.Millisecond, What: "node-crash", Servers: nodes})
@@ -100,7 +100,7 @@
 		return HerdResult{}, err
 	}
 	tenths := make([]struct{ served, refused float64 }, int(o.For/tenth)+1)
-	w.ended = func(e End) {
+	w.onEnd = func(e End) {
 		at := &tenths[min(int((e.Began+e.Took)/tenth), len(tenths)-1)]
 		switch e.How {
 		case "served":
@@ -121,10 +121,10 @@
 	}
 	slices.Sort(r.Pushed)
 	before := 0.0
-	for _, t := range tenths[int((herdSettles-herdBefore)/tenth):int(herdSettles/tenth)] {
+	for _, t := range tenths[int((restartSettleTime-restartReferenceTime)/tenth):int(restartSettleTime/tenth)] {
 		before += t.served
 	}
-	before /= herdBefore.Seconds() * 10
+	before /= restartReferenceTime.Seconds() * 10
 	from := int(back / tenth)
 	served, refused := 0.0, 0.0
 	for i := from; i < len(tenths)-1; i++ {
@@ -133,10 +133,10 @@
 			r.First = at
 		}
 		window := 0.0
-		for _, t := range tenths[max(from, i-herdWindow+1) : i+1] {
+		for _, t := range tenths[max(from, i-restartRateWindow+1) : i+1] {
 			window += t.served
 		}
-		share := window / herdWindow / before
+		share := window / restartRateWindow / before
 		r.Served = append(r.Served, share)
 		for _, step := range []struct {
 			at    *time.Duration
--- a/internal/sim/ledger.go
+++ b/internal/sim/ledger.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	drainGrace = 500 * time.Millisecond // the rule's
-	lateSend   = 500 * time.Millisecond // an attempt that crosses its request's answer
+	drainGrace = 500 * time.Millisecond // grace period in the rule on drains
+	sendGrace  = 500 * time.Millisecond // grace period for attempts that cross their request's answer
 )
 
-// Ledger feeds the ledger of the four rules with what happens in a World. A record lives
-// for as long as an attempt, a server or a client holds it.
-type Ledger struct {
+// Checker reports the events of a World to the checks of package ledger. A record lives for as
+// long as an attempt, a server or a client references it.
+type Checker struct {
 	*ledger.Ledger
 	engine  *Engine
 	classes []policy.Class
 	open    int
 }
 
-// record is what the ledger knows of a try.
+// record is the ledger's state of one try.
 type record struct {
 	ledger.Record
 	id       uint64
@@ -33,19 +33,19 @@
 
 func (r *record) name() string { return fmt.Sprint("request ", r.id) }
 
-func newLedger(e *Engine, classes []policy.Class) *Ledger {
-	return &Ledger{Ledger: ledger.New(drainGrace, lateSend), engine: e, classes: classes}
+func newChecker(e *Engine, classes []policy.Class) *Checker {
+	return &Checker{Ledger: ledger.New(drainGrace, sendGrace), engine: e, classes: classes}
 }
 
-// begin opens a record.
-func (l *Ledger) begin(id uint64, class int, deadline time.Duration) *record {
+// openRecord opens a record.
+func (l *Checker) openRecord(id uint64, class int, deadline time.Duration) *record {
 	l.open++
 	return &record{id: id, class: class, deadline: deadline}
 }
 
-// end closes a record: its client's time is up, or it has its answer. owed tells whether
-// there had to be one.
-func (l *Ledger) end(r *record, owed bool) {
+// closeRecord closes a record: its deadline has passed, or it has its answer. owed says whether an
+// answer was required.
+func (l *Checker) closeRecord(r *record, owed bool) {
 	l.open--
 	if owed && !r.Answered() {
 		l.Answer(l.engine.Now(), &r.Record, r.name(), ledger.Lost, 0)
@@ -54,8 +54,8 @@
 
 var effects = map[policy.Effect]ledger.Effect{policy.Safe: ledger.Safe, policy.Keyed: ledger.Keyed, policy.Unsafe: ledger.Unsafe}
 
-// ran is told by a server that begins a request; false for a repeat that servers drop.
-func (l *Ledger) ran(r *record, s *Server) bool {
+// ran records that a server begins a request; it returns false for a repeat that servers drop.
+func (l *Checker) ran(r *record, s *Server) bool {
 	if r == nil {
 		return true
 	}
@@ -63,8 +63,8 @@
 	return l.Ran(l.engine.Now(), &r.Record, r.name(), s.opt.Addr, effects[c.Effect], c.Window)
 }
 
-// answered is told by a client of each answer that comes.
-func (l *Ledger) answered(r *record, kind core.Kind) {
+// answered records an answer that has arrived at a client.
+func (l *Checker) answered(r *record, kind core.Kind) {
 	o := ledger.Failed
 	switch kind {
 	case core.Served:
@@ -75,8 +75,8 @@
 	l.Answer(l.engine.Now(), &r.Record, r.name(), o, r.deadline)
 }
 
-// sent is told of each attempt when its first byte leaves the node: drained is when the
-// node was told that the server drains, 0 if it wasn't.
-func (l *Ledger) sent(r *record, s *Server, drained time.Duration) {
+// sent records an attempt whose first byte leaves the node. drained is when the node was told
+// that the server drains; 0 if it was not.
+func (l *Checker) sent(r *record, s *Server, drained time.Duration) {
 	l.Attempt(l.engine.Now(), &r.Record, r.name(), s.opt.Addr, drained)
 }
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -11,57 +11,58 @@
 	"otterstep/policy"
 )
 
-// Network is how messages travel between a node and a server: each way takes a time, and
-// a message that is lost is silence, as TCP's retransmissions come too late to matter.
+// Network models the links between nodes and servers: a latency for each direction, and
+// message loss. A lost message is never delivered, as TCP would retransmit it too late to
+// matter.
 type Network struct {
 	Latency Times
 	Loss    float64
 }
 
-// keepsFrom is how long a node has to have run before it keeps anything, as internal/node has it.
-const keepsFrom = 5 * time.Second
+// minUptimeToSave is how long a node must have run before it persists anything, as in internal/node.
+const minUptimeToSave = 5 * time.Second
 
 // node is one balancer in virtual time.
 type node struct {
-	world    *World
-	index    int
-	decides  balancer
-	rng      *rand.Rand
-	wake     time.Duration // an event is due then; 0 for none
-	drained  map[policy.ServerID]time.Duration
-	cut      map[*Server]bool // nothing gets from here to there
-	open     map[*try]bool
-	down     bool
-	watches  bool // where discovery must be asked: changes come
-	doubts   bool // what it was told last was its own
-	heard    bool // discovery, since the start
-	began    time.Duration
-	learnt   *policy.Memory // what it has kept, as of learntAt
-	learntAt time.Duration
-	life     int
+	world          *World
+	index          int
+	balancer       balancer
+	rng            *rand.Rand
+	wakeAt         time.Duration                     // when the next timer event is scheduled; 0: none
+	notReadySince  map[policy.ServerID]time.Duration // when it was told that a server is not ready
+	cutOff         map[*Server]bool                  // servers it cannot reach
+	open           map[*try]bool
+	down           bool
+	watching       bool // with Options.Asked: it receives list changes
+	restoringList  bool // the list being delivered is restored, not confirmed by discovery
+	discoveryHeard bool // discovery has answered since the start
+	started        time.Duration
+	saved          *policy.Memory // persisted at learntAt
+	savedAt        time.Duration
+	incarnation    int
 }
 
 func newNode(w *World, index int) (*node, error) {
-	n := &node{world: w, index: index, rng: Stream(w.seed, fmt.Sprint("node ", index)), cut: map[*Server]bool{}}
+	n := &node{world: w, index: index, rng: Stream(w.seed, fmt.Sprint("node ", index)), cutOff: map[*Server]bool{}}
 	return n, n.start()
 }
 
-// start makes the node's balancer anew, as a process that knows nothing.
+// start gives the node a new balancer, as a process without any state.
 func (n *node) start() error {
 	b, err := newBalancer(n.world, n.world.opt.Policy, n.index%n.world.zones, n.rng)
-	n.decides, n.wake, n.down, n.watches, n.heard, n.began = b, 0, false, false, false, n.world.engine.Now()
-	n.drained, n.open = map[policy.ServerID]time.Duration{}, map[*try]bool{}
-	n.life++
+	n.balancer, n.wakeAt, n.down, n.watching, n.discoveryHeard, n.started = b, 0, false, false, false, n.world.engine.Now()
+	n.notReadySince, n.open = map[policy.ServerID]time.Duration{}, map[*try]bool{}
+	n.incarnation++
 	return err
 }
 
-// did carries out what the balancer says after an event, and sets its alarm.
-func (n *node) did() {
+// afterEvent performs the balancer's actions after an event and schedules its next timer.
+func (n *node) afterEvent() {
 	e := n.world.engine
-	for _, a := range n.decides.acts() {
+	for _, a := range n.balancer.actions() {
 		switch {
 		case a.watch:
-			n.world.list.ask(n)
+			n.world.discovery.handleCall(n)
 		case a.attempt != nil:
 			n.attempt(a.attempt)
 		default:
@@ -69,24 +70,24 @@
 			n.answer(a.try, a.answer)
 		}
 	}
-	due, ok := n.decides.due()
-	if !ok || n.wake != 0 && n.wake <= due {
+	due, ok := n.balancer.due()
+	if !ok || n.wakeAt != 0 && n.wakeAt <= due {
 		return
 	}
-	n.wake = max(due, e.Now())
-	life, at := n.life, n.wake
+	n.wakeAt = max(due, e.Now())
+	life, at := n.incarnation, n.wakeAt
 	e.At(at, func() {
-		if n.life != life || n.down || n.wake != at {
+		if n.incarnation != life || n.down || n.wakeAt != at {
 			return
 		}
-		n.wake = 0
-		for n.decides.tick(e.Now()) {
+		n.wakeAt = 0
+		for n.balancer.tick(e.Now()) {
 		}
-		n.did()
+		n.afterEvent()
 	})
 }
 
-// answer brings a client its answer.
+// answer delivers an answer to its client.
 func (n *node) answer(t *try, a core.Answer) {
 	p := n.world.opt.Planted
 	if p.Swallow > 0 && t.record.id%uint64(p.Swallow) == 0 {
@@ -100,7 +101,7 @@
 	})
 }
 
-// members tells the node of servers.
+// members delivers a server list, or changes to it, to the node.
 func (n *node) members(kind policy.ListKind, servers []*Server) {
 	if n.down {
 		return
@@ -108,58 +109,58 @@
 	entries, addrs := make([]policy.Entry, len(servers)), make([]string, len(servers))
 	for i, s := range servers {
 		e := s.listed
-		e.Doubted = n.doubts && !n.world.opt.Planted.Believe
+		e.Doubted = n.restoringList && !n.world.opt.Planted.Believe
 		entries[i], addrs[i] = e, s.opt.Addr
 		if e.State == policy.Ready {
-			delete(n.drained, e.Server)
-		} else if n.drained[e.Server] == 0 {
-			n.drained[e.Server] = n.world.engine.Now()
+			delete(n.notReadySince, e.Server)
+		} else if n.notReadySince[e.Server] == 0 {
+			n.notReadySince[e.Server] = n.world.engine.Now()
 		}
 	}
 	if n.world.opt.Planted.Deaf && kind == policy.ListDelta {
 		return
 	}
-	n.heard = n.heard || kind == policy.ListFull || kind == policy.ListDelta
-	n.decides.members(n.world.engine.Now(), kind, entries, addrs)
-	n.did()
+	n.discoveryHeard = n.discoveryHeard || kind == policy.ListFull || kind == policy.ListDelta
+	n.balancer.members(n.world.engine.Now(), kind, entries, addrs)
+	n.afterEvent()
 }
 
-// submit takes a client's try.
+// submit receives a client's try.
 func (n *node) submit(t *try) {
 	if n.down {
-		t.gone()
+		t.nodeCrashed()
 		return
 	}
 	n.open[t] = true
-	n.decides.submit(n.world.engine.Now(), t)
-	n.did()
+	n.balancer.submit(n.world.engine.Now(), t)
+	n.afterEvent()
 }
 
-// left tells the node that a try's client went away.
-func (n *node) left(t *try) {
+// clientGone reports to the node that a try's client has disconnected.
+func (n *node) clientGone(t *try) {
 	if n.open[t] {
 		delete(n.open, t)
-		n.decides.left(n.world.engine.Now(), t)
-		n.did()
+		n.balancer.clientGone(n.world.engine.Now(), t)
+		n.afterEvent()
 	}
 }
 
-// comeBack begins with what was kept, if that is of use, as internal/node does.
-func (n *node) comeBack() {
+// restore restores persisted state if it is usable, as internal/node does.
+func (n *node) restore() {
 	k, now := n.world.opt.Kept, n.world.engine.Now()
-	if k == nil || n.learnt == nil || n.rng.Float64() < k.Spoilt {
+	if k == nil || n.saved == nil || n.rng.Float64() < k.Spoilt {
 		n.members(policy.ListCached, nil)
 		return
 	}
-	age := confidence.Age{For: now - n.learntAt + k.Older, Sure: true}
+	age := confidence.Age{For: now - n.savedAt + k.Older, Sure: true}
 	if confidence.Judge(confidence.Line{}, age, false, nil, nil) != confidence.Unconfirmed {
 		n.members(policy.ListCached, nil)
 		return
 	}
-	n.doubts = true
+	n.restoringList = true
 	n.members(policy.ListCached, n.world.servers)
-	n.doubts = false
-	m, ok := n.decides.(*ours)
+	n.restoringList = false
+	m, ok := n.balancer.(*machineBalancer)
 	if !ok {
 		return
 	}
@@ -169,21 +170,21 @@
 			ages[s.listed.Server] = max(1, now-s.listed.Started)
 		}
 	}
-	if err := m.machine.Recall(now, confidence.Fade(*n.learnt, m.machine.Learnt(now), age, ages)); err != nil {
-		panic(err) // it was a Machine's own
+	if err := m.machine.Restore(now, confidence.Fade(*n.saved, m.machine.Learned(now), age, ages)); err != nil {
+		panic(err) // cannot happen: the memory came from a Machine
 	}
-	n.did()
+	n.afterEvent()
 }
 
-// crash ends the node: what it held is gone, its clients see that.
+// crash ends the node's process: its open requests are lost, and their clients notice.
 func (n *node) crash() {
-	settled := n.heard && n.world.engine.Now()-n.began >= keepsFrom
-	if m, ok := n.decides.(*ours); ok && n.world.opt.Kept != nil && settled {
-		mem := m.machine.Learnt(n.world.engine.Now())
-		n.learnt, n.learntAt = &mem, n.world.engine.Now()
+	settled := n.discoveryHeard && n.world.engine.Now()-n.started >= minUptimeToSave
+	if m, ok := n.balancer.(*machineBalancer); ok && n.world.opt.Kept != nil && settled {
+		mem := m.machine.Learned(n.world.engine.Now())
+		n.saved, n.savedAt = &mem, n.world.engine.Now()
 	}
 	n.down = true
-	n.life++
+	n.incarnation++
 	lost := make([]*try, 0, len(n.open))
 	for t := range n.open {
 		lost = append(lost, t)
@@ -191,32 +192,32 @@
 	clear(n.open)
 	sortTries(lost)
 	for _, t := range lost {
-		t.gone()
+		t.nodeCrashed()
 	}
 }
 
-// attempt carries one attempt to its server and its outcome back. The request has not
-// run before the server has it; a connection costs a way there and back.
+// attempt delivers one attempt to its server and returns its outcome to the balancer. Setting
+// up the connection takes one round trip.
 func (n *node) attempt(a *attempt) {
 	w := n.world
 	e := w.engine
 	t := a.try
 	s := w.byID[a.to]
-	life := n.life
+	life := n.incarnation
 	finish := func(status policy.Status) {
-		if n.life == life && !n.down {
-			n.decides.finished(e.Now(), a, status)
-			n.did()
+		if n.incarnation == life && !n.down {
+			n.balancer.finished(e.Now(), a, status)
+			n.afterEvent()
 		}
 	}
 	way := func() time.Duration { return w.opt.Net.Latency.Draw(n.rng) }
-	lost := func() bool { return n.cut[s] || s.mute || w.opt.Net.Loss > 0 && n.rng.Float64() < w.opt.Net.Loss }
+	lost := func() bool { return n.cutOff[s] || s.mute || w.opt.Net.Loss > 0 && n.rng.Float64() < w.opt.Net.Loss }
 	e.After(2*way(), func() {
 		switch {
-		case n.life != life:
+		case n.incarnation != life:
 			return
 		case lost():
-			return // the connection never comes up: the Machine gives it up
+			return // the connection is never established; the balancer's time-out ends the attempt
 		case s.down:
 			finish(policy.ConnectFailed)
 			return
@@ -225,24 +226,24 @@
 			return
 		}
 		w.results.attempted(w.since())
-		w.ledger.sent(t.record, s, n.drained[a.to])
-		serverLife := s.life
+		w.checker.sent(t.record, s, n.notReadySince[a.to])
+		serverLife := s.incarnation
 		e.After(way(), func() {
-			if s.life != serverLife {
+			if s.incarnation != serverLife {
 				finish(policy.Reset)
 				return
 			}
 			j := &job{
-				class: t.class, req: t.record,
+				class: t.class, record: t.record,
 				done: func(status policy.Status) {
 					if !lost() {
 						e.After(way(), func() { finish(status) })
 					}
 				},
-				broken: func() { e.After(way(), func() { finish(policy.Reset) }) },
+				onCrash: func() { e.After(way(), func() { finish(policy.Reset) }) },
 			}
 			s.receive(j)
-			if w.opt.Planted.Again && w.troubled() && w.settings.Classes[j.class].Effect == policy.Unsafe {
+			if w.opt.Planted.Again && w.anyUnreachable() && w.settings.Classes[j.class].Effect == policy.Unsafe {
 				twin := *j
 				s.receive(&twin)
 			}
@@ -250,7 +251,7 @@
 	})
 }
 
-// Attempt implements core.Message; in virtual time the node carries attempts itself.
+// Attempt implements core.Message. It is never called, since node.attempt simulates attempts.
 func (t *try) Attempt(context.Context, core.Server, time.Time, core.Turn) core.Reply {
 	panic("sim: a Machine makes no attempts")
 }
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -12,60 +12,61 @@
 	"otterstep/policy"
 )
 
-// Policies are the words for what may decide in a node. Ours is the module; the others
-// are what people pick instead, each with plain retries at once, and with "+budget" with
-// retries of a fifth of the requests at most.
+// Policies lists the balancing policies of nodes. "ours" is the decision module; the others
+// are common baselines with immediate retries, and those with "+budget" limit retries to a
+// fifth of the requests.
 var Policies = []string{
 	"ours", "random", "round-robin", "least", "two-choices", "peak-ewma",
 	"random+budget", "round-robin+budget", "least+budget", "two-choices+budget", "peak-ewma+budget",
 }
 
 const (
-	budgetShare = 0.2              // retries a request
-	budgetMost  = 10.0             // saved up
-	ewmaSpan    = 10 * time.Second // of peak EWMA's decay
-	watchAgain  = time.Second      // after a call for the list that failed
+	retryTokensPerRequest = 0.2              // retry tokens earned per request
+	maxRetryTokens        = 10.0             // most tokens that can accumulate
+	ewmaDecay             = 10 * time.Second // decay time constant of peak EWMA
+	watchRetryInterval    = time.Second      // retry interval after a failed call for the server list
 )
 
-// plain is a balancer as most libraries have it: a choice of server, a time-out for each
-// attempt, retries at another server at once where a class may run twice.
-type plain struct {
-	world   *World
-	rng     *rand.Rand
-	choice  string
-	budget  bool
-	tokens  float64
-	servers []*plainServer // ready, in the order of the list
-	byID    map[policy.ServerID]*plainServer
-	next    int
-	pending map[*try]*plainTry
-	timers  events
-	made    uint64
-	out     []act
+// baseline is a baseline balancer like those of common libraries: it chooses a server, limits
+// each attempt by a time-out, and retries immediately at another server if the class may run
+// twice.
+type baseline struct {
+	world          *World
+	rng            *rand.Rand
+	choice         string
+	budget         bool
+	tokens         float64
+	servers        []*baselineServer // ready ones, in list order
+	byID           map[policy.ServerID]*baselineServer
+	next           int
+	pending        map[*try]*baselineTry
+	timers         eventQueue
+	timersCreated  uint64
+	pendingActions []action
 }
 
-type plainServer struct {
-	entry policy.Entry
-	out   int
-	ewma  float64 // seconds
-	at    time.Duration
+type baselineServer struct {
+	entry     policy.Entry
+	inFlight  int
+	ewma      float64 // seconds
+	updatedAt time.Duration
 }
 
-type plainTry struct {
-	attempts []*attempt
-	ran      bool // it may have
-	answered bool
+type baselineTry struct {
+	attempts   []*attempt
+	mayHaveRun bool // a server may have run it
+	answered   bool
 }
 
-// newBalancer makes what a policy's word names, for a node in a zone.
+// newBalancer creates the balancer with the named policy for a node in the given zone.
 func newBalancer(w *World, word string, zone int, rng *rand.Rand) (balancer, error) {
 	if word == "" || word == "ours" {
-		return newOurs(w, zone, rng.Uint64())
+		return newMachineBalancer(w, zone, rng.Uint64())
 	}
 	if !slices.Contains(Policies, word) {
 		return nil, fmt.Errorf("policy %q is none of %v", word, Policies)
 	}
-	p := &plain{world: w, rng: rng, choice: word, byID: map[policy.ServerID]*plainServer{}, pending: map[*try]*plainTry{}, tokens: budgetMost}
+	p := &baseline{world: w, rng: rng, choice: word, byID: map[policy.ServerID]*baselineServer{}, pending: map[*try]*baselineTry{}, tokens: maxRetryTokens}
 	if cut, ok := cutBudget(word); ok {
 		p.choice, p.budget = cut, true
 	}
@@ -80,75 +81,75 @@
 	return word, false
 }
 
-func (p *plain) members(now time.Duration, kind policy.ListKind, entries []policy.Entry, _ []string) {
+func (p *baseline) members(now time.Duration, kind policy.ListKind, entries []policy.Entry, _ []string) {
 	switch kind {
 	case policy.ListFull:
 		p.servers = nil
 	case policy.ListCached:
 		p.servers = nil
-		p.out = append(p.out, act{watch: true})
+		p.pendingActions = append(p.pendingActions, action{watch: true})
 	case policy.ListFailed:
-		p.after(now+watchAgain, func() { p.out = append(p.out, act{watch: true}) })
+		p.after(now+watchRetryInterval, func() { p.pendingActions = append(p.pendingActions, action{watch: true}) })
 	}
 	for _, e := range entries {
 		s := p.byID[e.Server]
 		if s == nil {
-			s = &plainServer{}
+			s = &baselineServer{}
 			p.byID[e.Server] = s
 		}
 		s.entry = e
-		p.servers = slices.DeleteFunc(p.servers, func(o *plainServer) bool { return o == s })
+		p.servers = slices.DeleteFunc(p.servers, func(o *baselineServer) bool { return o == s })
 		if e.State == policy.Ready {
 			p.servers = append(p.servers, s)
 		}
 	}
 }
 
-func (p *plain) after(at time.Duration, do func()) {
-	p.made++
-	heap.Push(&p.timers, event{at, p.made, do})
+func (p *baseline) after(at time.Duration, do func()) {
+	p.timersCreated++
+	heap.Push(&p.timers, event{at, p.timersCreated, do})
 }
 
-func (p *plain) submit(now time.Duration, t *try) {
-	p.tokens = min(budgetMost, p.tokens+budgetShare)
-	q := &plainTry{}
+func (p *baseline) submit(now time.Duration, t *try) {
+	p.tokens = min(maxRetryTokens, p.tokens+retryTokensPerRequest)
+	q := &baselineTry{}
 	p.pending[t] = q
 	p.after(t.deadline-4*time.Millisecond, func() { p.answer(t, q, core.Overdue) })
 	p.send(now, t, q)
 }
 
-func (p *plain) left(_ time.Duration, t *try) {
+func (p *baseline) clientGone(_ time.Duration, t *try) {
 	if q := p.pending[t]; q != nil {
 		q.answered = true
 		delete(p.pending, t)
 	}
 }
 
-func (p *plain) answer(t *try, q *plainTry, kind core.Kind) {
+func (p *baseline) answer(t *try, q *baselineTry, kind core.Kind) {
 	if q.answered {
 		return
 	}
 	q.answered = true
 	delete(p.pending, t)
-	p.out = append(p.out, act{try: t, answer: core.Answer{Kind: kind, RetryAfter: map[core.Kind]time.Duration{core.Refused: p.world.settings.Limits.MaxRetryAfter}[kind]}})
+	p.pendingActions = append(p.pendingActions, action{try: t, answer: core.Answer{Kind: kind, RetryAfter: map[core.Kind]time.Duration{core.Refused: p.world.settings.Limits.MaxRetryAfter}[kind]}})
 }
 
-// send makes the next attempt, or gives the final answer.
-func (p *plain) send(now time.Duration, t *try, q *plainTry) {
+// send starts the next attempt, or gives the final answer if no server is available.
+func (p *baseline) send(now time.Duration, t *try, q *baselineTry) {
 	s := p.pick(now, q)
 	if s == nil {
 		kind := core.Failed
-		if !q.ran {
+		if !q.mayHaveRun {
 			kind = core.Refused
 		}
 		p.answer(t, q, kind)
 		return
 	}
-	a := &attempt{try: t, to: s.entry.Server, plain: s, sent: now}
-	a.begin = func() bool { return !a.over }
+	a := &attempt{try: t, to: s.entry.Server, server: s, sent: now}
+	a.begin = func() bool { return !a.ended }
 	q.attempts = append(q.attempts, a)
-	s.out++
-	p.out = append(p.out, act{attempt: a})
+	s.inFlight++
+	p.pendingActions = append(p.pendingActions, action{attempt: a})
 	c := p.world.settings.Classes[t.class]
 	wait := t.deadline - now
 	if c.Effect != policy.Unsafe {
@@ -157,22 +158,22 @@
 	p.after(now+wait, func() { p.finished(now+wait, a, policy.Timeout) })
 }
 
-func (p *plain) finished(now time.Duration, a *attempt, status policy.Status) {
-	if a.over {
+func (p *baseline) finished(now time.Duration, a *attempt, status policy.Status) {
+	if a.ended {
 		return
 	}
-	a.over = true
-	s := a.plain
-	s.out--
+	a.ended = true
+	s := a.server
+	s.inFlight--
 	took := (now - a.sent).Seconds()
 	if status != policy.OK && status != policy.Timeout {
-		took = max(took, p.world.settings.Classes[a.try.class].Aim.Seconds()) // a failure is no fast answer
+		took = max(took, p.world.settings.Classes[a.try.class].Aim.Seconds()) // do not let a fast failure count as a fast answer
 	}
-	gone := (now - s.at).Seconds()
-	if s.at = now; took > s.ewma {
-		s.ewma = took // peaks count at once
+	gone := (now - s.updatedAt).Seconds()
+	if s.updatedAt = now; took > s.ewma {
+		s.ewma = took // peaks take effect immediately
 	} else {
-		keep := math.Exp(-gone / ewmaSpan.Seconds())
+		keep := math.Exp(-gone / ewmaDecay.Seconds())
 		s.ewma = s.ewma*keep + took*(1-keep)
 	}
 	q := p.pending[a.try]
@@ -184,8 +185,8 @@
 		return
 	}
 	set := p.world.settings
-	q.ran = q.ran || status != policy.Full && status != policy.ConnectFailed && status != policy.Moot
-	again := len(q.attempts) < set.Limits.MaxAttempts && !(q.ran && set.Classes[a.try.class].Effect == policy.Unsafe)
+	q.mayHaveRun = q.mayHaveRun || status != policy.Full && status != policy.ConnectFailed && status != policy.Moot
+	again := len(q.attempts) < set.Limits.MaxAttempts && !(q.mayHaveRun && set.Classes[a.try.class].Effect == policy.Unsafe)
 	if again && p.budget {
 		if again = p.tokens >= 1; again {
 			p.tokens--
@@ -193,7 +194,7 @@
 	}
 	if !again {
 		kind := core.Failed
-		if !q.ran {
+		if !q.mayHaveRun {
 			kind = core.Refused
 		}
 		p.answer(a.try, q, kind)
@@ -202,10 +203,10 @@
 	p.send(now, a.try, q)
 }
 
-// pick chooses among the ready servers, but for those tried if there are others.
-func (p *plain) pick(now time.Duration, q *plainTry) *plainServer {
-	choices := slices.DeleteFunc(slices.Clone(p.servers), func(s *plainServer) bool {
-		return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.plain == s })
+// pick chooses a ready server, preferring those that the request has not tried yet.
+func (p *baseline) pick(now time.Duration, q *baselineTry) *baselineServer {
+	choices := slices.DeleteFunc(slices.Clone(p.servers), func(s *baselineServer) bool {
+		return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.server == s })
 	})
 	if len(choices) == 0 {
 		choices = p.servers
@@ -214,7 +215,7 @@
 	if n == 0 {
 		return nil
 	}
-	cost := func(s *plainServer) float64 { return float64(s.out) }
+	cost := func(s *baselineServer) float64 { return float64(s.inFlight) }
 	switch p.choice {
 	case "random":
 		return choices[p.rng.IntN(n)]
@@ -225,14 +226,14 @@
 		from := p.rng.IntN(n) // ties are broken at random
 		best := choices[from]
 		for i := range n {
-			if s := choices[(from+i)%n]; s.out < best.out {
+			if s := choices[(from+i)%n]; s.inFlight < best.inFlight {
 				best = s
 			}
 		}
 		return best
 	case "peak-ewma":
-		cost = func(s *plainServer) float64 {
-			return s.ewma * math.Exp(-(now-s.at).Seconds()/ewmaSpan.Seconds()) * float64(s.out+1)
+		cost = func(s *baselineServer) float64 {
+			return s.ewma * math.Exp(-(now-s.updatedAt).Seconds()/ewmaDecay.Seconds()) * float64(s.inFlight+1)
 		}
 	}
 	a, b := choices[p.rng.IntN(n)], choices[p.rng.IntN(n)]
@@ -242,7 +243,7 @@
 	return a
 }
 
-func (p *plain) tick(now time.Duration) bool {
+func (p *baseline) tick(now time.Duration) bool {
 	if len(p.timers) == 0 || p.timers[0].at > now {
 		return false
 	}
@@ -250,15 +251,15 @@
 	return true
 }
 
-func (p *plain) due() (time.Duration, bool) {
+func (p *baseline) due() (time.Duration, bool) {
 	if len(p.timers) == 0 {
 		return 0, false
 	}
 	return p.timers[0].at, true
 }
 
-func (p *plain) acts() []act {
-	a := p.out
-	p.out = nil
+func (p *baseline) actions() []action {
+	a := p.pendingActions
+	p.pendingActions = nil
 	return a
 }
--- a/internal/sim/results.go
+++ b/internal/sim/results.go
@@ -7,54 +7,55 @@
 	"otterstep/internal/ledger"
 )
 
-// Results are what came of a run, in virtual time or on sockets. Make them with NewResults.
+// Results are the results of a run, in virtual time or on sockets. Use NewResults to create
+// them.
 type Results struct {
-	Asked    uint64                   `json:"asked"`     // requests, counted once however often they were tried
-	Tries    uint64                   `json:"tries"`     // requests at nodes
-	Attempts uint64                   `json:"attempts"`  // requests at servers
-	Counted  uint64                   `json:"counted"`   // that began after the warm-up
-	Within   uint64                   `json:"within"`    // served within their aim
-	Ends     map[string]uint64        `json:"ends"`      // by how they ended
-	Seconds  []Second                 `json:"seconds"`   // by when they began
-	Broken   map[ledger.Breach]int    `json:"broken"`    // how often
-	First    string                   `json:"first"`     // breach
-	Work     map[string]time.Duration `json:"work"`      // done by each server
-	ColdOver float64                  `json:"cold_over"` // requests of mean work to one cold server beyond what the rules allow and chance explains; 0: none
-	Pushed   map[string]float64       `json:"pushed"`    // most work sent to each while cold, as a part of what pushes it over
-	Digest   string                   `json:"digest"`    // of all ends in their order
-	Events   int                      `json:"events"`    // of the simulation
+	Asked    uint64                   `json:"asked"`     // requests, each counted once regardless of its tries
+	Tries    uint64                   `json:"tries"`     // requests sent to nodes
+	Attempts uint64                   `json:"attempts"`  // requests sent to servers
+	Counted  uint64                   `json:"counted"`   // requests that began after the warm-up
+	Within   uint64                   `json:"within"`    // requests served within their aim
+	Ends     map[string]uint64        `json:"ends"`      // requests by how they ended
+	Seconds  []Second                 `json:"seconds"`   // by the second in which requests began
+	Broken   map[ledger.Breach]int    `json:"broken"`    // rule violations by kind
+	First    string                   `json:"first"`     // description of the first violation
+	Work     map[string]time.Duration `json:"work"`      // work done by each server
+	ColdOver float64                  `json:"cold_over"` // largest excess at one cold server beyond what the rules allow plus random variation, in requests of mean work; 0: none
+	Pushed   map[string]float64       `json:"pushed"`    // peak load of each cold server, as a fraction of the load that makes it fall over
+	Digest   string                   `json:"digest"`    // hash of all ended requests in their order
+	Events   int                      `json:"events"`    // simulation events that ran
 	Open     int                      `json:"open"`      // records that the ledger still held
-	P50, P99 time.Duration            `json:",omitzero"` // of served ones
+	P50, P99 time.Duration            `json:",omitzero"` // latency quantiles of served requests
 
-	warm   time.Duration
+	warmUp time.Duration
 	served *latency.Histogram
 }
 
-// Second is one second of a run: the requests that began in it, and how these ended.
+// Second holds the requests that began in one second of a run, by how they ended.
 type Second struct {
 	Asked, Within, Refused, Failed uint64
-	Tries, Attempts                uint64        // at nodes, and at servers
-	P50, P99                       time.Duration `json:",omitzero"` // of the served ones
+	Tries, Attempts                uint64        // requests sent to nodes and to servers
+	P50, P99                       time.Duration `json:",omitzero"` // latency quantiles of served requests
 
 	served *latency.Histogram
 }
 
-// NewResults makes empty ones of a run whose first part, warm, does not count.
+// NewResults returns empty results of a run whose warm-up is left out of the counts.
 func NewResults(warm time.Duration) *Results {
-	return &Results{Ends: map[string]uint64{}, warm: warm, served: latency.New(3)}
+	return &Results{Ends: map[string]uint64{}, warmUp: warm, served: latency.New(3)}
 }
 
-// End is how a request ended, over all of its tries.
+// End is the end of a request, across all of its tries.
 type End struct {
 	Began time.Duration // since the run's start
 	Took  time.Duration
 	Aim   time.Duration
-	How   string // "served", "refused", or another word of why not
+	How   string // "served", "refused", or another reason for failure
 }
 
-// Take takes the end of a request.
+// Take records the end of a request.
 func (r *Results) Take(e End) {
-	counts := e.Began >= r.warm
+	counts := e.Began >= r.warmUp
 	if counts {
 		r.Counted++
 		r.Ends[e.How]++
@@ -83,19 +84,19 @@
 	}
 }
 
-// Tried notes a request at a node.
+// Tried records a request sent to a node.
 func (r *Results) Tried(since time.Duration) {
 	r.Tries++
 	r.second(since).Tries++
 }
 
-// attempted notes a request at a server.
+// attempted records a request sent to a server.
 func (r *Results) attempted(since time.Duration) {
 	r.Attempts++
 	r.second(since).Attempts++
 }
 
-// second gives the second that a time since the start falls into.
+// second returns the entry for a time since the start.
 func (r *Results) second(since time.Duration) *Second {
 	n := max(0, int(since/time.Second))
 	for n >= len(r.Seconds) {
@@ -104,14 +105,14 @@
 	return &r.Seconds[n]
 }
 
-// Judged takes the ledger's account.
+// Judged records the result of the rule checks.
 func (r *Results) Judged(l ledger.Report) {
 	if r.Broken = l.Broken; len(l.Words) > 0 {
 		r.First = l.Words[0]
 	}
 }
 
-// Finish works out the quantiles, once all is taken.
+// Finish computes the quantiles after everything has been recorded.
 func (r *Results) Finish() {
 	r.P50, r.P99 = r.served.Quantile(0.5), r.served.Quantile(0.99)
 	for i := range r.Seconds {
@@ -121,8 +122,8 @@
 	}
 }
 
-// Share is the part of the counted requests that were served within their aim.
+// Share returns the fraction of the counted requests that were served within their aim.
 func (r *Results) Share() float64 { return float64(r.Within) / float64(max(1, r.Counted)) }
 
-// PerRequest gives the attempts that a request at a node made at servers, on average.
+// PerRequest returns the mean number of attempts per request sent to a node.
 func (r *Results) PerRequest() float64 { return float64(r.Attempts) / float64(max(1, r.Tries)) }
--- a/internal/sim/times.go
+++ b/internal/sim/times.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Times is a distribution of times.
+// Times is a distribution of durations.
 type Times struct {
 	Kind  string        // constant, exponential, lognormal or uniform
-	Mean  time.Duration // of any kind
-	Sigma float64       // of lognormal: the deviation of the logarithm
+	Mean  time.Duration // for every kind
+	Sigma float64       // lognormal: the standard deviation of the logarithm
 }
 
-// Check returns an error that names what is impossible.
+// Check returns an error if a parameter is invalid.
 func (t Times) Check() error {
 	switch t.Kind {
 	case "constant", "exponential", "uniform":
 	case "lognormal":
 		if !(t.Sigma > 0 && t.Sigma < 4) {
-			return fmt.Errorf("sigma %v: a lognormal one is above 0 and below 4", t.Sigma)
+			return fmt.Errorf("sigma %v: a lognormal distribution needs one above 0 and below 4", t.Sigma)
 		}
 	default:
 		return fmt.Errorf("%q is none of constant, exponential, lognormal and uniform", t.Kind)
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Draw gives one time.
+// Draw returns a random duration from the distribution.
 func (t Times) Draw(rng *rand.Rand) time.Duration {
 	mean := float64(t.Mean)
 	switch t.Kind {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -12,93 +12,93 @@
 	"otterstep/policy"
 )
 
-// Planted are faults of the node itself: tests show by them that the ledger and a hunt see
-// such faults. No file can ask for one.
+// Planted holds defects of the node itself, which tests use to show that the rule checks and
+// a fault search detect them. Experiment files cannot set them.
 type Planted struct {
-	Echo    bool // each answer comes twice
-	Swallow int  // each so many-th request gets no answer; 0: none
-	Again   bool // servers get unsafe requests twice while a machine is silent or cut off
-	Deaf    bool // nodes are told of drains and go on as before
-	Believe bool // nodes take what they kept at its word
+	Echo    bool // each answer is delivered twice
+	Swallow int  // every n-th request gets no answer; 0: off
+	Again   bool // servers get unsafe requests twice while a machine is mute or cut off
+	Deaf    bool // nodes ignore updates of the server list, such as drains
+	Believe bool // nodes trust restored state as if discovery had confirmed it
 }
 
-// leastTurn of a server that flaps.
-const leastTurn = 50 * time.Millisecond
+// minFlapInterval is the shortest interval between the state changes of a flapping server.
+const minFlapInterval = 50 * time.Millisecond
 
 // Options describe a world.
 type Options struct {
 	Nodes     int
 	Servers   []ServerOptions
-	Settings  policy.Settings // of the nodes; Nodes is put in
-	Policy    string          // what decides in them, one of Policies; "" for ours
+	Settings  policy.Settings // of the nodes; Nodes is filled in
+	Policy    string          // the balancing policy of the nodes, one of Policies; "" for "ours"
 	Net       Network         // between nodes and servers
-	ClientNet Times           // one way between clients and nodes
-	Told      Times           // how late a node hears of a change of the list
+	ClientNet Times           // one-way latency between clients and nodes
+	Told      Times           // delay until a node receives a change of the server list
 	Load      Load
 	For       time.Duration
-	Warm      time.Duration // at the start that does not count in the results
+	Warm      time.Duration // warm-up at the start that is left out of the results
 	Faults    []Fault
-	// Asked makes discovery one service for all nodes, which they have to ask: it works
-	// through calls in turn, Call each, and turns away what would wait for over AskWait.
-	// Else lists are pushed.
+	// Asked makes discovery a single service that nodes must query: it handles calls one at
+	// a time, Call each, and rejects those that would wait longer than AskWait. Otherwise
+	// lists are pushed to the nodes.
 	Asked         bool
 	Call, AskWait time.Duration
-	// Kept, if set, has nodes keep the list and what they learn, and begin with that when they start while
-	// discovery is away, or has to be asked.
+	// Kept, if set, makes nodes persist the server list and what they learn, and restore both when they start while
+	// discovery is unavailable or must be queried.
 	Kept *Kept
-	// Blank has nodes that start again know nothing until discovery has answered.
+	// Blank makes restarted nodes start without a server list until discovery has answered.
 	Blank   bool
 	Planted Planted
 }
 
-// Kept is what becomes of what nodes keep.
+// Kept describes the condition of the persisted state that restarted nodes find.
 type Kept struct {
-	Older  time.Duration // what was kept is so much older than the run says
-	Spoilt float64       // share of the nodes that find nothing they can use
+	Older  time.Duration // added to the age of the persisted state
+	Spoilt float64       // share of the nodes whose persisted state is unusable
 }
 
-// Fault is one thing that goes wrong, or right again, at a time.
+// Fault is a fault that is injected at a given time.
 type Fault struct {
 	At      time.Duration // from the start
-	For     time.Duration // then it is undone; 0: it stays
-	What    string        // see Faults
-	Servers []int         // which; of node faults: which nodes
-	Amount  float64       // slow: times as long; fail: share
+	For     time.Duration // after which it is undone; 0: it is permanent
+	What    string        // one of Faults
+	Servers []int         // indices of the affected servers, or nodes for "node-crash"
+	Amount  float64       // slow: slowdown factor; fail: share of requests; flap: interval in seconds
 }
 
-// Faults are the words for what can go wrong.
+// Faults lists the kinds of faults.
 var Faults = []string{"hang", "slow", "fail", "crash", "mute", "drain", "cut", "node-crash", "discovery", "stale", "flap"}
 
-// Broad tells that a fault is discovery's and names no servers.
+// Broad reports whether a fault affects discovery and hence names no servers.
 func Broad(what string) bool { return what == "discovery" || what == "stale" }
 
-// World is one simulated installation. Make it with New, then Run it once.
+// World is one simulated installation. Create it with New and Run it once.
 type World struct {
-	opt      Options
-	settings policy.Settings
-	seed     uint64
-	start    time.Duration
-	engine   *Engine
-	ledger   *Ledger
-	servers  []*Server
-	byID     map[policy.ServerID]*Server
-	nodes    []*node
-	clients  *clients
-	results  *Results
-	sum      hash.Hash64 // of all ends
-	list     *discovery
-	ids      uint64
-	zones    int // nodes stand in them by turns
-	ended    func(End)
+	opt       Options
+	settings  policy.Settings
+	seed      uint64
+	start     time.Duration
+	engine    *Engine
+	checker   *Checker
+	servers   []*Server
+	byID      map[policy.ServerID]*Server
+	nodes     []*node
+	clients   *clients
+	results   *Results
+	digest    hash.Hash64 // over all ended requests, for Results.Digest
+	discovery *discovery
+	lastID    uint64
+	zones     int       // nodes are assigned to zones round-robin
+	onEnd     func(End) // if set, called for each ended request
 }
 
-// New makes a world. The same options and seed give the same run.
+// New creates a world. The same options and seed give the same run.
 func New(o Options, seed uint64) (*World, error) {
 	w := &World{
 		opt: o, settings: o.Settings, seed: seed, start: time.Hour, engine: NewEngine(time.Hour),
 		byID: map[policy.ServerID]*Server{},
 	}
-	w.list = &discovery{world: w, calls: map[time.Duration]int{}}
+	w.discovery = &discovery{world: w, calls: map[time.Duration]int{}}
 	w.settings.Nodes, w.settings.ListAsked = o.Nodes, o.Asked
 	if err := w.settings.Check(); err != nil {
 		return nil, err
@@ -111,20 +111,20 @@
 		if !slices.Contains(Faults, f.What) {
 			return nil, fmt.Errorf("faults[%d]: %q is none of %v", i, f.What, Faults)
 		}
-		if f.What == "flap" && f.Amount < leastTurn.Seconds() {
-			return nil, fmt.Errorf("faults[%d]: a turn of %v s, at least %v", i, f.Amount, leastTurn)
+		if f.What == "flap" && f.Amount < minFlapInterval.Seconds() {
+			return nil, fmt.Errorf("faults[%d]: flap interval of %v s is shorter than the minimum of %v", i, f.Amount, minFlapInterval)
 		}
 		for _, n := range f.Servers {
 			if n < 0 || n >= most {
-				return nil, fmt.Errorf("faults[%d]: %d is not among the %d that there are", i, n, most)
+				return nil, fmt.Errorf("faults[%d]: index %d is out of range, there are %d", i, n, most)
 			}
 		}
 	}
-	w.ledger = newLedger(w.engine, w.settings.Classes)
-	w.results, w.sum = NewResults(o.Warm), fnv.New64a()
+	w.checker = newChecker(w.engine, w.settings.Classes)
+	w.results, w.digest = NewResults(o.Warm), fnv.New64a()
 	for i, s := range o.Servers {
 		w.zones = max(w.zones, s.Entry.Zone+1)
-		server := NewServer(s, w.engine, Stream(seed, fmt.Sprint("server ", i)), w.ledger)
+		server := NewServer(s, w.engine, Stream(seed, fmt.Sprint("server ", i)), w.checker)
 		server.listed = s.Entry
 		w.servers = append(w.servers, server)
 		w.byID[s.Entry.Server] = server
@@ -140,67 +140,67 @@
 	return w, nil
 }
 
-// Run plays the world to its end.
+// Run runs the simulation to its end and returns the results.
 func (w *World) Run() *Results {
 	for _, n := range w.nodes {
-		w.list.begin(n)
+		w.discovery.sendInitialList(n)
 	}
 	for _, f := range w.opt.Faults {
-		w.engine.At(w.start+f.At, func() { w.fault(f, true) })
+		w.engine.At(w.start+f.At, func() { w.applyFault(f, true) })
 		if f.For > 0 {
-			w.engine.At(w.start+f.At+f.For, func() { w.fault(f, false) })
+			w.engine.At(w.start+f.At+f.For, func() { w.applyFault(f, false) })
 		}
 	}
-	w.clients.arrive()
+	w.clients.scheduleArrival()
 	longest := time.Duration(0)
 	for _, c := range w.settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	r := w.results
 	r.Events = w.engine.Run(w.start + w.opt.For + 2*longest + time.Second)
-	r.Judged(w.ledger.Report())
-	r.Open = w.ledger.open
-	r.Digest = fmt.Sprintf("%016x", w.sum.Sum64())
+	r.Judged(w.checker.Report())
+	r.Open = w.checker.open
+	r.Digest = fmt.Sprintf("%016x", w.digest.Sum64())
 	r.Finish()
 	r.Work, r.Pushed = map[string]time.Duration{}, map[string]float64{}
 	for _, s := range w.servers {
-		r.Work[s.opt.Addr], r.Pushed[s.opt.Addr] = s.work, s.pushedMost
+		r.Work[s.opt.Addr], r.Pushed[s.opt.Addr] = s.work, s.peakColdLoad
 		r.ColdOver = max(r.ColdOver, s.cold.Over())
 	}
 	return r
 }
 
-// since gives the time since the run's start.
+// since returns the time since the run's start.
 func (w *World) since() time.Duration { return w.engine.Now() - w.start }
 
-// end takes the end of a try's request.
-func (w *World) end(t *try, how string) {
-	_, _ = io.WriteString(w.sum, t.word(how)) // a hash takes all
+// requestEnded records the end of a request with its last try.
+func (w *World) requestEnded(t *try, how string) {
+	_, _ = io.WriteString(w.digest, t.digestLine(how)) // a hash.Hash never returns an error
 	c := w.settings.Classes[t.class]
 	e := End{Began: t.began - w.start, Took: w.engine.Now() - t.began, Aim: cmp.Or(c.Aim, c.Deadline), How: how}
 	w.results.Take(e)
-	if w.ended != nil {
-		w.ended(e)
+	if w.onEnd != nil {
+		w.onEnd(e)
 	}
 }
 
-// troubled tells that a machine is silent or cut off.
-func (w *World) troubled() bool {
-	return slices.ContainsFunc(w.servers, func(s *Server) bool { return s.mute || w.nodes[0].cut[s] })
+// anyUnreachable reports whether a server is mute or cut off.
+func (w *World) anyUnreachable() bool {
+	return slices.ContainsFunc(w.servers, func(s *Server) bool { return s.mute || w.nodes[0].cutOff[s] })
 }
 
-// fault does or undoes one.
-func (w *World) fault(f Fault, on bool) {
+// applyFault injects a fault or undoes it.
+func (w *World) applyFault(f Fault, on bool) {
 	if Broad(f.What) {
-		w.list.trouble(f.What, on)
+		w.discovery.applyFault(f.What, on)
 		return
 	}
 	if f.What == "node-crash" {
 		for _, i := range f.Servers {
 			if n := w.nodes[i]; on {
 				n.crash()
-			} else if n.start() == nil { // the settings were good before
-				w.list.begin(n)
+			} else if n.start() == nil { // cannot fail: the settings were valid before
+				w.discovery.sendInitialList(n)
 			}
 		}
 		return
@@ -211,8 +211,8 @@
 		switch f.What {
 		case "hang":
 			if s.hang = on; !on {
-				s.Crash() // whoever hung is restarted
-				s.Return()
+				s.Crash() // a hanging server is restarted
+				s.Restart()
 				s.opt.Entry.Started = s.started
 				changed = append(changed, s)
 			}
@@ -228,14 +228,14 @@
 			s.mute = on
 		case "cut":
 			for _, n := range w.nodes {
-				n.cut[s] = on
+				n.cutOff[s] = on
 			}
 		case "crash":
 			if on {
 				s.Crash()
 				s.opt.Entry.State = policy.Gone
 			} else {
-				s.Return()
+				s.Restart()
 				s.opt.Entry.State, s.opt.Entry.Started = policy.Ready, s.started
 			}
 			changed = append(changed, s)
@@ -249,31 +249,31 @@
 		}
 	}
 	if len(changed) > 0 {
-		w.list.tell(policy.ListDelta, changed)
+		w.discovery.publish(policy.ListDelta, changed)
 	}
 }
 
-// flap has discovery list a server that is well as gone and back again, by turns of
+// flap makes discovery list a healthy server alternately as gone and as ready, changing every
 // Amount seconds.
 func (w *World) flap(s *Server, f Fault, on bool) {
-	s.flaps++
-	turn := s.flaps
+	s.flapEpoch++
+	turn := s.flapEpoch
 	gone := false
 	var next func()
 	next = func() {
-		if s.flaps != turn {
+		if s.flapEpoch != turn {
 			return
 		}
 		s.opt.Entry.State = policy.Gone
 		if gone = !gone; !gone {
 			s.opt.Entry.State = policy.Ready
 		}
-		w.list.tell(policy.ListDelta, []*Server{s})
+		w.discovery.publish(policy.ListDelta, []*Server{s})
 		w.engine.After(time.Duration(f.Amount*float64(time.Second)), next)
 	}
 	if on {
 		next()
 	} else if s.opt.Entry.State = policy.Ready; !s.down {
-		w.list.tell(policy.ListDelta, []*Server{s})
+		w.discovery.publish(policy.ListDelta, []*Server{s})
 	}
 }
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -12,8 +12,8 @@
 	"otterstep/policy"
 )
 
-// small is a world of a few nodes and servers, played for some seconds.
-func small(change func(*Options)) Options {
+// smallWorld returns options for a world of a few nodes and servers that runs for a few seconds.
+func smallWorld(change func(*Options)) Options {
 	s := policy.Defaults()
 	s.Classes = []policy.Class{
 		{Deadline: 2 * time.Second, Aim: 300 * time.Millisecond, Worth: 1, Effect: policy.Safe},
@@ -41,8 +41,8 @@
 	return o
 }
 
-// servers puts so many servers like the first one, but for change, in the place of those that there are.
-func servers(o *Options, n int, change func(*ServerOptions)) {
+// replaceServers replaces the servers with n copies of the first one, each modified by change.
+func replaceServers(o *Options, n int, change func(*ServerOptions)) {
 	first := o.Servers[0]
 	o.Servers = nil
 	for i := range n {
@@ -62,8 +62,8 @@
 	return w.Run()
 }
 
-// troubles are all faults, one after the other.
-func troubles(o *Options) {
+// allFaults schedules all kinds of faults, one after the other.
+func allFaults(o *Options) {
 	o.For, o.Load.Rate = 7*time.Second, 60
 	for i, what := range Faults {
 		f := Fault{At: time.Duration(1000+600*i) * time.Millisecond, For: 500 * time.Millisecond, What: what, Servers: []int{i % 2}, Amount: 0.5}
@@ -77,31 +77,32 @@
 	}
 }
 
-// The same seed gives the same run, whatever the number of cores; another seed another.
+// The same seed gives the same run, whatever GOMAXPROCS is; another seed gives a different run.
 func TestSameSeedSameDigest(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
-	want := run(t, small(troubles), 7)
+	want := run(t, smallWorld(allFaults), 7)
 	for n := range 100 {
 		runtime.GOMAXPROCS(1 + n%4)
-		if got := run(t, small(troubles), 7); got.Digest != want.Digest || got.Events != want.Events {
+		if got := run(t, smallWorld(allFaults), 7); got.Digest != want.Digest || got.Events != want.Events {
 			t.Fatalf("run %d: digest %s after %d events, want %s after %d", n, got.Digest, got.Events, want.Digest, want.Events)
 		}
 	}
-	if got := run(t, small(troubles), 8); got.Digest == want.Digest {
+	if got := run(t, smallWorld(allFaults), 8); got.Digest == want.Digest {
 		t.Error("another seed gives the same run")
 	}
 }
 
-// In each trouble the rules hold, each request ends, and a calm world serves nearly all.
-func TestRulesHoldInEachTrouble(t *testing.T) {
+// Under each kind of fault the rules hold and each request ends; without faults nearly all
+// requests are served within their aim.
+func TestRulesHoldUnderEachFault(t *testing.T) {
 	racing.Skip(t)
-	calm := run(t, small(nil), 1)
+	calm := run(t, smallWorld(nil), 1)
 	if calm.Share() < 0.99 || calm.Open != 0 || len(calm.Broken) > 0 {
 		t.Errorf("calm: %.3f within the aim, %d open, broken %v: %s", calm.Share(), calm.Open, calm.Broken, calm.First)
 	}
 	for _, what := range Faults {
 		for seed := range uint64(3) {
-			r := run(t, small(func(o *Options) {
+			r := run(t, smallWorld(func(o *Options) {
 				o.Faults = []Fault{{At: 2 * time.Second, For: 3 * time.Second, What: what, Servers: []int{1}, Amount: 0.7}}
 				if what == "slow" {
 					o.Faults[0].Amount = 10
@@ -117,8 +118,8 @@
 	}
 }
 
-// A planted fault of the node is seen by the ledger.
-func TestPlantedFaultsAreCaught(t *testing.T) {
+// The rule checks detect each defect planted in a node.
+func TestPlantedDefectsAreDetected(t *testing.T) {
 	for rule, change := range map[ledger.Breach]func(*Options){
 		"a second answer":             func(o *Options) { o.Planted.Echo = true },
 		"a request without an answer": func(o *Options) { o.Planted.Swallow = 50 },
@@ -131,16 +132,16 @@
 			o.Faults = []Fault{{At: 2 * time.Second, What: "drain", Servers: []int{0}}}
 		},
 	} {
-		if r := run(t, small(change), 1); r.Broken[rule] == 0 || r.First == "" {
+		if r := run(t, smallWorld(change), 1); r.Broken[rule] == 0 || r.First == "" {
 			t.Errorf("%s: %v, %q", rule, r.Broken, r.First)
 		}
 	}
 }
 
-// Impatient clients leave, their nodes hear of it, and nothing is owed to them.
+// When impatient clients disconnect, their nodes are told, and no answer is required.
 func TestImpatientClientsLeave(t *testing.T) {
 	for _, word := range []string{"ours", "least"} {
-		r := run(t, small(func(o *Options) {
+		r := run(t, smallWorld(func(o *Options) {
 			o.Policy, o.Load.Impatient, o.Load.Patience = word, 0.5, 20*time.Millisecond
 		}), 1)
 		if left := float64(r.Ends["left"]) / float64(r.Counted); left < 0.1 || left > 0.5 || len(r.Broken) > 0 || r.Open != 0 {
@@ -149,9 +150,9 @@
 	}
 }
 
-// A trace is played as it stands: its classes, tenants, keys and times.
-func TestTrace(t *testing.T) {
-	r := run(t, small(func(o *Options) {
+// A trace is replayed with its classes, tenants, keys and times; arrivals after the end are dropped.
+func TestTraceReplay(t *testing.T) {
+	r := run(t, smallWorld(func(o *Options) {
 		o.Warm = 0
 		for n := range 600 {
 			o.Load.Trace = append(o.Load.Trace, Arrival{At: time.Duration(n) * 10 * time.Millisecond, Class: n % 3, Tenant: n % 5, Key: uint64(n%7 + 1)})
@@ -163,12 +164,12 @@
 	}
 }
 
-// Where discovery must be asked: nodes watch it, hear of changes, and serve on while it is
-// away or says nothing new; calls that would wait too long are turned away and made again.
-func TestAskedDiscovery(t *testing.T) {
+// With on-request discovery, nodes watch the list, receive changes, and continue to serve while
+// discovery is unavailable or stale; calls that would wait too long are rejected and repeated.
+func TestOnRequestDiscovery(t *testing.T) {
 	racing.Skip(t)
 	asked := func(change func(*Options)) *Results {
-		return run(t, small(func(o *Options) {
+		return run(t, smallWorld(func(o *Options) {
 			o.Asked, o.Call, o.AskWait = true, 5*time.Millisecond, 2*time.Second
 			o.For = 12 * time.Second
 			if change != nil {
@@ -195,7 +196,7 @@
 			t.Errorf("%s: %.3f within the aim, broken %v, %s; %d open", name, r.Share(), r.Broken, r.First, r.Open)
 		}
 	}
-	// Nodes that note what they hear and go on as before show by that whether they heard.
+	// Nodes that ignore list changes violate the rule on drains exactly if they received them.
 	for name, c := range map[string]struct {
 		faults []Fault
 		heard  bool
@@ -207,24 +208,24 @@
 	} {
 		deaf := asked(func(o *Options) { o.Faults, o.Planted.Deaf = c.faults, true })
 		if got := deaf.Broken[ledger.AfterDrain] > 0; got != c.heard {
-			t.Errorf("%s: nodes heard of it %v, want %v", name, got, c.heard)
+			t.Errorf("%s: nodes received the change: %v, want %v", name, got, c.heard)
 		}
 	}
-	// One call at a time of 400 ms: of 12 nodes that ask within 1.1 s some would wait over 2 s.
-	w, err := New(small(func(o *Options) { o.Asked, o.Call, o.AskWait, o.Nodes = true, 400*time.Millisecond, 2*time.Second, 12 }), 1)
+	// With calls of 400 ms each, handled one at a time, some of 12 nodes that call within 1.1 s would wait longer than 2 s.
+	w, err := New(smallWorld(func(o *Options) { o.Asked, o.Call, o.AskWait, o.Nodes = true, 400*time.Millisecond, 2*time.Second, 12 }), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.Run(); w.list.full < 3 || w.list.busy != 0 {
-		t.Errorf("%d calls were turned away, %d are not over", w.list.full, w.list.busy)
+	if w.Run(); w.discovery.rejected < 3 || w.discovery.queued != 0 {
+		t.Errorf("%d calls were rejected, %d are unfinished", w.discovery.rejected, w.discovery.queued)
 	}
 }
 
-// A cold server that gets as much as the warm ones is pushed over, which the ledger sees;
-// the module sends it its part only.
-func TestColdServersPushedOverAreSeen(t *testing.T) {
+// A cold server that gets as much load as the warm ones is pushed over, and the rule checks detect
+// it; the decision module sends it only what it can take.
+func TestOverloadedColdServersAreDetected(t *testing.T) {
 	for word, pushed := range map[string]bool{"random": true, "ours": false} {
-		r := run(t, small(func(o *Options) {
+		r := run(t, smallWorld(func(o *Options) {
 			o.Policy, o.Load.Rate = word, 600
 			o.Servers[1].Entry.Started = time.Hour // the simulation's start
 		}), 1)
@@ -234,10 +235,10 @@
 	}
 }
 
-func TestImpossibleFaults(t *testing.T) {
+func TestInvalidFaults(t *testing.T) {
 	for _, f := range []Fault{{What: "nonsense"}, {What: "flap", Servers: []int{1}}, {What: "hang", Servers: []int{6}}, {What: "node-crash", Servers: []int{2}}} {
-		if _, err := New(small(func(o *Options) { o.Faults = []Fault{f} }), 1); err == nil {
-			t.Errorf("%+v is taken", f)
+		if _, err := New(smallWorld(func(o *Options) { o.Faults = []Fault{f} }), 1); err == nil {
+			t.Errorf("%+v is accepted", f)
 		}
 	}
 }
