--- a/internal/core/recent.go
+++ b/internal/core/recent.go
@@ -37,8 +37,8 @@
 		ids.rotatedAt, ids.current = now, map[uint64]struct{}{}
 	}
 	h := maphash.String(ids.seed, id)
-	_, young := ids.current[h]
-	_, old := ids.previous[h]
+	_, inCurrent := ids.current[h]
+	_, inPrevious := ids.previous[h]
 	ids.current[h] = struct{}{}
-	return !young && !old
+	return !inCurrent && !inPrevious
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -94,24 +94,24 @@
 
 // New creates a Ledger with the grace periods for drains and for attempts that cross their
 // request's answer.
-func New(drain, late time.Duration) *Ledger {
-	return &Ledger{drainGrace: drain, sendGrace: late, counts: map[Breach]int{}}
+func New(drainGrace, sendGrace time.Duration) *Ledger {
+	return &Ledger{drainGrace: drainGrace, sendGrace: sendGrace, counts: map[Breach]int{}}
 }
 
-// Attempt records an attempt at the server named where. told is when the node was told that
-// the server accepts no new requests; 0 if it was not.
-func (l *Ledger) Attempt(now time.Duration, r *Record, id, where string, told time.Duration) {
+// Attempt records an attempt at a server. told is when the node was told that the server
+// accepts no new requests; 0 if it was not.
+func (l *Ledger) Attempt(now time.Duration, r *Record, id, server string, told time.Duration) {
 	if r.answered && now-r.answeredAt > l.sendGrace {
-		l.record(LateAttempt, "%s was sent to %s %v after its final answer", id, where, now-r.answeredAt)
+		l.record(LateAttempt, "%s was sent to %s %v after its final answer", id, server, now-r.answeredAt)
 	}
 	if told > 0 && now-told > l.drainGrace {
-		l.record(AfterDrain, "%s was sent to %s %v after the node was told of its drain", id, where, now-told)
+		l.record(AfterDrain, "%s was sent to %s %v after the node was told of its drain", id, server, now-told)
 	}
 }
 
 // Ran records that a server runs a request. It returns false for a repeat that servers drop:
 // a keyed request that ran less than window ago.
-func (l *Ledger) Ran(now time.Duration, r *Record, id, where string, effect Effect, window time.Duration) bool {
+func (l *Ledger) Ran(now time.Duration, r *Record, id, server string, effect Effect, window time.Duration) bool {
 	r.effect = effect
 	if effect == Keyed && r.ran > 0 && now-r.lastRan < window {
 		l.repeats++
@@ -120,7 +120,7 @@
 	r.ran++
 	r.lastRan = now
 	if effect != Safe && r.ran > 1 {
-		l.record(RanTwice, "%s ran %d times, last at %s", id, r.ran, where)
+		l.record(RanTwice, "%s ran %d times, last at %s", id, r.ran, server)
 	}
 	l.checkRefusal(r, id)
 	return true
@@ -151,7 +151,7 @@
 }
 
 // Fell records that a cold server was overloaded until it fell over.
-func (l *Ledger) Fell(where string) { l.record(PushedOver, "%s fell over", where) }
+func (l *Ledger) Fell(server string) { l.record(PushedOver, "%s fell over", server) }
 
 func (l *Ledger) record(b Breach, format string, args ...any) {
 	l.violations++
--- a/internal/sim/cold_test.go
+++ b/internal/sim/cold_test.go
@@ -18,14 +18,14 @@
 	o.Settings.Rules.FallMultiple, o.Settings.Rules.FallFor = 2, 1500*time.Millisecond
 	replaceServers(o, 12, func(s *ServerOptions) { s.Rules = o.Settings.Rules })
 	o.Load.Rate = 1500 // the capacity of all warm servers is 2,400
-	var new []int
+	var restarted []int
 	for i := range 10 {
-		new = append(new, 3*i)
+		restarted = append(restarted, 3*i)
 	}
 	o.Faults = []Fault{
 		{At: 2 * time.Second, For: 500 * time.Millisecond, What: "crash", Servers: []int{0}},
 		{At: 2500 * time.Millisecond, For: 500 * time.Millisecond, What: "crash", Servers: []int{1, 2, 3, 4}},
-		{At: 2900 * time.Millisecond, For: 300 * time.Millisecond, What: "node-crash", Servers: new},
+		{At: 2900 * time.Millisecond, For: 300 * time.Millisecond, What: "node-crash", Servers: restarted},
 		{At: 4 * time.Second, For: 200 * time.Millisecond, What: "crash", Servers: []int{5}},
 	}
 }
--- a/internal/sim/discovery.go
+++ b/internal/sim/discovery.go
@@ -47,9 +47,9 @@
 		if d.world.opt.Asked && !n.watching {
 			continue
 		}
-		life := n.incarnation
+		incarnation := n.incarnation
 		d.world.engine.After(d.world.opt.Told.Draw(n.rng), func() {
-			if n.incarnation == life {
+			if n.incarnation == incarnation {
 				n.members(kind, servers)
 			}
 		})
@@ -58,31 +58,31 @@
 
 // handleCall handles a node's call for the list and for a watch of later changes.
 func (d *discovery) handleCall(n *node) {
-	w, life := d.world, n.incarnation
+	w, incarnation := d.world, n.incarnation
 	answer := func(kind policy.ListKind, servers []*Server) {
-		if n.incarnation == life && !n.down {
+		if n.incarnation == incarnation && !n.down {
 			n.watching = kind != policy.ListFailed
 			n.members(kind, servers)
 		}
 	}
 	d.calls[w.engine.Now().Truncate(tenth)]++
-	way := w.opt.Net.Latency.Draw(n.rng)
+	latency := w.opt.Net.Latency.Draw(n.rng)
 	wait := time.Duration(d.queued+1) * w.opt.Call
 	if wait > w.opt.AskWait {
 		d.rejected++
 	}
 	if d.down || wait > w.opt.AskWait {
-		w.engine.After(2*way, func() { answer(policy.ListFailed, nil) })
+		w.engine.After(2*latency, func() { answer(policy.ListFailed, nil) })
 		return
 	}
 	d.queued++
-	w.engine.After(way+wait, func() {
+	w.engine.After(latency+wait, func() {
 		d.queued--
 		if d.down {
 			answer(policy.ListFailed, nil)
 			return
 		}
-		w.engine.After(way, func() { answer(policy.ListFull, w.servers) })
+		w.engine.After(latency, func() { answer(policy.ListFull, w.servers) })
 	})
 }
 
--- a/internal/sim/herd.go
+++ b/internal/sim/herd.go
@@ -83,17 +83,17 @@
 	for i := range h.Nodes {
 		nodes = append(nodes, i)
 	}
-	back := restartSettleTime + restartDownTime
+	restartAt := restartSettleTime + restartDownTime
 	o.Faults = []Fault{
 		{At: restartSettleTime - 50*time.Millisecond, For: 50*time.Millisecond + restartDownTime + h.Away, What: "discovery"},
 		{At: restartSettleTime, For: restartDownTime, What: "crash", Servers: servers},
 		{At: restartSettleTime, For: restartDownTime + 50*time.Millisecond, What: "node-crash", Servers: nodes},
 	}
 	for n := range h.Again {
-		o.Faults = append(o.Faults, Fault{At: back + time.Duration(n+1)*time.Second, For: 50 * time.Millisecond, What: "node-crash", Servers: nodes})
+		o.Faults = append(o.Faults, Fault{At: restartAt + time.Duration(n+1)*time.Second, For: 50 * time.Millisecond, What: "node-crash", Servers: nodes})
 	}
 	if h.Cut && len(half) > 0 {
-		o.Faults = append(o.Faults, Fault{At: back, For: 3 * time.Second, What: "cut", Servers: half})
+		o.Faults = append(o.Faults, Fault{At: restartAt, For: 3 * time.Second, What: "cut", Servers: half})
 	}
 	w, err := New(o, seed)
 	if err != nil {
@@ -125,7 +125,7 @@
 		before += t.served
 	}
 	before /= restartReferenceTime.Seconds() * 10
-	from := int(back / tenth)
+	from := int(restartAt / tenth)
 	served, refused := 0.0, 0.0
 	for i := from; i < len(tenths)-1; i++ {
 		at := time.Duration(i-from+1) * tenth
@@ -151,7 +151,7 @@
 		}
 	}
 	attempts := 0.0
-	for i := int(back / time.Second); i < len(res.Seconds) && time.Duration(i)*time.Second < back+max(r.Most, time.Second); i++ {
+	for i := int(restartAt / time.Second); i < len(res.Seconds) && time.Duration(i)*time.Second < restartAt+max(r.Most, time.Second); i++ {
 		attempts += float64(res.Seconds[i].Attempts)
 	}
 	if served > 0 {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -37,7 +37,7 @@
 	restoringList  bool // the list being delivered is restored, not confirmed by discovery
 	discoveryHeard bool // discovery has answered since the start
 	started        time.Duration
-	saved          *policy.Memory // persisted at learntAt
+	saved          *policy.Memory // persisted at savedAt
 	savedAt        time.Duration
 	incarnation    int
 }
@@ -75,9 +75,9 @@
 		return
 	}
 	n.wakeAt = max(due, e.Now())
-	life, at := n.incarnation, n.wakeAt
+	incarnation, at := n.incarnation, n.wakeAt
 	e.At(at, func() {
-		if n.incarnation != life || n.down || n.wakeAt != at {
+		if n.incarnation != incarnation || n.down || n.wakeAt != at {
 			return
 		}
 		n.wakeAt = 0
@@ -203,18 +203,18 @@
 	e := w.engine
 	t := a.try
 	s := w.byID[a.to]
-	life := n.incarnation
+	incarnation := n.incarnation
 	finish := func(status policy.Status) {
-		if n.incarnation == life && !n.down {
+		if n.incarnation == incarnation && !n.down {
 			n.balancer.finished(e.Now(), a, status)
 			n.afterEvent()
 		}
 	}
-	way := func() time.Duration { return w.opt.Net.Latency.Draw(n.rng) }
+	latency := func() time.Duration { return w.opt.Net.Latency.Draw(n.rng) }
 	lost := func() bool { return n.cutOff[s] || s.mute || w.opt.Net.Loss > 0 && n.rng.Float64() < w.opt.Net.Loss }
-	e.After(2*way(), func() {
+	e.After(2*latency(), func() {
 		switch {
-		case n.incarnation != life:
+		case n.incarnation != incarnation:
 			return
 		case lost():
 			return // the connection is never established; the balancer's time-out ends the attempt
@@ -227,9 +227,9 @@
 		}
 		w.results.attempted(w.since())
 		w.checker.sent(t.record, s, n.notReadySince[a.to])
-		serverLife := s.incarnation
-		e.After(way(), func() {
-			if s.incarnation != serverLife {
+		serverIncarnation := s.incarnation
+		e.After(latency(), func() {
+			if s.incarnation != serverIncarnation {
 				finish(policy.Reset)
 				return
 			}
@@ -237,15 +237,15 @@
 				class: t.class, record: t.record,
 				done: func(status policy.Status) {
 					if !lost() {
-						e.After(way(), func() { finish(status) })
+						e.After(latency(), func() { finish(status) })
 					}
 				},
-				onCrash: func() { e.After(way(), func() { finish(policy.Reset) }) },
+				onCrash: func() { e.After(latency(), func() { finish(policy.Reset) }) },
 			}
 			s.receive(j)
 			if w.opt.Planted.Again && w.anyUnreachable() && w.settings.Classes[j.class].Effect == policy.Unsafe {
-				twin := *j
-				s.receive(&twin)
+				repeat := *j
+				s.receive(&repeat)
 			}
 		})
 	})
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -59,26 +59,26 @@
 }
 
 // newBalancer creates the balancer with the named policy for a node in the given zone.
-func newBalancer(w *World, word string, zone int, rng *rand.Rand) (balancer, error) {
-	if word == "" || word == "ours" {
+func newBalancer(w *World, name string, zone int, rng *rand.Rand) (balancer, error) {
+	if name == "" || name == "ours" {
 		return newMachineBalancer(w, zone, rng.Uint64())
 	}
-	if !slices.Contains(Policies, word) {
-		return nil, fmt.Errorf("policy %q is none of %v", word, Policies)
+	if !slices.Contains(Policies, name) {
+		return nil, fmt.Errorf("policy %q is none of %v", name, Policies)
 	}
-	p := &baseline{world: w, rng: rng, choice: word, byID: map[policy.ServerID]*baselineServer{}, pending: map[*try]*baselineTry{}, tokens: maxRetryTokens}
-	if cut, ok := cutBudget(word); ok {
+	p := &baseline{world: w, rng: rng, choice: name, byID: map[policy.ServerID]*baselineServer{}, pending: map[*try]*baselineTry{}, tokens: maxRetryTokens}
+	if cut, ok := cutBudget(name); ok {
 		p.choice, p.budget = cut, true
 	}
 	return p, nil
 }
 
-func cutBudget(word string) (string, bool) {
+func cutBudget(name string) (string, bool) {
 	const suffix = "+budget"
-	if len(word) > len(suffix) && word[len(word)-len(suffix):] == suffix {
-		return word[:len(word)-len(suffix)], true
+	if len(name) > len(suffix) && name[len(name)-len(suffix):] == suffix {
+		return name[:len(name)-len(suffix)], true
 	}
-	return word, false
+	return name, false
 }
 
 func (p *baseline) members(now time.Duration, kind policy.ListKind, entries []policy.Entry, _ []string) {
@@ -169,11 +169,11 @@
 	if status != policy.OK && status != policy.Timeout {
 		took = max(took, p.world.settings.Classes[a.try.class].Aim.Seconds()) // do not let a fast failure count as a fast answer
 	}
-	gone := (now - s.updatedAt).Seconds()
+	elapsed := (now - s.updatedAt).Seconds()
 	if s.updatedAt = now; took > s.ewma {
 		s.ewma = took // peaks take effect immediately
 	} else {
-		keep := math.Exp(-gone / ewmaDecay.Seconds())
+		keep := math.Exp(-elapsed / ewmaDecay.Seconds())
 		s.ewma = s.ewma*keep + took*(1-keep)
 	}
 	q := p.pending[a.try]
--- a/internal/sim/return_test.go
+++ b/internal/sim/return_test.go
@@ -76,15 +76,15 @@
 			t.Errorf("%s: %d servers pushed over, %d other violations; first served after %v, 50%% after %v, 90%% after %v", name, r.Fell, r.Broken, r.First, r.Half, r.Most)
 		}
 	}
-	fell := 0 // most seeds, but not all, show servers being pushed over
-	for seed := uint64(0); fell == 0 && seed < 8; seed++ {
+	pushedOver := 0 // most seeds, but not all, show servers being pushed over
+	for seed := uint64(0); pushedOver == 0 && seed < 8; seed++ {
 		r, err := overloadedRestart(&Kept{}, true).Play(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fell = r.Fell
+		pushedOver = r.Fell
 	}
-	if fell == 0 {
+	if pushedOver == 0 {
 		t.Error("nodes that trust their persisted list push no server over")
 	}
 	again := overloadedRestart(&Kept{}, false) // nodes killed again in each of the first 5 s neither raise their trust nor persist new state
--- a/internal/sim/returns/returns.go
+++ b/internal/sim/returns/returns.go
@@ -232,8 +232,8 @@
 				i.copy = nil
 			}
 			if loss == RestoredDisks {
-				was := desiredState{true, 1}
-				i.record, i.copy = &was, &was
+				before := desiredState{true, 1}
+				i.record, i.copy = &before, &before
 			}
 			for _, w := range []*desiredState{i.record, i.copy} {
 				if w != nil && w.generation > i.expected.generation {
@@ -286,15 +286,15 @@
 			continue
 		}
 		f := recovery.Facts{Memory: a.memory, Council: a.council, Known: a.councilKnows, Elapsed: p.engine.Now() - a.began}
-		say := func(source string, w *desiredState) {
+		add := func(source string, w *desiredState) {
 			if w != nil {
 				f.Words = append(f.Words, recovery.Word{Source: source, Up: w.up, Generation: w.generation})
 			}
 		}
-		say("the record", i.record)
-		say("its copy", i.copy)
+		add("the record", i.record)
+		add("its copy", i.copy)
 		if d, ok := a.councilState[i.name]; ok && a.council == recovery.Answered {
-			say("the council", &desiredState{d.Up, d.Generation})
+			add("the council", &desiredState{d.Up, d.Generation})
 		}
 		v := recovery.Decide(f)
 		if p.opt.Naive {
--- a/internal/sim/server.go
+++ b/internal/sim/server.go
@@ -132,9 +132,9 @@
 	s.busy++
 	s.ran++
 	took := time.Duration(float64(s.opt.Service[j.class].Draw(s.rng)) * s.slow / s.capacityShare())
-	life := s.incarnation
+	incarnation := s.incarnation
 	s.engine.After(took, func() {
-		if s.incarnation != life {
+		if s.incarnation != incarnation {
 			return
 		}
 		s.busy--
@@ -163,16 +163,16 @@
 	}
 	s.cold.Add(now, s.opt.Rules.FallFor, s.opt.Service[j.class].Mean.Seconds()/s.meanWork,
 		s.opt.Rules.FallMultiple*float64(s.opt.Parallel)*share*s.opt.Rules.FallFor.Seconds()/s.meanWork)
-	span := s.opt.Rules.FallFor.Seconds()
-	if gone := (now - s.coldWorkAt).Seconds(); gone > 0 {
-		s.coldWork *= max(0, 1-gone/span)
+	window := s.opt.Rules.FallFor.Seconds()
+	if elapsed := (now - s.coldWorkAt).Seconds(); elapsed > 0 {
+		s.coldWork *= max(0, 1-elapsed/window)
 	}
 	s.coldWorkAt = now
 	s.coldWork += s.opt.Service[j.class].Mean.Seconds()
-	able := float64(s.opt.Parallel) * share
-	s.peakColdLoad = max(s.peakColdLoad, s.coldWork/span/(s.opt.Rules.FallMultiple*able))
+	capacity := float64(s.opt.Parallel) * share
+	s.peakColdLoad = max(s.peakColdLoad, s.coldWork/window/(s.opt.Rules.FallMultiple*capacity))
 	switch {
-	case s.coldWork/span <= s.opt.Rules.FallMultiple*able:
+	case s.coldWork/window <= s.opt.Rules.FallMultiple*capacity:
 		s.overloadedSince = 0
 	case s.overloadedSince == 0:
 		s.overloadedSince = now
--- a/internal/sim/thin_test.go
+++ b/internal/sim/thin_test.go
@@ -37,10 +37,10 @@
 func TestManyNodesWithoutFaults(t *testing.T) {
 	racing.Skip(t)
 	within := map[string]float64{}
-	for _, word := range []string{"", "random"} {
-		r := run(t, smallWorld(func(o *Options) { faultFreeTier(o); o.Policy = word }), 1)
-		within[word] = float64(r.Within) / float64(r.Asked)
-		t.Logf("%q: %d asked, %.3f within their aim, %v", word, r.Asked, within[word], r.Ends)
+	for _, policyName := range []string{"", "random"} {
+		r := run(t, smallWorld(func(o *Options) { faultFreeTier(o); o.Policy = policyName }), 1)
+		within[policyName] = float64(r.Within) / float64(r.Asked)
+		t.Logf("%q: %d asked, %.3f within their aim, %v", policyName, r.Asked, within[policyName], r.Ends)
 	}
 	if within[""] < within["random"]-0.05 {
 		t.Errorf("%.3f are served within their aim, the random baseline serves %.3f", within[""], within["random"])
@@ -48,23 +48,23 @@
 }
 
 // shareServed simulates a tier and returns the share of its requests that are served within their aim.
-func shareServed(t *testing.T, word string, change func(*Options)) float64 {
+func shareServed(t *testing.T, policyName string, change func(*Options)) float64 {
 	t.Helper()
 	r := run(t, smallWorld(func(o *Options) {
 		faultFreeTier(o)
-		o.Policy = word
+		o.Policy = policyName
 		change(o)
 	}), 1)
-	t.Logf("%q: %d asked, %d within their aim, %v", word, r.Asked, r.Within, r.Ends)
+	t.Logf("%q: %d asked, %d within their aim, %v", policyName, r.Asked, r.Within, r.Ends)
 	return float64(r.Within) / float64(r.Asked)
 }
 
 // requireNearBaseline requires the share served within the aim to be at most 0.05 below that of the random baseline.
 func requireNearBaseline(t *testing.T, change func(*Options)) {
 	t.Helper()
-	ours, plain := shareServed(t, "", change), shareServed(t, "random", change)
-	if ours < plain-0.05 {
-		t.Errorf("%.3f are served within their aim, the random baseline serves %.3f", ours, plain)
+	module, baseline := shareServed(t, "", change), shareServed(t, "random", change)
+	if module < baseline-0.05 {
+		t.Errorf("%.3f are served within their aim, the random baseline serves %.3f", module, baseline)
 	}
 }
 
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -257,11 +257,11 @@
 // Amount seconds.
 func (w *World) flap(s *Server, f Fault, on bool) {
 	s.flapEpoch++
-	turn := s.flapEpoch
+	epoch := s.flapEpoch
 	gone := false
 	var next func()
 	next = func() {
-		if s.flapEpoch != turn {
+		if s.flapEpoch != epoch {
 			return
 		}
 		s.opt.Entry.State = policy.Gone
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -140,12 +140,12 @@
 
 // When impatient clients disconnect, their nodes are told, and no answer is required.
 func TestImpatientClientsLeave(t *testing.T) {
-	for _, word := range []string{"ours", "least"} {
+	for _, policyName := range []string{"ours", "least"} {
 		r := run(t, smallWorld(func(o *Options) {
-			o.Policy, o.Load.Impatient, o.Load.Patience = word, 0.5, 20*time.Millisecond
+			o.Policy, o.Load.Impatient, o.Load.Patience = policyName, 0.5, 20*time.Millisecond
 		}), 1)
 		if left := float64(r.Ends["left"]) / float64(r.Counted); left < 0.1 || left > 0.5 || len(r.Broken) > 0 || r.Open != 0 {
-			t.Errorf("%s: %.2f left; broken %v, %d open; %v", word, left, r.Broken, r.Open, r.Ends)
+			t.Errorf("%s: %.2f left; broken %v, %d open; %v", policyName, left, r.Broken, r.Open, r.Ends)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 // discovery is unavailable or stale; calls that would wait too long are rejected and repeated.
 func TestOnRequestDiscovery(t *testing.T) {
 	racing.Skip(t)
-	asked := func(change func(*Options)) *Results {
+	runOnRequest := func(change func(*Options)) *Results {
 		return run(t, smallWorld(func(o *Options) {
 			o.Asked, o.Call, o.AskWait = true, 5*time.Millisecond, 2*time.Second
 			o.For = 12 * time.Second
@@ -191,7 +191,7 @@
 			o.Faults = []Fault{{At: 2 * time.Second, For: 5 * time.Second, What: "flap", Servers: []int{2}, Amount: 0.2}}
 		},
 	} {
-		r := asked(change)
+		r := runOnRequest(change)
 		if len(r.Broken) > 0 || r.Open != 0 || r.Share() < 0.97 {
 			t.Errorf("%s: %.3f within the aim, broken %v, %s; %d open", name, r.Share(), r.Broken, r.First, r.Open)
 		}
@@ -206,8 +206,8 @@
 		"stale": {[]Fault{{At: 2 * time.Second, What: "stale"}, drain}, false},
 		"flap":  {[]Fault{{At: 2 * time.Second, For: 5 * time.Second, What: "flap", Servers: []int{2}, Amount: 2}}, true},
 	} {
-		deaf := asked(func(o *Options) { o.Faults, o.Planted.Deaf = c.faults, true })
-		if got := deaf.Broken[ledger.AfterDrain] > 0; got != c.heard {
+		ignoring := runOnRequest(func(o *Options) { o.Faults, o.Planted.Deaf = c.faults, true })
+		if got := ignoring.Broken[ledger.AfterDrain] > 0; got != c.heard {
 			t.Errorf("%s: nodes received the change: %v, want %v", name, got, c.heard)
 		}
 	}
@@ -224,13 +224,13 @@
 // A cold server that gets as much load as the warm ones is pushed over, and the rule checks detect
 // it; the decision module sends it only what it can take.
 func TestOverloadedColdServersAreDetected(t *testing.T) {
-	for word, pushed := range map[string]bool{"random": true, "ours": false} {
+	for policyName, pushed := range map[string]bool{"random": true, "ours": false} {
 		r := run(t, smallWorld(func(o *Options) {
-			o.Policy, o.Load.Rate = word, 600
+			o.Policy, o.Load.Rate = policyName, 600
 			o.Servers[1].Entry.Started = time.Hour // the simulation's start
 		}), 1)
 		if got := r.Broken["a cold server was pushed over"] > 0; got != pushed {
-			t.Errorf("%s: broken %v", word, r.Broken)
+			t.Errorf("%s: broken %v", policyName, r.Broken)
 		}
 	}
 }
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -93,7 +93,7 @@
 	if err != nil || len(files) != 2 {
 		t.Fatalf("%v, %v; want two site files", files, err)
 	}
-	unsafe, asked, alone := 0, 0, 0
+	unsafe, onRequest, withoutTenants := 0, 0, 0
 	for _, path := range files {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -121,16 +121,16 @@
 			}
 		}
 		if site.Settings.ListAsked {
-			asked++
+			onRequest++
 		}
 		if len(site.Tenants) != len(s.Tenant) || len(site.Settings.Tenants) != len(s.Tenant) {
 			t.Errorf("%s: %d tenants of %d", path, len(site.Tenants), len(s.Tenant))
 		}
 		if len(site.Tenants) == 0 {
-			alone++
+			withoutTenants++
 		}
 	}
-	if unsafe != 1 || asked != 1 || alone != 1 {
-		t.Errorf("%d unsafe classes, %d sites with on-request discovery, %d sites without tenants; want one of each", unsafe, asked, alone)
+	if unsafe != 1 || onRequest != 1 || withoutTenants != 1 {
+		t.Errorf("%d unsafe classes, %d sites with on-request discovery, %d sites without tenants; want one of each", unsafe, onRequest, withoutTenants)
 	}
 }
