--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -164,7 +164,7 @@
 				clients.Wait()
 				v, err := l.Inspect(t.Context())
 				if err != nil || v.Requests != 0 || v.Timers > 2 || v.Open != 0 || v.Members != 4 {
-					t.Errorf("left behind: %+v, %v", v, err)
+					t.Errorf("state left over: %+v, %v", v, err)
 				}
 				ends := int64(0)
 				for _, class := range v.Counts {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -113,21 +113,21 @@
 	})
 }
 
-// Pass returns what the decision module has learnt, for another process of the same node
+// Pass returns what the decision module has learned, for another process of the same node
 // that takes over.
 func (l *Loop) Pass(ctx context.Context) (mem policy.Memory, err error) {
 	err = l.postAndWait(ctx, func() { mem = l.machine.HandOver(l.clock.Now()) })
 	return mem, err
 }
 
-// Learnt returns a copy of what the decision module has learnt, to be persisted. It does not
+// Learnt returns a copy of what the decision module has learned, to be persisted. It does not
 // change the module's state.
 func (l *Loop) Learnt(ctx context.Context) (mem policy.Memory, err error) {
 	err = l.postAndWait(ctx, func() { mem = l.machine.Learned(l.clock.Now()) })
 	return mem, err
 }
 
-// Recall restores what another process of the same node has learnt.
+// Recall restores what another process of the same node has learned.
 func (l *Loop) Recall(ctx context.Context, mem policy.Memory) (err error) {
 	var bad error
 	if err := l.postAndWait(ctx, func() { bad = l.machine.Restore(l.clock.Now(), mem) }); err != nil {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -204,20 +204,20 @@
 	m.step(now, func() { m.balancer.Uncordon(m.now, id, called) })
 }
 
-// HandOver returns what the decision module has learnt, for another process of the same node
+// HandOver returns what the decision module has learned, for another process of the same node
 // that takes over.
 func (m *Machine) HandOver(now time.Duration) (mem policy.Memory) {
 	m.step(now, func() { mem = m.balancer.Pass(m.now) })
 	return mem
 }
 
-// Learned returns a copy of what the decision module has learnt, to be persisted.
+// Learned returns a copy of what the decision module has learned, to be persisted.
 func (m *Machine) Learned(now time.Duration) (mem policy.Memory) {
 	m.step(now, func() { mem = m.balancer.Learnt(m.now) })
 	return mem
 }
 
-// Restore restores what another process of the same node has learnt.
+// Restore restores what another process of the same node has learned.
 func (m *Machine) Restore(now time.Duration, mem policy.Memory) (err error) {
 	m.step(now, func() { err = m.balancer.Recall(m.now, mem) })
 	return err
--- a/internal/core/pass_test.go
+++ b/internal/core/pass_test.go
@@ -90,7 +90,7 @@
 					defer mu.Unlock()
 					got := m.relayed + len(answers)
 					if got > 1 || got == 0 && !leaves || m.cutOff {
-						t.Errorf("seed %d, request %d: %d passed, %d answers, cut %v", seed, n, m.relayed, len(answers), m.cutOff)
+						t.Errorf("seed %d, request %d: %d relayed, %d answers, cut off %v", seed, n, m.relayed, len(answers), m.cutOff)
 					}
 					passed += m.relayed
 					answered += len(answers)
@@ -99,7 +99,7 @@
 			clients.Wait()
 			v, err := l.Inspect(t.Context())
 			if err != nil || v.Requests != 0 || v.Open != 0 || v.Out != 0 {
-				t.Errorf("seed %d: left behind: %+v, %v", seed, v, err)
+				t.Errorf("seed %d: state left over: %+v, %v", seed, v, err)
 			}
 			if passed < 20 || answered < 5 {
 				t.Errorf("seed %d: %d relayed, %d answered otherwise: too few for a meaningful check", seed, passed, answered)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Compares the ledger, which keeps only bounded state, with a reference model that evaluates
+// Compares Ledger, which keeps only bounded state, with a reference model that evaluates
 // the complete history of each request at the end: both must count the same violations.
 func TestAgainstReferenceModel(t *testing.T) {
 	type event struct {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -26,9 +26,9 @@
 func TestDiscoveryCallsAreSpread(t *testing.T) {
 	racing.Skip(t)
 	for name, faults := range map[string][]Fault{
-		"start":         nil,
-		"broken":        {{At: 5 * time.Second, For: 10 * time.Millisecond, What: "discovery"}},
-		"away for long": {{At: time.Second, For: 4 * time.Second, What: "discovery"}},
+		"simultaneous start": nil,
+		"watches broken":     {{At: 5 * time.Second, For: 10 * time.Millisecond, What: "discovery"}},
+		"long outage":        {{At: time.Second, For: 4 * time.Second, What: "discovery"}},
 	} {
 		for seed := range uint64(2) {
 			w, err := New(largeTier(func(o *Options) { o.Faults = faults }), seed+1)
--- a/internal/sim/results.go
+++ b/internal/sim/results.go
@@ -24,7 +24,7 @@
 	Pushed   map[string]float64       `json:"pushed"`    // peak load of each cold server, as a fraction of the load that makes it fall over
 	Digest   string                   `json:"digest"`    // hash of all ended requests in their order
 	Events   int                      `json:"events"`    // simulation events that ran
-	Open     int                      `json:"open"`      // records that the ledger still held
+	Open     int                      `json:"open"`      // records still open at the end
 	P50, P99 time.Duration            `json:",omitzero"` // latency quantiles of served requests
 
 	warmUp time.Duration
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -98,7 +98,7 @@
 	racing.Skip(t)
 	calm := run(t, smallWorld(nil), 1)
 	if calm.Share() < 0.99 || calm.Open != 0 || len(calm.Broken) > 0 {
-		t.Errorf("calm: %.3f within the aim, %d open, broken %v: %s", calm.Share(), calm.Open, calm.Broken, calm.First)
+		t.Errorf("no faults: %.3f within the aim, %d open, broken %v: %s", calm.Share(), calm.Open, calm.Broken, calm.First)
 	}
 	for _, what := range Faults {
 		for seed := range uint64(3) {
@@ -145,7 +145,7 @@
 			o.Policy, o.Load.Impatient, o.Load.Patience = policyName, 0.5, 20*time.Millisecond
 		}), 1)
 		if left := float64(r.Ends["left"]) / float64(r.Counted); left < 0.1 || left > 0.5 || len(r.Broken) > 0 || r.Open != 0 {
-			t.Errorf("%s: %.2f left; broken %v, %d open; %v", policyName, left, r.Broken, r.Open, r.Ends)
+			t.Errorf("%s: %.2f of the clients left; broken %v, %d open; %v", policyName, left, r.Broken, r.Open, r.Ends)
 		}
 	}
 }
@@ -179,9 +179,9 @@
 	}
 	drain := Fault{At: 3 * time.Second, For: 3 * time.Second, What: "drain", Servers: []int{0, 1}}
 	for name, change := range map[string]func(*Options){
-		"calm":  nil,
-		"drain": func(o *Options) { o.Faults = []Fault{drain} },
-		"away": func(o *Options) {
+		"no faults": nil,
+		"drain":     func(o *Options) { o.Faults = []Fault{drain} },
+		"unavailable": func(o *Options) {
 			o.Faults = []Fault{{At: 2 * time.Second, For: 5 * time.Second, What: "discovery"}, drain}
 		},
 		"stale": func(o *Options) {
@@ -201,10 +201,10 @@
 		faults []Fault
 		heard  bool
 	}{
-		"drain": {[]Fault{drain}, true},
-		"away":  {[]Fault{{At: 2 * time.Second, What: "discovery"}, drain}, false},
-		"stale": {[]Fault{{At: 2 * time.Second, What: "stale"}, drain}, false},
-		"flap":  {[]Fault{{At: 2 * time.Second, For: 5 * time.Second, What: "flap", Servers: []int{2}, Amount: 2}}, true},
+		"drain":       {[]Fault{drain}, true},
+		"unavailable": {[]Fault{{At: 2 * time.Second, What: "discovery"}, drain}, false},
+		"stale":       {[]Fault{{At: 2 * time.Second, What: "stale"}, drain}, false},
+		"flap":        {[]Fault{{At: 2 * time.Second, For: 5 * time.Second, What: "flap", Servers: []int{2}, Amount: 2}}, true},
 	} {
 		ignoring := runOnRequest(func(o *Options) { o.Faults, o.Planted.Deaf = c.faults, true })
 		if got := ignoring.Broken[ledger.AfterDrain] > 0; got != c.heard {
