--- a/policy/bound_test.go
+++ b/policy/bound_test.go
@@ -5,76 +5,76 @@
 	"time"
 )
 
-// steerFor steers the bound for a while at a steady crowding.
-func steerFor(b *Balancer, from, d time.Duration, crowding float64) {
+// adjustFor adjusts the limit for the duration d at a constant congestion.
+func adjustFor(b *Balancer, from, d time.Duration, crowding float64) {
 	for t := from; t < from+d; t += 10 * ms {
-		b.crowding = crowding
-		b.steer(t)
+		b.congestion = crowding
+		b.adjustLimit(t)
 	}
 }
 
-func newSteered(t *testing.T) (*rig, *Balancer) {
+func newLimitRig(t *testing.T) (*rig, *Balancer) {
 	r := newRig(t, testSettings(), 4)
-	r.b.loneSeen, r.b.typical, r.b.steered = loneNeeded, 0.1, r.now
-	r.b.held = append(r.b.held, &request{done: true}) // someone waits
+	r.b.unloadedSamples, r.b.typicalLatency, r.b.adjustedAt = minUnloadedSamples, 0.1, r.now
+	r.b.queue = append(r.b.queue, &request{done: true}) // a queued request
 	return r, r.b
 }
 
-// Guards against a bound that grows unused in quiet times and is none when a crowd comes.
-func TestBoundGrowsOnlyWhileRequestsWait(t *testing.T) {
-	r, b := newSteered(t)
+// Guards against a limit that grows unused at low load and no longer limits anything when congestion comes.
+func TestLimitGrowsOnlyWhileRequestsWait(t *testing.T) {
+	r, b := newLimitRig(t)
 	before := b.limit
-	waiting := b.held
-	b.held = nil
-	steerFor(b, r.now, time.Second, 0)
+	waiting := b.queue
+	b.queue = nil
+	adjustFor(b, r.now, time.Second, 0)
 	if b.limit != before {
-		t.Fatalf("bound went from %v to %v though nothing waits", before, b.limit)
+		t.Fatalf("limit changed from %v to %v though nothing waits", before, b.limit)
 	}
-	b.held = waiting
-	steerFor(b, r.now+time.Second, time.Second, 0)
+	b.queue = waiting
+	adjustFor(b, r.now+time.Second, time.Second, 0)
 	if b.limit <= before {
-		t.Fatal("bound did not grow while requests wait and servers are not crowded")
+		t.Fatal("limit did not grow while requests wait without congestion")
 	}
 }
 
-// Guards against growing before there is anything to tell a crowd by.
-func TestBoundWaitsForAYardstick(t *testing.T) {
-	r, b := newSteered(t)
-	b.loneSeen = loneNeeded - 1
+// Guards against growth before there is a baseline to detect congestion with.
+func TestLimitDoesNotGrowWithoutBaseline(t *testing.T) {
+	r, b := newLimitRig(t)
+	b.unloadedSamples = minUnloadedSamples - 1
 	before := b.limit
-	steerFor(b, r.now, time.Second, 0)
+	adjustFor(b, r.now, time.Second, 0)
 	if b.limit != before {
-		t.Fatal("bound grew before lone latencies were known")
+		t.Fatal("limit grew before unloaded latencies were known")
 	}
 }
 
-// Guards against servers that get less done the more they hold, and against a fleet
-// that is slow as a whole starving itself.
-func TestBoundShrinksInACrowdButNotFarBelowWhatWasGood(t *testing.T) {
-	r, b := newSteered(t)
-	b.crowded, b.limit, b.limitKnown = true, 8, 4
-	steerFor(b, r.now, 5*time.Second, 1)
+// Guards against servers whose throughput drops the more requests they hold, and against
+// starving a fleet that is slow as a whole.
+func TestLimitShrinksUnderCongestionButStaysNearLastGood(t *testing.T) {
+	r, b := newLimitRig(t)
+	b.congestedBefore, b.limit, b.goodLimit = true, 8, 4
+	adjustFor(b, r.now, 5*time.Second, 1)
 	if b.limit >= 8 {
-		t.Fatal("bound did not shrink in a crowd")
+		t.Fatal("limit did not shrink under congestion")
 	}
-	steerFor(b, r.now+5*time.Second, 20*time.Second, 1)
+	adjustFor(b, r.now+5*time.Second, 20*time.Second, 1)
 	if b.limit < 2 || b.limit > 4 {
-		t.Fatalf("bound %v after 25 s of slowness, want it near the known 4", b.limit)
+		t.Fatalf("limit %v after 25 s of slowness, want it near the known good 4", b.limit)
 	}
 }
 
-// Guards against the overshoot of the start's fast growth, which answers reveal late.
-func TestFirstCrowdTakesTheBoundBackAtOnce(t *testing.T) {
-	r, b := newSteered(t)
+// Guards against the overshoot of the initial fast growth, which answers reveal late.
+func TestFirstCongestionCutsLimitAtOnce(t *testing.T) {
+	r, b := newLimitRig(t)
 	b.limit = 10
-	steerFor(b, r.now, 10*ms, 1)
+	adjustFor(b, r.now, 10*ms, 1)
 	if b.limit > 7 {
-		t.Fatalf("bound %v after the first sign of a crowd, want well below 10", b.limit)
+		t.Fatalf("limit %v after the first sign of congestion, want well below 10", b.limit)
 	}
 }
 
-// Guards against one request a server from each of many nodes, which is a crowd.
-func TestManyNodesHoldLessThanOneRequestAServer(t *testing.T) {
+// Guards against one request per server from each of many nodes, which together congest the servers.
+func TestManyNodesSendLessThanOneRequestPerServer(t *testing.T) {
 	set := testSettings()
 	set.Nodes = 10
 	r := newRig(t, set, 20)
@@ -86,74 +86,75 @@
 	}
 }
 
-// Guards against a yardstick that grows with the crowd: alone among ours is not alone.
-func TestLoneLatenciesAreLearntOnlyInAQuietFleet(t *testing.T) {
+// Guards against a baseline that grows with congestion: a server without other attempts of this node
+// may still be loaded by other nodes.
+func TestUnloadedLatenciesNeedAnIdleFleet(t *testing.T) {
 	set := testSettings()
 	set.Nodes = 7
 	r := newRig(t, set, 7)
 	r.b.limit = 2
-	lone := 0
+	unloaded := 0
 	for range 7 {
 		id := r.request(0)
-		if a := &r.b.requests[id].attempts[0]; a.lone {
-			lone++
+		if a := &r.b.requests[id].attempts[0]; a.unloaded {
+			unloaded++
 		}
 	}
-	if lone == 0 || lone > 4 {
-		t.Fatalf("%d of 7 requests count as lone, want the first few", lone)
+	if unloaded == 0 || unloaded > 4 {
+		t.Fatalf("%d of 7 requests count as unloaded, want only the first few", unloaded)
 	}
 }
 
-// Guards against a class mean that moves on after servers were measured against it.
-func TestYardstickStaysOnceSettled(t *testing.T) {
+// Guards against a baseline that keeps moving after servers were measured against it.
+func TestBaselineIsFixedOnceSettled(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.serve(loneSettled, 0, 50*ms)
-	want := r.b.classes[0].yardstick
+	r.serve(baselineSamples, 0, 50*ms)
+	want := r.b.classes[0].baseline
 	if want == 0 {
-		t.Fatal("no yardstick after enough lone requests")
+		t.Fatal("no baseline after enough unloaded requests")
 	}
 	r.serve(50, 0, 150*ms)
-	if got := r.b.classes[0].yardstick; got != want {
-		t.Fatalf("yardstick moved from %v to %v", want, got)
+	if got := r.b.classes[0].baseline; got != want {
+		t.Fatalf("baseline moved from %v to %v", want, got)
 	}
-	if r.b.classes[0].lone <= want {
-		t.Fatal("the class's own mean must follow")
+	if r.b.classes[0].unloaded <= want {
+		t.Fatal("the class's own mean must keep following")
 	}
 }
 
-// Guards against a stop of all sends when servers that hold our attempts vanish.
-func TestAttemptsAtOpenServersDoNotFillTheBound(t *testing.T) {
+// Guards against stopping all sends when servers that hold attempts of this node fail.
+func TestAttemptsAtOpenServersDoNotCountTowardsLimit(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 4 {
 		r.request(0)
 	}
 	for _, s := range r.b.ready[:2] {
 		for range failuresToOpen {
-			r.b.failed(r.now, &attempt{server: s}, false)
+			r.b.recordFailure(r.now, &attempt{server: s}, false)
 		}
 	}
 	for _, s := range r.b.ready[2:] {
-		for _, a := range append([]*attempt(nil), s.out...) {
+		for _, a := range append([]*attempt(nil), s.inFlight...) {
 			r.end(a.request.ID, OK, 10*ms)
 		}
 	}
 	if id := r.request(0); len(r.sendsOf(id)) != 1 {
-		t.Fatal("a free server is left idle because open ones hold attempts")
+		t.Fatal("a free server is idle because open ones hold attempts")
 	}
 }
 
-func TestEqualServersGoByZone(t *testing.T) {
-	near, far := &server{near: true, size: 1}, &server{size: 1}
+func TestTiesPreferLocalZone(t *testing.T) {
+	near, far := &server{local: true, relativeWeight: 1}, &server{relativeWeight: 1}
 	if better(far, near) != near || better(near, far) != near {
-		t.Fatal("among equals the own zone must win")
+		t.Fatal("among equals the local zone must win")
 	}
 	near.load = 1
 	if better(near, far) != far {
-		t.Fatal("less in flight must win over the zone")
+		t.Fatal("fewer in flight must win over the zone")
 	}
 }
 
-func TestWarmServerIsOneOfTheTwo(t *testing.T) {
+func TestWarmServerIsAlwaysACandidate(t *testing.T) {
 	set := testSettings()
 	set.WarmKeys = true
 	r := newRig(t, set, 4) // one zone
@@ -161,9 +162,9 @@
 		r.next++
 		r.b.Request(r.now, Request{ID: r.next, Key: 42, Left: time.Second})
 		s := r.sendsOf(r.next)[0]
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		r.end(r.next, OK, 10*ms)
-		r.pass(10 * ms) // scores are brought up to date once an instant
+		r.advance(10 * ms) // scores are updated once per instant
 		return s
 	}
 	first := ask()
@@ -174,24 +175,24 @@
 	}
 }
 
-// Guards against ordering held requests by a guess that busy fleets never correct.
-func TestWorthForWorkFollowsAllAnswers(t *testing.T) {
+// Guards against ordering queued requests by an initial estimate that a busy fleet never corrects.
+func TestWorkEstimateUsesAllAnswers(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	heavy := &request{class: &r.b.classes[0]}
 	for range 50 {
-		r.b.measure(&attempt{server: r.b.ready[0]}, heavy, 0.9) // never alone
+		r.b.recordLatency(&attempt{server: r.b.ready[0]}, heavy, 0.9) // never unloaded
 	}
-	r.request(0) // fills a server, as does the next
+	r.request(0) // fills a server, as does the next one
 	r.request(0)
 	a, b := r.request(0), r.request(1)
-	if x, y := r.b.requests[a], r.b.requests[b]; x == nil || y == nil || !y.before(x) {
+	if x, y := r.b.requests[a], r.b.requests[b]; x == nil || y == nil || !y.precedes(x) {
 		t.Fatal("a class that takes longer for the same worth must come second")
 	}
 }
 
-// Guards the clients' connections: beyond what the node can carry, the least worthy of those
-// that wait is refused at once, with the time to come back; a more worthy one takes its place.
-func TestOpenRequestsAreBounded(t *testing.T) {
+// Guards the clients' connections: beyond what the node can hold, the queued request with the least worth
+// is refused at once, with a retry time; one with more worth takes its place.
+func TestOpenRequestsAreLimited(t *testing.T) {
 	set := testSettings()
 	set.Classes = set.Classes[:2]
 	set.Classes[1].Effect, set.Classes[1].Worth = Safe, 8
@@ -201,21 +202,21 @@
 	for range 30 {
 		reads = append(reads, r.request(0))
 	}
-	if n := len(r.b.open); n != 20 || len(r.h.refused) != 10 {
+	if n := len(r.b.unfinished); n != 20 || len(r.h.refused) != 10 {
 		t.Fatalf("%d open, %d refused", n, len(r.h.refused))
 	}
 	for _, after := range r.h.refused {
 		if after <= 0 {
-			t.Error("refused without a time to come back")
+			t.Error("refused without a retry time")
 		}
 	}
 	push := r.request(1)
-	if _, refused := r.h.refused[push]; refused || len(r.b.open) != 20 || len(r.h.refused) != 11 {
-		t.Errorf("the worthy one: refused %v, %d open", refused, len(r.b.open))
+	if _, refused := r.h.refused[push]; refused || len(r.b.unfinished) != 20 || len(r.h.refused) != 11 {
+		t.Errorf("request with more worth: refused %v, %d open", refused, len(r.b.unfinished))
 	}
 	for _, id := range reads[:2] {
 		if len(r.sendsOf(id)) == 0 {
-			t.Error("one that was sent had to go")
+			t.Error("a request that had been sent was given up")
 		}
 	}
 }
--- a/policy/comeback_test.go
+++ b/policy/comeback_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// comeBackRig is a node whose four servers are all in doubt; the memory's lone latency goes for its first class.
-func comeBackRig(t *testing.T, lone time.Duration) *rig {
+// recoveryRig is a node with four unconfirmed servers, restored from a node that measured the unloaded latency.
+func recoveryRig(t *testing.T, lone time.Duration) *rig {
 	r := newRig(t, testSettings(), 4)
 	r.serve(200, 0, lone)
 	m := r.b.Learnt(r.now)
@@ -18,7 +18,7 @@
 	r = newRig(t, testSettings(), 0)
 	r.list(ListCached, e...)
 	for i := range m.Servers {
-		s := &m.Servers[i] // as confidence.Fade leaves it
+		s := &m.Servers[i] // as left by confidence.Fade
 		s.Rate, s.Done, s.ColdSaved, s.Earned, s.Good, s.Bad = 0, 0, 0, 0, 0, 0
 	}
 	m.Admitted, m.Demand = 1, 0
@@ -28,8 +28,8 @@
 	return r
 }
 
-// answered asks once in so often for a time, and has each attempt answered as long after it was sent.
-func (r *rig) answered(span, every, latency time.Duration) {
+// answerAll sends a request at each interval for a time span, and answers each attempt after the latency.
+func (r *rig) answerAll(span, every, latency time.Duration) {
 	seen := 0
 	type job struct {
 		id RequestID
@@ -38,7 +38,7 @@
 	var running []job
 	for end := r.now + span; r.now < end; {
 		r.request(0)
-		r.pass(every)
+		r.advance(every)
 		for _, s := range r.h.sends[seen:] {
 			running = append(running, job{s.id, r.now + latency})
 		}
@@ -50,12 +50,12 @@
 	}
 }
 
-// A node that has come back with nobody to ask is asked for ten times what its servers can do. What it can't
-// serve in time is refused at once and not at the end of its use, what is served climbs to what they
-// can do, and those who were refused together are not called back together.
-func TestComingBackRefusesAtOnceAndSpreadsReturns(t *testing.T) {
-	const work, tick = 50 * ms, 2 * ms // of four servers with one place each: 80 a second
-	r := comeBackRig(t, work)
+// A node that has restarted without reaching discovery faces six times the demand that its servers can serve. What it
+// cannot serve in time is refused at once and not only at the end of its use, the rate served rises to
+// what the servers can do, and requests refused together are not told to retry together.
+func TestRecoveryRefusesEarlyAndSpreadsRetries(t *testing.T) {
+	const work, tick = 50 * ms, 2 * ms // four servers that serve one request at a time: 80 per second
+	r := recoveryRig(t, work)
 	free := map[ServerID]time.Duration{}
 	type job struct {
 		id RequestID
@@ -69,8 +69,8 @@
 	served := map[int]int{} // by second
 	for end := r.now + 4*time.Second; r.now < end; {
 		second := 3 - int((end-r.now-1)/time.Second)
-		began[r.request(0)] = r.now // 500 a second
-		r.pass(tick)
+		began[r.request(0)] = r.now // 500 per second
+		r.advance(tick)
 		for _, s := range r.h.sends[seen:] {
 			free[s.server] = max(free[s.server], r.now) + work
 			running = append(running, job{s.id, s.server, free[s.server]})
@@ -97,31 +97,31 @@
 	}
 	slices.Sort(waits)
 	if len(waits) < 1000 || waits[len(waits)*9/10] > 50*ms {
-		t.Errorf("%d were refused, nine in ten after %v", len(waits), waits[len(waits)*9/10])
+		t.Errorf("%d were refused, nine in ten within %v", len(waits), waits[len(waits)*9/10])
 	}
 	slices.Sort(returns)
 	if few, most := returns[len(returns)/10], returns[len(returns)*9/10]; most-few < 300*ms || most > time.Second {
-		t.Errorf("called back after %v to %v: in step", few, most)
+		t.Errorf("told to retry after %v to %v: in step", few, most)
 	}
 }
 
-// Figures of before that answers of some servers prove wrong are dropped for all, those that nobody has met
-// since too; figures that hold stay. A memory of another process that still lives is not held against them.
-func TestFiguresProvedWrongAreDroppedForAll(t *testing.T) {
+// Restored measurements that answers of some servers refute are dropped for all servers, including those not used
+// since; measurements that hold are kept. Those taken over from a process that is still alive are not checked.
+func TestRefutedMeasurementsAreDroppedForAllServers(t *testing.T) {
 	for name, c := range map[string]struct {
 		is      time.Duration
 		dropped bool
 	}{"as before": {20 * ms, false}, "somewhat slower": {35 * ms, false}, "six times slower": {120 * ms, true}, "six times faster": {3 * ms, true}} {
-		r := comeBackRig(t, 20*ms)
-		known := r.b.classes[0].lone
-		r.answered(3*time.Second, 20*ms, c.is)
-		// Dropped, it goes by what it meets, as a process that knows nothing.
-		got, want := r.b.classes[0].lone, known
+		r := recoveryRig(t, 20*ms)
+		known := r.b.classes[0].unloaded
+		r.answerAll(3*time.Second, 20*ms, c.is)
+		// After dropping them it goes by what it measures, like a process that knows nothing.
+		got, want := r.b.classes[0].unloaded, known
 		if c.dropped {
 			want = c.is.Seconds()
 		}
-		if got < 0.4*want || got > 2.3*want || r.b.before != nil {
-			t.Errorf("%s: takes %v s for a lone request, was %v", name, got, known)
+		if got < 0.4*want || got > 2.3*want || r.b.restored != nil {
+			t.Errorf("%s: unloaded latency %v s, was %v", name, got, known)
 		}
 	}
 	r := newRig(t, testSettings(), 4)
@@ -132,13 +132,13 @@
 		t.Fatal(err)
 	}
 	r.serve(30, 0, 200*ms)
-	if r.b.before != nil || r.b.loneSeen < loneNeeded {
-		t.Error("a living process's figures were dropped")
+	if r.b.restored != nil || r.b.unloadedSamples < minUnloadedSamples {
+		t.Error("measurements of a live process were dropped")
 	}
 }
 
-// A node whose part is far below a request a server begins with the share that cold servers bear, and climbs.
-func TestScantNodeComesBackWithAPart(t *testing.T) {
+// A node whose fair limit is far below one request per server starts with the share that cold servers take, and rises.
+func TestVerySparseNodeRecoversFromColdShare(t *testing.T) {
 	set := testSettings()
 	set.Nodes = 80
 	r := newRig(t, set, 0)
@@ -152,9 +152,9 @@
 	}
 	for range 100 {
 		r.serve(1, 0, 20*ms)
-		r.pass(50 * ms)
+		r.advance(50 * ms)
 	}
 	if got := r.b.admitted; got < 0.9 {
-		t.Errorf("admits %v after seconds of answers in time", got)
+		t.Errorf("admits %v after seconds of timely answers", got)
 	}
 }
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A request whose end is still coming has no time of its own: its server is not silent, no
-// copy goes out, and nothing is given up however long its client takes. From Sent on its time
-// counts, and its server's.
+// While a request is still arriving from the client, no deadline applies: its server does not count as silent, no
+// copy is sent and the request is not given up, however long the client takes. From Sent on, its time and its
+// server's latency count.
 func TestTimeCountsFromSent(t *testing.T) {
 	set := testSettings()
 	set.Classes = set.Classes[:1]
@@ -20,31 +20,31 @@
 	if len(to) != 1 {
 		t.Fatalf("sent %d times", len(to))
 	}
-	r.pass(30 * time.Second)
+	r.advance(30 * time.Second)
 	if n := len(r.sendsOf(id)); n != 1 || r.h.failed[id] || r.b.servers[to[0]].breaker != closed || len(r.b.servers[to[0]].failures) != 0 {
-		t.Fatalf("after 30 s of coming: %d sends, failed %v", n, r.h.failed[id])
+		t.Fatalf("after 30 s of upload: %d sends, failed %v", n, r.h.failed[id])
 	}
 	r.b.Sent(r.now, id, 0, 2*time.Second)
-	r.pass(20 * ms)
+	r.advance(20 * ms)
 	r.end(id, OK, 20*ms)
 	if s := r.b.servers[to[0]]; s.latency > 3 {
-		t.Errorf("the upload counts as latency: %v times a lone request's", s.latency)
+		t.Errorf("the upload counts as latency: %v times the unloaded one", s.latency)
 	}
-	// Another one's server says nothing from Sent on.
+	// A server that does not answer after Sent is overdue.
 	r.next++
 	id = r.next
 	r.b.Request(r.now, Request{ID: id, Class: 0, Left: 2 * time.Second, Coming: true})
-	r.pass(5 * time.Second)
+	r.advance(5 * time.Second)
 	r.b.Sent(r.now, id, 0, 2*time.Second)
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	if len(r.sendsOf(id)) < 2 {
-		t.Error("no copy of a request that was sent and is overdue")
+		t.Error("no copy of an overdue request after it was sent")
 	}
 }
 
-// One that finds no server in its time is refused, and one whose body has gone by has no
-// further attempt: refused if it never ran.
-func TestComingRequestsEnd(t *testing.T) {
+// A request that finds no server in time is refused, and one whose body is no longer available gets no further
+// attempt: it is refused if it never ran.
+func TestUploadingRequestsEnd(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set, 3)
 	for _, c := range []struct {
@@ -57,7 +57,7 @@
 		r.b.Request(r.now, Request{ID: id, Class: c.class, Left: 2 * time.Second, Coming: true})
 		r.b.Last(id)
 		r.end(id, c.status, 10*ms)
-		r.pass(5 * time.Second)
+		r.advance(5 * time.Second)
 		if _, refused := r.h.refused[id]; refused != c.refused || r.h.failed[id] == c.refused || len(r.sendsOf(id)) != 1 {
 			t.Errorf("class %d, %v: refused %v, failed %v, %d sends", c.class, c.status, refused, r.h.failed[id], len(r.sendsOf(id)))
 		}
@@ -67,12 +67,12 @@
 	full.next++
 	full.b.Request(full.now, Request{ID: full.next, Left: 2 * time.Second, Coming: true})
 	if _, refused := full.h.refused[full.next]; !refused {
-		t.Error("with no server it waits")
+		t.Error("without a server the request waits")
 	}
 }
 
-// Two processes that are one node keep to its quota together.
-func TestShareOfQuotas(t *testing.T) {
+// Two processes that make up one node keep to its quota together.
+func TestProcessesShareQuotas(t *testing.T) {
 	set := testSettings()
 	set.Tenants, set.OverShareWorth = []Tenant{{QuotaPerS: 100}}, 0.1
 	within := func(part float64) (n int) {
@@ -90,6 +90,6 @@
 	}
 	whole, one, other := within(1), within(0.9), within(0.1)
 	if d := one + other - whole; d < -3 || d > 3 {
-		t.Errorf("%d and %d within the quota, one process has %d", one, other, whole)
+		t.Errorf("%d and %d within the quota, a single process has %d", one, other, whole)
 	}
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -1,6 +1,6 @@
 package policy
 
-// The concurrency limit of a node whose tier has more nodes than servers.
+// The concurrency limit of a sparse node, one whose tier has more nodes than servers.
 
 import (
 	"math"
@@ -8,120 +8,120 @@
 )
 
 const (
-	crowdedTimes = 1.75  // times the least mean time of answers: the mean that the node steers to
-	shareMost    = 0.9   // share of the aim that this is at most
-	lateShare    = 0.8   // share of the aim from which one answer is a sign of crowding
-	countedMost  = 2.0   // share of the aim that one answer counts for, at most
-	leastFor     = 300.0 // seconds in which the least mean rises by a factor of e, to follow servers that became slower
-	firstRoom    = 2.0   // roots of the limit's start that it may grow by before the least mean is known
-	decrease     = 0.3   // share of the limit that a refusal for fullness, or the first sign of crowding, takes off
-	limitGain    = 0.3   // change of the limit, in requests an answer, for a mean that is off by a factor of e
-	spillFrom    = 1.2   // times the least mean: the own zone's mean from which requests leave it
-	spillRate    = 1.0   // change a second of the share that leaves, for a mean that is off by a factor of e
-	spillSpan    = 0.5   // seconds that one answer changes it for, at most
-	sendMargin   = 1.5   // expected latencies that a request must have left to be sent
+	congestedRatio  = 1.75  // target mean answer time, as a multiple of the recent minimum mean
+	maxTargetShare  = 0.9   // the highest target, as a share of the aim
+	congestedShare  = 0.8   // one answer that takes this share of its aim or more is a sign of congestion
+	maxCountedShare = 2.0   // one answer counts for at most this share of its aim
+	minimumDecay    = 300.0 // seconds in which the minimum mean rises by a factor of e, to follow servers that became slower
+	initialGrowth   = 2.0   // square roots of the initial limit that it may grow by before the minimum mean is known
+	limitBackoff    = 0.3   // share of the limit taken off by an answer of Full, or at the first sign of congestion
+	limitGain       = 0.3   // change of the limit per answer, in requests, for a mean that is off by a factor of e
+	spillThreshold  = 1.2   // requests leave their zone from this multiple of the minimum mean
+	spillRate       = 1.0   // change per second of the share that leaves, for a mean that is off by a factor of e
+	maxSpillStep    = 0.5   // seconds of change that one answer causes at most
+	sendMargin      = 1.5   // a queued request is sent only with this many expected latencies left
 )
 
-// answerTime is a moving geometric mean of answers' times, each as a share of its class's aim. It goes by ratios, so
-// that a few slow servers do not hide what the others do.
+// answerTime is a moving geometric mean of answer times, each as a share of its class's aim. A geometric mean keeps
+// a few slow servers from hiding the others.
 type answerTime struct {
-	mean float64 // logarithm
-	seen int
-	at   time.Duration
+	mean    float64 // natural logarithm
+	samples int
+	at      time.Duration
 }
 
-// add takes in the logarithm of one answer's share.
+// add records an answer by the logarithm of its share of the aim.
 func (m *answerTime) add(now time.Duration, share float64) {
-	m.seen++
-	m.mean += (share - m.mean) * max(recentWeight(now-m.at), 1/float64(m.seen))
+	m.samples++
+	m.mean += (share - m.mean) * max(recentWeight(now-m.at), 1/float64(m.samples))
 	m.at = now
 }
 
-// known tells that enough answers have come to compare other means with this one.
-func (m *answerTime) known() bool { return m.seen >= pressureOver }
+// established reports whether enough answers have been recorded to compare this mean with others.
+func (m *answerTime) established() bool { return m.samples >= pressureSamples }
 
-// answered takes in how long a server took to begin its answer to an attempt, or not to.
-func (b *Balancer) answered(now time.Duration, a *attempt, o Outcome) {
-	if !b.thin() || b.scant() || o.Status != OK && o.Status != Full && o.Status != Timeout {
+// recordAnswerTime records the time until a server began to answer an attempt, or until it failed to.
+func (b *Balancer) recordAnswerTime(now time.Duration, a *attempt, o Outcome) {
+	if !b.sparse() || b.verySparse() || o.Status != OK && o.Status != Full && o.Status != Timeout {
 		return
 	}
 	aim := a.request.class.Aim
-	share := math.Log(max(o.Latency.Seconds()*b.asWarm(a), 1e-4) / aim.Seconds())
+	share := math.Log(max(o.Latency.Seconds()*b.warmFactor(a), 1e-4) / aim.Seconds())
 	switch {
 	case o.Status == Full || o.Status == Timeout && o.Latency >= aim:
 		share = max(share, 0)
-	case o.Status == Timeout && share < b.answers.mean:
-		return // an impatient client's: says nothing of the server
+	case o.Status == Timeout && share < b.answerTimes.mean:
+		return // caused by a client's short timeout: says nothing about the server
 	}
-	share = min(share, math.Log(countedMost))
-	b.leastTime += (now - b.answers.at).Seconds() / leastFor
-	b.answers.add(now, share)
-	if b.answers.known() {
-		b.leastTime = min(b.leastTime, b.answers.mean)
+	share = min(share, math.Log(maxCountedShare))
+	b.minAnswerTime += (now - b.answerTimes.at).Seconds() / minimumDecay
+	b.answerTimes.add(now, share)
+	if b.answerTimes.established() {
+		b.minAnswerTime = min(b.minAnswerTime, b.answerTimes.mean)
 	}
 	b.adaptSpill(now, a.server, share)
-	b.adaptLimit(share, o.Status == Full)
+	b.adaptSparseLimit(share, o.Status == Full)
 }
 
-// adaptLimit moves the window by an answer's share of its aim. Until the first sign of crowding the window grows by a
-// request an answer, while requests wait for it. From then on it follows the distance of the mean time from its target,
-// a multiple of the least mean of late. That asks for no latencies of unloaded servers, of which a node that meets each
-// server once in seconds learns too few. The target is the same at all nodes, as they share their servers: a baseline
-// out of few latencies differs by chance, and nodes with a high one crowd out the others.
-func (b *Balancer) adaptLimit(share float64, full bool) {
+// adaptSparseLimit adjusts the limit by the time of an answer. Until the first sign of congestion it grows by one
+// request per answer while requests wait for it. After that it follows the distance of the mean answer time from its
+// target, a multiple of the recent minimum mean. This needs no latencies of unloaded servers, of which a node that uses
+// each server only every few seconds sees too few. All nodes have the same target, as they share the servers: a
+// baseline of few latencies varies by chance, and nodes with a high one would crowd out the others.
+func (b *Balancer) adaptSparseLimit(share float64, full bool) {
 	servers := float64(max(len(b.ready), 1))
-	target := min(b.leastTime+math.Log(crowdedTimes), math.Log(shareMost))
+	target := min(b.minAnswerTime+math.Log(congestedRatio), math.Log(maxTargetShare))
 	slack := 0.0
-	if b.answers.known() {
-		slack = target - b.answers.mean
+	if b.answerTimes.established() {
+		slack = target - b.answerTimes.mean
 	}
-	late := share > math.Log(lateShare)
-	waited := b.limited
-	b.limited = false
+	late := share > math.Log(congestedShare)
+	waited := b.limitReached
+	b.limitReached = false
 	change := 0.0
 	switch {
 	case full, !b.slowStartOver && (late || slack < 0):
 		b.slowStartOver = true
-		change = -decrease * b.window * servers
+		change = -limitBackoff * b.sparseLimit * servers
 	case slack < 0:
 		change = limitGain * max(slack, -1)
 	case !waited || late:
-	case !b.answers.known():
-		start := fairStart * servers / float64(b.set.Nodes)
-		change = min(1, max(0, start+firstRoom*math.Sqrt(start)-b.window*servers))
+	case !b.answerTimes.established():
+		start := fairLimit * servers / float64(b.set.Nodes)
+		change = min(1, max(0, start+initialGrowth*math.Sqrt(start)-b.sparseLimit*servers))
 	case !b.slowStartOver:
 		change = 1
 	default:
 		change = limitGain * slack
 	}
-	b.window = max(b.window+change/servers, 1/float64(b.set.Nodes))
+	b.sparseLimit = max(b.sparseLimit+change/servers, 1/float64(b.set.Nodes))
 }
 
-// adaptSpill moves the share of requests that may go to servers of any zone: up while the servers of the own zone take
-// long to answer, and longer than the others; else down.
+// adaptSpill moves the share of requests that may go to servers of any zone: up while the local servers take long to
+// answer, and longer than the others; down otherwise.
 func (b *Balancer) adaptSpill(now time.Duration, s *server, share float64) {
-	answers := &b.farAnswers
-	if s.near {
-		answers = &b.nearAnswers
+	answers := &b.otherAnswerTimes
+	if s.local {
+		answers = &b.localAnswerTimes
 	}
 	answers.add(now, share)
-	seconds := min((now - b.spillAt).Seconds(), spillSpan)
-	b.spillAt = now
-	from := b.leastTime + math.Log(spillFrom)
-	if b.farAnswers.seen > 0 {
-		from = max(from, b.farAnswers.mean)
+	seconds := min((now - b.spillChangedAt).Seconds(), maxSpillStep)
+	b.spillChangedAt = now
+	from := b.minAnswerTime + math.Log(spillThreshold)
+	if b.otherAnswerTimes.samples > 0 {
+		from = max(from, b.otherAnswerTimes.mean)
 	}
-	b.spill = min(max(b.spill+spillRate*(b.nearAnswers.mean-from)*seconds, 0), 1)
+	b.spillShare = min(max(b.spillShare+spillRate*(b.localAnswerTimes.mean-from)*seconds, 0), 1)
 }
 
-// spills draws whether a request may go to servers of any zone.
-func (b *Balancer) spills() bool { return b.thin() && b.rng.Float64() < b.spill }
+// spillsOver decides at random whether a request may go to servers of any zone.
+func (b *Balancer) spillsOver() bool { return b.sparse() && b.rng.Float64() < b.spillShare }
 
-// needed is the time that a waiting request must have left to be sent. Of requests with no more than the mean left
-// about half come late, and their servers' work is lost to others that wait.
-func (b *Balancer) needed(r *request) time.Duration {
-	expected := b.expected(r)
-	if b.thin() && !b.scant() {
+// requiredTime is the time that a queued request must have left to be sent. About half of the requests that have only
+// the mean left are answered late, and other requests lose the capacity they use.
+func (b *Balancer) requiredTime(r *request) time.Duration {
+	expected := b.expectedLatency(r)
+	if b.sparse() && !b.verySparse() {
 		return time.Duration(sendMargin * float64(expected))
 	}
 	return expected
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"otterstep/policy"
 )
 
-// printer is a Host that only tells what it was asked to do.
+// printer is a Host that prints the actions it is asked for.
 type printer struct{ at time.Duration }
 
 func (p *printer) Send(id policy.RequestID, _ policy.ServerID, _ time.Duration) {
@@ -21,8 +21,8 @@
 func (p *printer) SetTimer(at time.Duration, _ uint64) { p.at = at }
 func (p *printer) WatchList()                          { fmt.Println("watch the list") }
 
-// A request is served, one is retried elsewhere and served, and one is refused
-// because its only server drains.
+// One request is served, one is retried elsewhere and served, and one is refused
+// because no server is left.
 func Example() {
 	settings := policy.Defaults()
 	settings.Classes = []policy.Class{{
@@ -48,14 +48,14 @@
 
 	b.Request(now, policy.Request{ID: 2, Left: 2 * time.Second})
 	b.Outcome(now, policy.Outcome{ID: 2, Status: policy.Error, Latency: time.Millisecond})
-	for range 10 { // timers bring the retry after its backoff
+	for range 10 { // timers trigger the retry after its backoff
 		now = max(now, host.at)
 		b.Timer(now, 0)
 	}
 	b.Outcome(now, policy.Outcome{ID: 2, Attempt: 1, Status: policy.OK, Ended: true,
 		Latency: 20 * time.Millisecond})
 
-	b.Members(now, policy.ListFull, nil) // nobody is left
+	b.Members(now, policy.ListFull, nil) // no server is left
 	b.Request(now, policy.Request{ID: 3, Left: 2 * time.Second})
 
 	// Output:
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,7 +8,7 @@
 	"otterstep/internal/standin/racing"
 )
 
-// newFleet makes the nodes of a tier, each with a seed of its own and the same list.
+// newFleet returns the nodes of a tier, each with its own seed and the same list.
 func newFleet(t *testing.T, set Settings, nodes, servers int) []*rig {
 	t.Helper()
 	set.Nodes = nodes
@@ -25,30 +25,30 @@
 	return fleet
 }
 
-// Guards against nodes that know as little as each other and all prefer the first of the list for a further
-// attempt: on a fleet's day it got five times the load of any other server.
-func TestFurtherAttemptsOfManyNodesSpread(t *testing.T) {
+// Guards against nodes with equally little knowledge that all retry at the first server of the list: in a fleet that
+// server got five times the load of any other.
+func TestRetriesOfManyNodesSpread(t *testing.T) {
 	count, most := map[ServerID]int{}, 0
 	set := testSettings()
-	set.Zone = 100 // none of the servers'
+	set.Zone = 100 // no server's zone
 	for _, r := range newFleet(t, set, 80, 60) {
-		r.serve(12, 0, 20*ms) // a thin node saves up for further attempts
+		r.serve(12, 0, 20*ms) // a sparse node saves up for further attempts
 		id := r.request(0)
 		r.end(id, Full, ms)
-		r.pass(200 * ms)
+		r.advance(200 * ms)
 		for _, s := range r.sendsOf(id)[1:] {
 			count[s]++
 			most = max(most, count[s])
 		}
 	}
 	if most > 7 || len(count) < 35 { // 80 balls in 60 bins
-		t.Errorf("one server got %d of 80 second attempts, %d servers any", most, len(count))
+		t.Errorf("one server got %d of 80 second attempts, %d servers got any", most, len(count))
 	}
 }
 
-// Three hundred nodes whose calls for the list all fail call no more than 230 times in any second, 150 on average, once
-// they have failed thrice: one service that takes a call from each of them within 2 s could answer them.
-func TestCallsOfManyNodesAreBounded(t *testing.T) {
+// Once the list calls of 300 nodes have each failed three times, no more than 230 calls come in any second, 150 on
+// average: a service that takes a call from each node within 2 s could answer them.
+func TestListCallsOfManyNodesAreLimited(t *testing.T) {
 	set := testSettings()
 	set.ListAsked = true
 	fleet := newFleet(t, set, 300, 3)
@@ -57,7 +57,7 @@
 	for _, r := range fleet {
 		for range seconds * 100 {
 			before := r.h.watches
-			r.pass(10 * ms)
+			r.advance(10 * ms)
 			if r.h.watches > before {
 				if at := int((r.now - time.Hour) / time.Second); at < seconds {
 					calls[at]++
@@ -79,7 +79,7 @@
 }
 
 // Guards against many nodes that each send a key elsewhere, so that no server keeps it warm, and against a
-// hot key that fills the one server it is at home with.
+// hot key that overloads a single server.
 func TestManyNodesAgreeOnTheServersOfAKey(t *testing.T) {
 	racing.Skip(t)
 	const nodes, servers, hot, rare = 80, 60, 1, 2
@@ -102,7 +102,7 @@
 			if sent := r.sendsOf(r.next); round >= 100 && count[key] != nil && len(sent) > 0 {
 				count[key][sent[0]]++
 			}
-			r.pass(50 * ms)
+			r.advance(50 * ms)
 			r.end(r.next, OK, 20*ms)
 		}
 	}
@@ -111,20 +111,20 @@
 		total, most = total+n, max(most, n)
 	}
 	if len(count[hot]) < 9 || len(count[hot]) > 45 || most*5 > total {
-		t.Errorf("hot key: at %d servers, %d of %d requests at one", len(count[hot]), most, total)
+		t.Errorf("hot key: at %d servers, %d of %d requests at one of them", len(count[hot]), most, total)
 	}
 	if len(count[rare]) > 3 {
 		t.Errorf("rare key: at %d servers", len(count[rare]))
 	}
 }
 
-// Guards against a table of keys without an end.
+// Guards against a key table that grows without limit.
 func TestPopularityStaysBounded(t *testing.T) {
 	var p popularity
 	for i := range uint64(100_000) {
 		p.add(i%3 + 1)
 		p.add(i + 10)
-		if len(p.counts) > 3*popularFor || p.total > 2*popularFor {
+		if len(p.counts) > 3*popularitySpan || p.total > 2*popularitySpan {
 			t.Fatalf("%d keys, %.0f requests", len(p.counts), p.total)
 		}
 	}
--- a/policy/hand.go
+++ b/policy/hand.go
@@ -1,87 +1,87 @@
 package policy
 
-// Servers that the operators leave out by hand, and how they come back; two processes that are one node.
+// Servers cordoned by operators, and their return; nodes whose work is shared by two processes.
 
 import "time"
 
-// byHand is what the operators said of a server. It stands beside the list and outlasts it.
-type byHand struct {
-	out   bool
-	since time.Duration // when it was left out
-	back  time.Duration // when it came back; meaningless while out
+// cordonState is what operators said about a server. It is kept apart from the list and outlasts its entries.
+type cordonState struct {
+	cordoned     bool
+	since        time.Duration // time of the cordon
+	uncordonedAt time.Duration // time of the uncordon; meaningless while cordoned
 }
 
-// Cordon leaves a server out of all that picks, from now until Uncordon, whatever the list says and
-// however often the server restarts. It may be told of a server that is not listed now, and again.
+// Cordon excludes a server from all picks until Uncordon, whatever the list says and however often the
+// server restarts. The server need not be listed, and the call may be repeated.
 func (b *Balancer) Cordon(now time.Duration, id ServerID) {
-	b.forgetBack(now)
-	if h := b.hand[id]; !h.out {
-		b.hand[id] = byHand{out: true, since: now}
+	b.expireUncordoned(now)
+	if h := b.cordons[id]; !h.cordoned {
+		b.cordons[id] = cordonState{cordoned: true, since: now}
 	}
 	if s := b.servers[id]; s != nil {
-		s.hand = b.hand[id]
-		b.relist()
+		s.cordon = b.cordons[id]
+		b.updateReady()
 	}
-	b.refreshed = -1
-	b.dispatch(now) // with nobody left, what waits is answered now
+	b.refreshedAt = -1
+	b.dispatch(now) // with no server left, queued requests are answered now
 }
 
-// Uncordon lets a server serve again. It has been restarted meanwhile as a rule, and the list is late
-// to say so: it counts as cold from now on, unless the list says that a restart while it was out is long
-// past. It is unmeasured, and meets its single trial at once, as it would be picked late where many are
-// better known. One that was not left out stays as it is. The call came at the given time, which lies
-// before now if another process was told of it.
+// Uncordon lets a server serve again. It has usually been restarted meanwhile, which the list reports late,
+// so it counts as cold from now on, unless the list says that it restarted long ago while it was cordoned.
+// It counts as unmeasured and half-open, so that its trial comes at once: an unmeasured server would be
+// picked late where many others are better known. A server that is not cordoned is left unchanged. called
+// is the time of the call, which lies before now if another process received it.
 func (b *Balancer) Uncordon(now time.Duration, id ServerID, called time.Duration) {
-	h := b.hand[id]
-	if !h.out {
+	h := b.cordons[id]
+	if !h.cordoned {
 		return
 	}
-	b.forgetBack(now)
+	b.expireUncordoned(now)
 	s := b.servers[id]
-	h.out, h.back = false, min(called, now)
+	h.cordoned, h.uncordonedAt = false, min(called, now)
 	if s != nil && s.Started > h.since && now-s.Started >= b.set.Rules.ColdFor {
-		h.back = s.Started
+		h.uncordonedAt = s.Started
 	}
-	b.hand[id] = h
+	b.cordons[id] = h
 	if s != nil {
-		*s = server{Entry: s.Entry, near: s.near, kind: s.kind, rounding: s.rounding, openFor: openFirst,
-			out: s.out, load: s.load, hand: h, breaker: halfOpen}
-		if s.serves() {
+		*s = server{Entry: s.Entry, local: s.local, kind: s.kind, limitOffset: s.limitOffset,
+			openFor: openInitial, inFlight: s.inFlight, load: s.load, cordon: h, breaker: halfOpen}
+		if s.acceptsWork() {
 			b.ready = append(b.ready, s)
 		}
-		b.relist()
+		b.updateReady()
 	}
-	b.refreshed = -1
+	b.refreshedAt = -1
 	b.dispatch(now)
 }
 
-// forgetBack drops the calls back whose servers are warm by now.
-func (b *Balancer) forgetBack(now time.Duration) {
-	if b.hand == nil {
-		b.hand = map[ServerID]byHand{}
+// expireUncordoned forgets uncordoned servers that are warm by now.
+func (b *Balancer) expireUncordoned(now time.Duration) {
+	if b.cordons == nil {
+		b.cordons = map[ServerID]cordonState{}
 	}
-	for id, h := range b.hand {
-		if !h.out && now-h.back > b.set.Rules.ColdFor {
-			delete(b.hand, id)
+	for id, h := range b.cordons {
+		if !h.cordoned && now-h.uncordonedAt > b.set.Rules.ColdFor {
+			delete(b.cordons, id)
 		}
 	}
 }
 
-// serves tells that a server may get new work, as far as list and operators go.
-func (s *server) serves() bool { return s.State == Ready && !s.hand.out }
+// acceptsWork reports whether the list and the operators allow new work at a server.
+func (s *server) acceptsWork() bool { return s.State == Ready && !s.cordon.cordoned }
 
-// lastStart is when a server last started, as far as is known; 0 for long ago. One that was called back
-// may have started at any time before that call.
-func (s *server) lastStart() time.Duration { return max(s.Started, s.hand.back) }
+// lastStart is the latest known start of a server; 0: long ago. An uncordoned server may have started at
+// any time before the uncordon.
+func (s *server) lastStart() time.Duration { return max(s.Started, s.cordon.uncordonedAt) }
 
-// Share tells that this process is only a part of its node, and another one the rest, as while a new
-// version takes over: it keeps to that part of a cold server's room and of each quota. 1 is the whole.
+// Share sets the part of its node that this process makes up, with another process as the rest, as during
+// an upgrade. The process keeps to that part of each cold server's budget and of each quota. 1: the whole.
 func (b *Balancer) Share(now time.Duration, part float64) {
 	for i := range b.tenants {
 		t := &b.tenants[i]
 		t.refill(now)
-		t.perSecond *= part / b.part
+		t.perSecond *= part / b.nodePart
 		t.tokens = min(t.tokens, max(t.perSecond, 1))
 	}
-	b.part = part
+	b.nodePart = part
 }
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -8,8 +8,8 @@
 	"otterstep/internal/standin/racing"
 )
 
-// Guards drains by hand against a plain model: whatever the list says meanwhile, nothing is sent
-// to a server from the call out until the call back, over 50 seeds of lists, requests and outcomes.
+// Checks cordons against a plain model: whatever the list says, nothing is sent to a server between Cordon and
+// Uncordon, over 50 seeds of lists, requests and outcomes.
 func TestCordonedServersGetNothing(t *testing.T) {
 	racing.Skip(t)
 	for seed := range uint64(50) {
@@ -40,7 +40,7 @@
 			b.Members(now, ListFull, all)
 		}
 		full()
-		out := map[ServerID]bool{}
+		cordoned := map[ServerID]bool{}
 		seen := 0
 		attempts := map[RequestID]int{}
 		for id := RequestID(1); id < 1500; id++ {
@@ -49,11 +49,11 @@
 			case 0:
 				s := ServerID(1 + rng.IntN(servers))
 				b.Cordon(now, s)
-				out[s] = true
+				cordoned[s] = true
 			case 1:
 				s := ServerID(1 + rng.IntN(servers))
 				b.Uncordon(now, s, now)
-				delete(out, s)
+				delete(cordoned, s)
 			case 2:
 				b.Members(now, ListDelta, []Entry{entry(rng.IntN(servers))})
 			case 3:
@@ -63,8 +63,8 @@
 			b.Timer(now, tokenSweep)
 			for ; seen < len(h.sends); seen++ {
 				s := h.sends[seen]
-				if out[s.server] {
-					t.Fatalf("seed %d: request %d went to server %d, which is out", seed, s.id, s.server)
+				if cordoned[s.server] {
+					t.Fatalf("seed %d: request %d went to server %d, which is cordoned", seed, s.id, s.server)
 				}
 				status := []Status{OK, OK, OK, Error, Full, ConnectFailed}[rng.IntN(6)]
 				b.Outcome(now, Outcome{
@@ -73,22 +73,22 @@
 				attempts[s.id]++
 			}
 		}
-		if len(out) < servers && seen == 0 {
+		if len(cordoned) < servers && seen == 0 {
 			t.Errorf("seed %d: nothing was sent at all", seed)
 		}
 	}
 }
 
-// A server that is called back counts as cold though the list has not said that it restarted, and is
-// in use at once: the next request that it can bear is its trial.
-func TestCalledBackServerIsColdAndMeetsItsTrial(t *testing.T) {
+// An uncordoned server counts as cold even if the list has not reported a restart, and is used at once: the
+// next request that its budget allows is its trial.
+func TestUncordonedServerIsColdAndTriedAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes = set.Classes[:1]
 	r := newRig(t, set, 8)
 	r.serve(400, 0, 10*ms)
 	r.b.Cordon(r.now, 3)
 	r.b.Cordon(r.now, 3)
-	r.pass(4 * time.Second)
+	r.advance(4 * time.Second)
 	before := len(r.h.sends)
 	r.serve(400, 0, 10*ms)
 	r.b.Uncordon(r.now, 3, r.now)
@@ -98,7 +98,7 @@
 	}
 	for _, sent := range r.h.sends[before:] {
 		if sent.server == 3 {
-			t.Fatal("was sent to while out")
+			t.Fatal("cordoned server was sent a request")
 		}
 	}
 	before = len(r.h.sends)
@@ -111,34 +111,34 @@
 	}
 	trial = s.breaker == closed
 	if used == 0 || !trial {
-		t.Errorf("two seconds after the call back it was used %d times, trial passed: %v", used, trial)
+		t.Errorf("two seconds after the uncordon it was used %d times, trial passed: %v", used, trial)
 	}
 	if used > 200*3/8 {
 		t.Errorf("a cold server was sent %d of 200 requests", used)
 	}
 }
 
-// A restart that the list told of while the server was out, and that is long past, leaves it warm.
-func TestCalledBackServerMayBeWarm(t *testing.T) {
+// A restart that the list reported while the server was cordoned, and that is long past, leaves it warm.
+func TestUncordonedServerMayBeWarm(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.b.Cordon(r.now, 2)
-	r.pass(time.Second)
+	r.advance(time.Second)
 	e := ready(2, 2)
 	e[0].Started = r.now
 	r.list(ListDelta, e...)
-	r.pass(20 * time.Second)
+	r.advance(20 * time.Second)
 	r.b.Uncordon(r.now, 2, r.now)
 	if share := r.b.coldShare(r.b.servers[2], r.now); share != 1 {
 		t.Errorf("counts as %v of its capacity, want 1", share)
 	}
-	r.b.Uncordon(r.now, 1, r.now) // never out: nothing changes
-	if s := r.b.servers[1]; s.breaker != closed || s.hand != (byHand{}) {
-		t.Errorf("%+v", s.hand)
+	r.b.Uncordon(r.now, 1, r.now) // never cordoned: nothing changes
+	if s := r.b.servers[1]; s.breaker != closed || s.cordon != (cordonState{}) {
+		t.Errorf("%+v", s.cordon)
 	}
 }
 
-// With all servers out by hand what comes is refused at once, and what waited too.
-func TestAllServersOutByHand(t *testing.T) {
+// With all servers cordoned, new and queued requests are refused at once.
+func TestAllServersCordoned(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.b.Cordon(r.now, 1)
 	r.b.Cordon(r.now, 2)
@@ -148,30 +148,30 @@
 	}
 	r.list(ListFull, ready(1, 2)...)
 	if id = r.request(0); len(r.sendsOf(id)) > 0 {
-		t.Error("a list undid the calls")
+		t.Error("a list undid the cordons")
 	}
 	r.b.Uncordon(r.now, 1, r.now)
 	before := len(r.h.sends)
 	r.serve(300, 0, 10*ms)
 	if len(r.h.sends) == before {
-		t.Error("not served after the call back")
+		t.Error("not served after the uncordon")
 	}
 }
 
-// What operators said of servers that came back is forgotten once these are warm.
-func TestCallsBackAreForgotten(t *testing.T) {
+// The record of an uncordoned server is dropped once the server is warm.
+func TestUncordonedServersAreForgotten(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for id := range ServerID(1000) {
 		r.b.Cordon(r.now, id)
 		r.b.Uncordon(r.now, id, r.now)
-		r.pass(time.Second)
+		r.advance(time.Second)
 	}
-	if n := len(r.b.hand); n > 12 {
-		t.Errorf("%d servers are remembered, of 1,000 that came back", n)
+	if n := len(r.b.cordons); n > 12 {
+		t.Errorf("%d of 1,000 uncordoned servers are still recorded", n)
 	}
 }
 
-// A full list ends servers that it does not name, draining ones too.
+// A full list removes servers that it does not name, draining ones included.
 func TestFullListForgetsDrainingServers(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	e := ready(2, 2)
@@ -179,6 +179,6 @@
 	r.list(ListDelta, e...)
 	r.list(ListFull, ready(3, 4)...)
 	if n := len(r.b.servers); n != 2 {
-		t.Errorf("%d servers are kept of a list of 2", n)
+		t.Errorf("%d servers are kept from a list of 2", n)
 	}
 }
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -11,36 +11,36 @@
 	"otterstep/internal/standin/racing"
 )
 
-// world plays a random script against one Balancer and checks the rules on each
-// action: one final answer in time, no effect twice, no send after a notice, no
-// attempt too many.
-type world struct {
+// scriptHost runs a random script against one Balancer and checks the rules on each
+// action: one final answer in time, no effect twice, no send after a drain notice, no
+// attempt beyond the limit.
+type scriptHost struct {
 	servers int
 	*fakeHost
 	t        *testing.T
 	rng      *rand.Rand
 	b        *Balancer
 	now      time.Duration
-	open     map[RequestID]*played
+	open     map[RequestID]*scriptRequest
 	answered map[RequestID]int
 	state    map[ServerID]Entry
 }
 
-type played struct {
+type scriptRequest struct {
 	class    Class
 	end      time.Duration
-	attempts []*playedAttempt
+	attempts []*scriptAttempt
 	done     bool
 }
 
-type playedAttempt struct {
+type scriptAttempt struct {
 	server   Entry
 	sent     time.Duration
 	out      bool
 	neverRan bool
 }
 
-func (w *world) Send(id RequestID, server ServerID, timeout time.Duration) {
+func (w *scriptHost) Send(id RequestID, server ServerID, timeout time.Duration) {
 	w.fakeHost.Send(id, server, timeout)
 	p, s := w.open[id], w.state[server]
 	switch {
@@ -60,18 +60,18 @@
 			w.t.Errorf("%v: unsafe request %d sent again though it may have run", w.now, id)
 		}
 		if p.class.Effect == Keyed && (a.server.Cell != s.Cell || w.now-a.sent >= p.class.Window) {
-			w.t.Errorf("%v: keyed request %d repeated out of its group or window", w.now, id)
+			w.t.Errorf("%v: keyed request %d repeated outside its scope or window", w.now, id)
 		}
 	}
-	p.attempts = append(p.attempts, &playedAttempt{server: s, sent: w.now, out: true})
+	p.attempts = append(p.attempts, &scriptAttempt{server: s, sent: w.now, out: true})
 }
 
-func (w *world) answer(id RequestID) *played {
+func (w *scriptHost) answer(id RequestID) *scriptRequest {
 	w.answered[id]++
 	p := w.open[id]
 	if p == nil || p.done {
 		w.t.Errorf("%v: request %d answered twice", w.now, id)
-		return &played{}
+		return &scriptRequest{}
 	}
 	if w.now > p.end+20*ms {
 		w.t.Errorf("%v: request %d answered after its end at %v", w.now, id, p.end)
@@ -80,7 +80,7 @@
 	return p
 }
 
-func (w *world) Refuse(id RequestID, after time.Duration) {
+func (w *scriptHost) Refuse(id RequestID, after time.Duration) {
 	w.fakeHost.Refuse(id, after)
 	p := w.answer(id)
 	for _, a := range p.attempts {
@@ -90,13 +90,13 @@
 	}
 }
 
-func (w *world) Fail(id RequestID) {
+func (w *scriptHost) Fail(id RequestID) {
 	w.fakeHost.Fail(id)
 	w.answer(id)
 }
 
-// outcome ends attempt i of a request with a random status, or by its deadline.
-func (w *world) outcome(id RequestID, p *played, i int) {
+// outcome ends attempt i of a request with a random status, or with a timeout once its deadline has passed.
+func (w *scriptHost) outcome(id RequestID, p *scriptRequest, i int) {
 	a := p.attempts[i]
 	status := []Status{OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[w.rng.IntN(8)]
 	if w.now >= p.end {
@@ -114,7 +114,7 @@
 		Latency: w.now - a.sent, Ended: p.done})
 }
 
-func (w *world) step(ids []RequestID) {
+func (w *scriptHost) step(ids []RequestID) {
 	for _, id := range ids {
 		p := w.open[id]
 		for i, a := range p.attempts {
@@ -144,7 +144,7 @@
 }
 
 // change drains, removes, restarts or adds a server.
-func (w *world) change(start time.Duration) {
+func (w *scriptHost) change(start time.Duration) {
 	id := ServerID(1 + w.rng.IntN(w.servers+w.servers/2))
 	e := Entry{Server: id, Cell: int(id) / 3, Weight: 1, State: State(w.rng.IntN(3))}
 	if w.rng.IntN(3) == 0 {
@@ -154,12 +154,12 @@
 	w.b.Members(w.now, ListDelta, []Entry{e})
 }
 
-func playScript(t *testing.T, seed uint64, servers int) []string {
+func runScript(t *testing.T, seed uint64, servers int) []string {
 	set := testSettings()
 	set.Classes[0].LateWorth = 0.5
 	set.Tenants = []Tenant{{QuotaPerS: 50}}
-	w := &world{fakeHost: newHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
-		servers: servers, open: map[RequestID]*played{}, answered: map[RequestID]int{}, state: map[ServerID]Entry{}}
+	w := &scriptHost{fakeHost: newHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
+		servers: servers, open: map[RequestID]*scriptRequest{}, answered: map[RequestID]int{}, state: map[ServerID]Entry{}}
 	b, err := New(set, seed, w)
 	if err != nil {
 		t.Fatal(err)
@@ -176,22 +176,22 @@
 		w.now += 5 * ms
 		for range w.rng.IntN(4) {
 			if step >= 3500 {
-				break // let it run dry
+				break // let the remaining requests finish
 			}
 			id := RequestID(len(ids) + 1)
 			class := w.rng.IntN(3)
 			left := time.Duration(300+w.rng.IntN(1700)) * ms
 			ids = append(ids, id)
-			w.open[id] = &played{class: set.Classes[class], end: w.now + left}
+			w.open[id] = &scriptRequest{class: set.Classes[class], end: w.now + left}
 			b.Request(w.now, Request{ID: id, Class: class, Key: uint64(w.rng.IntN(50)), Left: left})
 		}
 		if w.rng.IntN(60) == 0 {
 			w.change(w.now)
 		}
 		w.step(ids)
-		if out := slices.DeleteFunc(slices.Clone(b.ready), func(s *server) bool { return s.breaker == closed }); len(out) != len(b.opened) ||
-			slices.ContainsFunc(out, func(s *server) bool { return !slices.Contains(b.opened, s) }) {
-			t.Fatalf("%d servers are listed as out, %d are", len(b.opened), len(out))
+		if out := slices.DeleteFunc(slices.Clone(b.ready), func(s *server) bool { return s.breaker == closed }); len(out) != len(b.notClosed) ||
+			slices.ContainsFunc(out, func(s *server) bool { return !slices.Contains(b.notClosed, s) }) {
+			t.Fatalf("%d servers are listed as not closed, %d are", len(b.notClosed), len(out))
 		}
 	}
 	for _, id := range ids {
@@ -199,35 +199,35 @@
 			t.Errorf("request %d got %d final answers", id, w.answered[id])
 		}
 	}
-	if len(b.requests) > 0 || len(b.open) > 0 {
-		t.Errorf("%d requests and %d open ones remembered at the end", len(b.requests), len(b.open))
+	if len(b.requests) > 0 || len(b.unfinished) > 0 {
+		t.Errorf("%d requests and %d unfinished ones remembered at the end", len(b.requests), len(b.unfinished))
 	}
 	return w.log
 }
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	racing.Skip(t)
-	for servers, seeds := range map[int]uint64{8: 6, scanMost + 40: 2} { // looked at as a whole, and by samples
+	for servers, seeds := range map[int]uint64{8: 6, maxFullScan + 40: 2} { // below and above the limit for full scans
 		for seed := range seeds {
-			t.Run(fmt.Sprintf("%d servers, seed %d", servers, seed), func(t *testing.T) { playScript(t, seed, servers) })
+			t.Run(fmt.Sprintf("%d servers, seed %d", servers, seed), func(t *testing.T) { runScript(t, seed, servers) })
 		}
 	}
 }
 
 func TestSameEventsAndSeedGiveTheSameActions(t *testing.T) {
 	racing.Skip(t)
-	one, two := playScript(t, 3, 8), playScript(t, 3, 8)
-	if a, b := strings.Join(one, "\n"), strings.Join(two, "\n"); a != b {
+	first, second := runScript(t, 3, 8), runScript(t, 3, 8)
+	if a, b := strings.Join(first, "\n"), strings.Join(second, "\n"); a != b {
 		t.Fatal("two runs of the same script differ")
 	}
 }
 
-func TestInterleavedInstancesActAsEachAlone(t *testing.T) {
+func TestInterleavedInstancesAreIndependent(t *testing.T) {
 	drive := func(rigs ...*rig) {
 		for i := range 300 {
 			for _, r := range rigs {
 				id := r.request(i % 3)
-				r.pass(7 * ms)
+				r.advance(7 * ms)
 				if n := len(r.sendsOf(id)); n > r.done[id] {
 					r.end(id, OK, 7*ms)
 				}
@@ -239,6 +239,6 @@
 	drive(a, b)
 	want := strings.Join(alone.h.log, "\n")
 	if strings.Join(a.h.log, "\n") != want || strings.Join(b.h.log, "\n") != want {
-		t.Fatal("instances that take turns act unlike one alone")
+		t.Fatal("interleaved instances act differently from one alone")
 	}
 }
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// What one Balancer has learnt is known to the next one, whose clock shows another time: it
-// passes on the same, and of a server that started anew or is not listed nothing.
-func TestMemoryOutlivesABalancer(t *testing.T) {
+// What one Balancer has learned is taken over by its successor, whose clock differs, and which passes on the
+// same. Nothing is taken over for servers that have restarted or are not listed.
+func TestMemoryIsRestoredBySuccessor(t *testing.T) {
 	set := testSettings()
 	set.WarmKeys = true
 	r := newRig(t, set, 6)
@@ -26,7 +26,7 @@
 			status = Error
 		}
 		r.end(id, status, 30*ms)
-		r.pass(time.Millisecond)
+		r.advance(time.Millisecond)
 	}
 	r.b.keys[77] = r.b.servers[3]
 	saved := r.b.servers[4].coldSaved
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if s := r.b.servers[4]; s.coldSaved > 0 || s.earned > 0 {
-		t.Errorf("both have the room at a cold server: %v, %v", s.coldSaved, s.earned)
+		t.Errorf("both processes have the budget of a cold server: %v, %v", s.coldSaved, s.earned)
 	}
 	var m Memory
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -48,20 +48,20 @@
 		t.Fatal(err)
 	}
 	now := 5 * time.Hour
-	list := ready(1, 5) // 6 has gone
+	list := ready(1, 5) // server 6 has gone
 	list[3].Started, list[4].Started = now-m.Servers[3].Age, now-time.Second
 	b.Members(now, ListFull, list)
 	if err := b.Recall(now, m); err != nil {
 		t.Fatal(err)
 	}
 	if s := b.servers[4]; s.coldSaved != saved {
-		t.Errorf("room at the cold server %v, want %v", s.coldSaved, saved)
+		t.Errorf("budget of the cold server %v, want %v", s.coldSaved, saved)
 	}
-	if s := b.servers[5]; s.kept != 0 || s.loneSeen != 0 {
-		t.Errorf("a server that has started anew is known: %d outcomes", s.kept)
+	if s := b.servers[5]; s.judged != 0 || s.unloadedSamples != 0 {
+		t.Errorf("a restarted server is known: %d outcomes", s.judged)
 	}
 	if b.keys[77] != b.servers[3] {
-		t.Error("who served a key is not known")
+		t.Error("the server of a key is not known")
 	}
 	again := b.Pass(now)
 	if again.Limit != m.Limit || again.LoneSeen != m.LoneSeen || !reflect.DeepEqual(again.Classes, m.Classes) || !reflect.DeepEqual(again.Kinds, m.Kinds) {
@@ -74,13 +74,13 @@
 	}
 }
 
-// Nothing impossible is taken over, and nothing half.
-func TestImpossibleMemory(t *testing.T) {
+// Invalid memory is rejected as a whole.
+func TestInvalidMemory(t *testing.T) {
 	for name, spoil := range map[string]func(*Memory){
 		"limit": func(m *Memory) { m.Limit = 0 }, "typical": func(m *Memory) { m.Typical = math.NaN() },
-		"crowding": func(m *Memory) { m.Crowding = math.Inf(1) }, "admitted": func(m *Memory) { m.Admitted = 0 },
+		"crowding": func(m *Memory) { m.Congestion = math.Inf(1) }, "admitted": func(m *Memory) { m.Admitted = 0 },
 		"classes": func(m *Memory) { m.Classes = m.Classes[:1] }, "classes is": func(m *Memory) { m.Classes[0].Lone = -1 },
-		"kinds": func(m *Memory) { m.Kinds[0].Latency = math.NaN() }, "servers": func(m *Memory) { m.Servers[0].Good = outcomesKept + 1 },
+		"kinds": func(m *Memory) { m.Kinds[0].Latency = math.NaN() }, "servers": func(m *Memory) { m.Servers[0].Good = maxOutcomes + 1 },
 		"servers is": func(m *Memory) { m.Servers[0].Rate = -1 }, "keys": func(m *Memory) { m.Keys = make([]KeyMemory, 5000) },
 		"servers: ": func(m *Memory) { m.Servers[0].Failures = 1 << 40 },
 	} {
@@ -94,7 +94,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if after := r.b.Pass(r.now); !reflect.DeepEqual(after, before) {
-			t.Errorf("%s: taken over in part", name)
+			t.Errorf("%s: partly taken over", name)
 		}
 	}
 }
--- a/policy/parked_test.go
+++ b/policy/parked_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Below the grain a class's latencies are all the same.
+// Latencies below the grain of a class are treated as equal.
 func TestGrain(t *testing.T) {
 	for _, grain := range []time.Duration{0, 100 * ms} {
 		s := testSettings()
@@ -18,15 +18,15 @@
 			r.b.Outcome(r.now, Outcome{ID: id, Server: 1, Status: OK, Ended: true, Latency: latency})
 		}
 		v := r.b.servers[1]
-		fast, slow := v.ring[(v.head+outcomesKept-2)%outcomesKept].latency, v.ring[(v.head+outcomesKept-1)%outcomesKept].latency
+		fast, slow := v.ring[(v.head+maxOutcomes-2)%maxOutcomes].latency, v.ring[(v.head+maxOutcomes-1)%maxOutcomes].latency
 		if alike := slow < 1.1*fast; alike != (grain > 0) {
-			t.Errorf("grain %v: 5 and 10 ms are %.3f and %.3f of a lone request's", grain, fast, slow)
+			t.Errorf("grain %v: 5 and 10 ms are %.3f and %.3f of the unloaded latency", grain, fast, slow)
 		}
 	}
 }
 
-// A parked class's attempts are no load once the server has them, and are judged by
-// the time until it rang; what comes after that counts only as a failure.
+// Attempts of a parked class add no load once the server has accepted them, and are judged by the time until
+// the answer started; after that only a failure counts.
 func TestParkedAttempts(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].Parked, s.Classes[2].Deadline = true, time.Minute
@@ -34,37 +34,36 @@
 	server := func() ServerView { return r.b.Inspect(r.now).Servers[0] }
 	first, second := r.request(2), r.request(2)
 	if len(r.h.sends) != 1 {
-		t.Fatalf("%d sends to a server that may hold one", len(r.h.sends))
+		t.Fatalf("%d sends to a server with room for one", len(r.h.sends))
 	}
 	r.b.Taken(r.now, first, 0)
 	if len(r.h.sends) != 2 || server().InFlight != 1 {
-		t.Errorf("%d sends once the first is taken, %d in flight", len(r.h.sends), server().InFlight)
+		t.Errorf("%d sends once the first is accepted, %d in flight", len(r.h.sends), server().InFlight)
 	}
 	r.now += 100 * ms
 	for range 2 {
 		r.b.Started(r.now, first, 0)
 	}
 	if v := server(); v.Judged != 1 || v.Success != 1 {
-		t.Errorf("rung it is judged %d times, success %v", v.Judged, v.Success)
+		t.Errorf("once started it is judged %d times, success %v", v.Judged, v.Success)
 	}
 	r.b.Outcome(r.now, Outcome{ID: first, Server: 1, Status: OK, Ended: true, Latency: 30 * time.Second}) // the phone rang for long
 	if v := server(); v.Judged != 1 || r.b.meanLatency > 2 {
-		t.Errorf("answered it is judged %d times, mean latency %v", v.Judged, r.b.meanLatency)
+		t.Errorf("once answered it is judged %d times, mean latency %v", v.Judged, r.b.meanLatency)
 	}
 	r.b.Started(r.now, second, 0)
 	r.now += 30 * time.Second
 	r.b.Outcome(r.now, Outcome{ID: second, Server: 1, Status: Timeout, Latency: 30 * time.Second})
-	if good := r.b.servers[1].good; good != 2 || r.b.servers[1].kept != 3 || !r.h.failed[second] {
-		t.Errorf("after it rang out: %d good of %d, failed %v", good, r.b.servers[1].kept, r.h.failed)
+	if good := r.b.servers[1].successes; good != 2 || r.b.servers[1].judged != 3 || !r.h.failed[second] {
+		t.Errorf("after a timeout once started: %d good of %d, failed %v", good, r.b.servers[1].judged, r.h.failed)
 	}
 	if v := r.b.Inspect(r.now); v.Open != 0 || v.Out != 0 || v.Servers[0].InFlight != 0 {
-		t.Errorf("left behind: %+v", v)
+		t.Errorf("not cleaned up: %+v", v)
 	}
 }
 
-// With all servers half-open, unsafe requests at the head of the queue, which may be no
-// trial, don't keep a safe one behind them from being it: the simulation's retry storm
-// found nodes that stayed like this for good.
+// With all servers half-open, unsafe requests at the head of the queue, which must not be trials, do not keep a safe
+// one behind them from being the trial. A simulated retry storm left nodes stuck in this state.
 func TestUnsafeRequestsDontBlockTheTrial(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].Worth = 100 // first in the queue
@@ -72,17 +71,17 @@
 	for id := range r.b.servers {
 		r.b.servers[id].breaker, r.b.servers[id].reopenAt = open, r.now+ms
 	}
-	r.b.opened = append(r.b.opened, r.b.ready...)
+	r.b.notClosed = append(r.b.notClosed, r.b.ready...)
 	r.now += 10 * ms
 	before := len(r.h.sends)
 	for range 3 {
 		r.request(2)
 	}
 	if len(r.h.sends) != before {
-		t.Fatal("an unsafe request is a trial")
+		t.Fatal("an unsafe request was sent as a trial")
 	}
 	id := r.request(0)
 	if len(r.sendsOf(id)) != 1 {
-		t.Error("a safe request behind unsafe ones is no trial")
+		t.Error("a safe request behind unsafe ones was not sent as the trial")
 	}
 }
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -1,6 +1,6 @@
 package policy
 
-// Which server gets an attempt.
+// Selection of the server for an attempt.
 
 import (
 	"cmp"
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// maySend is the one gate for every attempt. It keeps the rules: nothing after the end, no attempt
-// too many, nothing to a server that drains or is gone, no effect twice, no cold server pushed over.
+// maySend is the check that every attempt passes. It allows no attempt after the end of the request or
+// beyond the limit, none to a server that drains or is gone, none that could repeat an effect, and none that
+// would overload a cold server.
 func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
-	if r.done || r.stream || r.last || now >= r.end || len(r.attempts) >= b.set.Limits.MaxAttempts ||
-		!s.serves() {
+	if r.done || r.streaming || r.noRetry || now >= r.deadline ||
+		len(r.attempts) >= b.set.Limits.MaxAttempts || !s.acceptsWork() {
 		return false
 	}
 	for i := range r.attempts {
@@ -21,16 +22,16 @@
 		switch {
 		case a.neverRan:
 			continue
-		case a.out && !b.set.Limits.SecondCopies, r.class.Effect == Unsafe:
+		case a.inFlight && !b.set.Limits.SecondCopies, r.class.Effect == Unsafe:
 			return false
-		case r.class.Effect == Keyed && (now-a.sent >= r.class.Window || !r.class.sameGroup(a, s)):
+		case r.class.Effect == Keyed && (now-a.sentAt >= r.class.Window || !r.class.sameScope(a, s)):
 			return false
 		}
 	}
-	return b.coldBudget(s, now, b.loneLatency(r))
+	return b.coldBudget(s, now, b.unloadedLatency(r))
 }
 
-// mayRefuse tells whether the promise of a refusal holds.
+// mayRefuse reports whether a refusal's promise that a retry is safe holds.
 func (r *request) mayRefuse() bool {
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
@@ -40,111 +41,111 @@
 	return true
 }
 
-// room tells whether a server is below the bound on own requests in flight. A server's own part of
-// a whole decides the rounding, so that a limit of 1.4 is 2 at two servers of five.
-func (b *Balancer) room(s *server, now time.Duration) bool {
-	bound := max(1, math.Floor(b.limit*s.size*b.coldShare(s, now)+s.rounding))
-	return now >= s.fullUntil && (b.thin() || float64(len(s.out)+1) <= bound)
+// hasRoom reports whether a server is below this node's concurrency limit for it. Each server's own random
+// offset decides the rounding, so that a limit of 1.4 means 2 at two of five servers.
+func (b *Balancer) hasRoom(s *server, now time.Duration) bool {
+	limit := max(1, math.Floor(b.limit*s.relativeWeight*b.coldShare(s, now)+s.limitOffset))
+	return now >= s.avoidUntil && (b.sparse() || float64(len(s.inFlight)+1) <= limit)
 }
 
-// thin tells that nodes outnumber servers: a fair bound in flight would be below one request a server
-// here. So it holds for all servers together only.
-func (b *Balancer) thin() bool { return b.set.Nodes > len(b.ready) }
+// sparse reports whether there are more nodes than servers, so that each node sends a server few requests. A
+// fair concurrency limit would be below one request per server, so it applies to all servers together.
+func (b *Balancer) sparse() bool { return b.set.Nodes > len(b.ready) }
 
-// ranksKeys tells that servers keep keys warm and that this node, being thin, meets each key too seldom to
-// remember where.
-func (b *Balancer) ranksKeys() bool { return b.set.WarmKeys && b.thin() }
+// ranksKeys reports whether servers keep keys warm and this node, being sparse, sees each key too seldom to
+// remember which server served it.
+func (b *Balancer) ranksKeys() bool { return b.set.WarmKeys && b.sparse() }
 
-// scant tells that nodes outnumber servers so far that the fair bound would be below one request in all:
-// too coarse to steer by, and one stuck attempt would use it up.
-func (b *Balancer) scant() bool { return float64(b.set.Nodes) > fairStart*float64(len(b.ready)) }
+// verySparse reports whether there are so many more nodes than servers that the fair limit would be below
+// one request in total: too coarse to control by, and used up by one stuck attempt.
+func (b *Balancer) verySparse() bool { return float64(b.set.Nodes) > fairLimit*float64(len(b.ready)) }
 
-// pick chooses a server for the next attempt, or nil: a half-open server that awaits its
-// trial, else the better of two random closed servers for a first send and the best other
-// closed server for a further one. A thin node draws by weight: it has too little in flight
-// to see small servers crowd. Where servers keep keys warm, the one that served the key last
-// is one of the two.
+// pick chooses a server for the next attempt, or nil: a half-open server that awaits its trial; otherwise,
+// for a first attempt, the better of two random closed servers, and for a further one the best other closed
+// server. A sparse node draws by capacity, as it has too little in flight to see small servers become
+// congested. Where servers keep keys warm, the one that served the key last is one of the two.
 func (b *Balancer) pick(now time.Duration, r *request) *server {
 	b.refresh(now)
-	for _, s := range b.opened {
+	for _, s := range b.notClosed {
 		if s.breaker == halfOpen && s.trial == nil && (r.class.Effect != Unsafe || b.allUnsafe) &&
 			!r.tried(s) && b.maySend(now, r, s) {
 			return s
 		}
 	}
-	if !b.scant() && b.full() {
-		b.limited = true
+	if !b.verySparse() && b.atLimit() {
+		b.limitReached = true
 		return nil
 	}
-	b.choices = b.choices[:0]
+	b.candidates = b.candidates[:0]
 	from, keyed := b.ready, b.ranksKeys() && r.Key != 0
-	if b.thin() {
-		from = b.mine
+	if b.sparse() {
+		from = b.subset
 	}
-	if b.large() && !keyed { // else the servers of a key have to be among them
-		for range sampleOf {
-			b.consider(now, r, from[b.rng.IntN(len(from))])
+	if b.large() && !keyed { // a key's own servers have to be among the candidates
+		for range pickSample {
+			b.addCandidate(now, r, from[b.rng.IntN(len(from))])
 		}
 		if warm := b.keys[r.Key]; b.set.WarmKeys && r.Key != 0 && warm != nil {
-			b.consider(now, r, warm)
+			b.addCandidate(now, r, warm)
 		}
 	}
-	if len(b.choices) == 0 {
-		b.considerAll(now, r, from)
+	if len(b.candidates) == 0 {
+		b.addCandidates(now, r, from)
 	}
-	if len(b.choices) == 0 && len(from) < len(b.ready) {
-		b.considerAll(now, r, b.ready)
+	if len(b.candidates) == 0 && len(from) < len(b.ready) {
+		b.addCandidates(now, r, b.ready)
 	}
-	b.suit(now, r)
-	n := len(b.choices)
+	b.filterForRequest(now, r)
+	n := len(b.candidates)
 	if n == 0 {
 		return nil
 	}
 	if len(r.attempts) == 0 && n > 2 {
 		if keyed {
-			return b.home(r)
+			return b.pickByKey(r)
 		}
 		i := b.rng.IntN(n)
 		j := (i + 1 + b.rng.IntN(n-1)) % n
-		if b.thin() {
-			i = b.draw(-1)
-			j = b.draw(i)
+		if b.sparse() {
+			i = b.drawWeighted(-1)
+			j = b.drawWeighted(i)
 		}
-		if warm := slices.Index(b.choices, b.keys[r.Key]); b.set.WarmKeys && r.Key != 0 && warm >= 0 {
-			i, j = warm, i // and wins where all is equal
+		if warm := slices.Index(b.candidates, b.keys[r.Key]); b.set.WarmKeys && r.Key != 0 && warm >= 0 {
+			i, j = warm, i // the warm server wins ties
 		}
-		return better(b.choices[i], b.choices[j])
+		return better(b.candidates[i], b.candidates[j])
 	}
-	if b.set.Nodes > 1 { // else all nodes that know as little prefer the same of equal ones
-		b.rng.Shuffle(n, func(i, j int) { b.choices[i], b.choices[j] = b.choices[j], b.choices[i] })
+	if b.set.Nodes > 1 { // otherwise nodes with equal knowledge would all prefer the same server
+		b.rng.Shuffle(n,
+			func(i, j int) { b.candidates[i], b.candidates[j] = b.candidates[j], b.candidates[i] })
 	}
-	best := b.choices[0]
-	for _, s := range b.choices[1:] {
+	best := b.candidates[0]
+	for _, s := range b.candidates[1:] {
 		best = better(best, s)
 	}
 	return best
 }
 
-// home chooses among the servers that keep a key warm. Many nodes meet each key too seldom to remember
-// who served it, so all go by the same ranking, made of key and server alone (weighted rendezvous
-// hashing; Thaler and Ravishankar, 1998). The first few of it are the key's: as many as its part of all
-// requests needs, so that a hot one fills no server. Of two of these the better gets the request.
-func (b *Balancer) home(r *request) *server {
-	n := len(b.choices)
-	homes := min(1+int(keySpread*b.popular.share(r.Key)*float64(len(b.ready))), n-1)
-	for _, s := range b.choices {
+// pickByKey chooses among the servers that keep a key warm. Many nodes see each key too seldom to remember
+// which server served it, so all use the same ranking, which depends on key and server only (weighted
+// rendezvous hashing; Thaler and Ravishankar, 1998). The first few in it serve the key: as many as its part
+// of all requests needs, so that a hot key does not overload one server. The better of two of them is used.
+func (b *Balancer) pickByKey(r *request) *server {
+	n := len(b.candidates)
+	keyServers := min(1+int(keySpread*b.keyPopularity.share(r.Key)*float64(len(b.ready))), n-1)
+	for _, s := range b.candidates {
 		s.rank = -math.Log(uniform(uint64(s.Server)^r.Key*0x9e3779b97f4a7c15)) / s.capacity()
 	}
-	slices.SortFunc(b.choices, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
-	i := b.rng.IntN(homes)
-	j := b.rng.IntN(homes)
+	slices.SortFunc(b.candidates, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
+	i := b.rng.IntN(keyServers)
+	j := b.rng.IntN(keyServers)
 	if j >= i {
 		j++
 	}
-	return better(b.choices[i], b.choices[j])
+	return better(b.candidates[i], b.candidates[j])
 }
 
-// uniform hashes to (0,1): the finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
+// uniform hashes x to (0,1) with the finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
 func uniform(x uint64) float64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -152,96 +153,97 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// full tells that as many attempts are in flight at closed servers as the bound allows in all.
-func (b *Balancer) full() bool {
-	out := 0
+// atLimit reports whether attempts in flight at closed servers have reached the total concurrency limit.
+func (b *Balancer) atLimit() bool {
+	inFlight := 0
 	if b.large() {
-		out = b.out
-		for _, s := range b.opened {
-			out -= len(s.out)
+		inFlight = b.inFlight
+		for _, s := range b.notClosed {
+			inFlight -= len(s.inFlight)
 		}
 	} else {
 		for _, s := range b.ready {
 			if s.breaker == closed {
-				out += len(s.out)
+				inFlight += len(s.inFlight)
 			}
 		}
 	}
-	closed := float64(len(b.ready) - len(b.opened))
-	bound := b.limit * closed
-	if b.thin() { // so few that rounding them down at all nodes would leave servers idle
-		bound = max(b.limit, b.window)*closed + b.rounding
+	closed := float64(len(b.ready) - len(b.notClosed))
+	limit := b.limit * closed
+	if b.sparse() { // limits this small, rounded down at all nodes, would leave servers idle
+		limit = max(b.limit, b.sparseLimit)*closed + b.limitOffset
 	}
-	return out >= max(1, int(bound))
+	return inFlight >= max(1, int(limit))
 }
 
-// consider makes a server one of the choices, if an attempt may go there now.
-func (b *Balancer) consider(now time.Duration, r *request, s *server) {
-	if s.breaker == closed && !r.tried(s) && b.room(s, now) && b.maySend(now, r, s) {
-		if b.large() { // the last look at all is a while ago
-			b.gauge(now, s)
-			b.rate(s)
+// addCandidate adds a server to the candidates if an attempt may go there now.
+func (b *Balancer) addCandidate(now time.Duration, r *request, s *server) {
+	if s.breaker == closed && !r.tried(s) && b.hasRoom(s, now) && b.maySend(now, r, s) {
+		if b.large() { // the last update of all scores may be old
+			b.updateHealth(now, s)
+			b.updateScore(s)
 		}
-		b.choices = append(b.choices, s)
+		b.candidates = append(b.candidates, s)
 	}
 }
 
-func (b *Balancer) considerAll(now time.Duration, r *request, servers []*server) {
+func (b *Balancer) addCandidates(now time.Duration, r *request, servers []*server) {
 	for _, s := range servers {
-		b.consider(now, r, s)
+		b.addCandidate(now, r, s)
 	}
 }
 
-// narrow leaves those of the choices that pass, if there are any; false if there are none.
-func (b *Balancer) narrow(pass func(*server) bool) bool {
-	b.passing = b.passing[:0]
-	for _, s := range b.choices {
+// filterCandidates keeps the candidates that pass, unless none does; it reports whether any did.
+func (b *Balancer) filterCandidates(pass func(*server) bool) bool {
+	b.filtered = b.filtered[:0]
+	for _, s := range b.candidates {
 		if pass(s) {
-			b.passing = append(b.passing, s)
+			b.filtered = append(b.filtered, s)
 		}
 	}
-	if len(b.passing) == 0 {
+	if len(b.filtered) == 0 {
 		return false
 	}
-	b.choices, b.passing = b.passing, b.choices
+	b.candidates, b.filtered = b.filtered, b.candidates
 	return true
 }
 
-// suit leaves the choices that suit the request: those at which its size lets it be in time, for an
-// unsafe one, which has one attempt, those that succeed most, and of these, where crossing has a price,
-// those of the own zone that are not much worse than the rest nor fail more often than crossing is worth.
-func (b *Balancer) suit(now time.Duration, r *request) {
-	if len(b.choices) == 0 {
+// filterForRequest keeps the candidates that suit the request: those fast enough to answer one of its size in
+// time; for an unsafe one, which has a single attempt, those with the highest success; and of these, where
+// crossing zones has a price, local ones that are neither much worse than the rest nor fail more often than
+// crossing costs.
+func (b *Balancer) filterForRequest(now time.Duration, r *request) {
+	if len(b.candidates) == 0 {
 		return
 	}
 	if r.Hint > 0 {
-		left, lone := (r.useful - now).Seconds(), b.loneLatency(r)
-		b.narrow(func(s *server) bool { return s.latency*lone <= left })
+		left, unloaded := (r.usefulUntil - now).Seconds(), b.unloadedLatency(r)
+		b.filterCandidates(func(s *server) bool { return s.latency*unloaded <= left })
 	}
 	success, score := 0.0, 0.0
-	for _, s := range b.choices {
+	for _, s := range b.candidates {
 		success, score = max(success, s.success), max(score, s.score)
 	}
 	if r.class.Effect == Unsafe {
-		b.narrow(func(s *server) bool { return s.success >= success-unsafeGain })
+		b.filterCandidates(func(s *server) bool { return s.success >= success-unsafeMargin })
 	}
-	if price := b.set.Prices.CrossZone; price > 0 && !b.spills() {
-		well := func(s *server) bool { return s.score >= score-farGain && s.success >= success-price }
-		if !b.narrow(func(s *server) bool { return s.near && well(s) }) {
-			b.crossed = true
+	if price := b.set.Prices.CrossZone; price > 0 && !b.spillsOver() {
+		good := func(s *server) bool { return s.score >= score-crossZoneMargin && s.success >= success-price }
+		if !b.filterCandidates(func(s *server) bool { return s.local && good(s) }) {
+			b.crossedZone = true
 		}
 	}
 }
 
-// better compares by score; near-ties go to less own work in flight for the server's size, equal ones
-// to the own zone.
+// better compares by score. Near-ties go to the server with less of this node's work in flight for its size,
+// and equal ones to the local zone.
 func better(x, y *server) *server {
 	switch {
-	case x.score > y.score+nearTie:
+	case x.score > y.score+tieMargin:
 		return x
-	case y.score > x.score+nearTie || y.load*x.size < x.load*y.size:
+	case y.score > x.score+tieMargin || y.load*x.relativeWeight < x.load*y.relativeWeight:
 		return y
-	case y.load*x.size == x.load*y.size && y.near && !x.near:
+	case y.load*x.relativeWeight == x.load*y.relativeWeight && y.local && !x.local:
 		return y
 	}
 	return x
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Guards against paying for crossing zones without need, and against a zone so full that
-// its requests wait while others idle.
-func TestStaysInItsZoneWhileThereIsRoomWhereCrossingHasAPrice(t *testing.T) {
+// Guards against needless priced zone crossings, and against a local zone so full that
+// requests wait while other zones are idle.
+func TestPricedCrossingKeepsRequestsLocal(t *testing.T) {
 	for _, price := range []float64{0, 0.08} {
 		set := testSettings()
 		set.Prices.CrossZone = price
-		r := newRig(t, set, 14) // 1 to 4 stand in the node's zone
+		r := newRig(t, set, 14) // 1 to 4 are in the node's zone
 		r.b.limit = 3
 		far := 0
-		for range 16 { // what the near ones have room for at least, were it not for rounding up
+		for range 16 { // what the local ones have room for at least, without rounding up
 			for _, s := range r.sendsOf(r.request(0)) {
 				if s >= 5 {
 					far++
 				}
 			}
-			if r.b.crossed {
+			if r.b.crossedZone {
 				break
 			}
 		}
 		switch {
 		case price == 0 && far < 4:
 			t.Errorf("free crossing: %d of 16 went to other zones", far)
-		case price > 0 && (far > 1 || r.b.crossed != (far == 1)):
-			t.Errorf("dear crossing: %d went to other zones, noted %v", far, r.b.crossed)
+		case price > 0 && (far > 1 || r.b.crossedZone != (far == 1)):
+			t.Errorf("priced crossing: %d went to other zones, noted %v", far, r.b.crossedZone)
 		}
 		if price == 0 {
 			continue
@@ -38,19 +38,19 @@
 				t.Fatal("a request waits for its zone though others have room")
 			}
 		}
-		if !r.b.crossed {
+		if !r.b.crossedZone {
 			t.Error("crossing was not noted")
 		}
 	}
 }
 
-// Guards against a zone whose servers fail and which is not left, and against unsafe requests, which can't
-// be tried again, at servers that fail now and then while others don't.
-func TestFailingServersAreLeftForThoseThatSucceed(t *testing.T) {
+// Guards against staying in a zone whose servers fail, and against sending unsafe requests, which cannot be
+// retried, to servers that fail now and then while others don't.
+func TestFailingServersAreAvoided(t *testing.T) {
 	for name, c := range map[string]struct {
 		price   float64
 		class   int
-		fails   int // of ten outcomes of the servers nearby
+		fails   int // of ten outcomes of the local servers
 		leaves  bool
 		warning string
 	}{
@@ -65,7 +65,7 @@
 		r := newRig(t, set, 14)
 		for _, s := range r.b.ready {
 			for i := range 80 {
-				s.record(r.now, !s.near || i%10 >= c.fails, 1)
+				s.record(r.now, !s.local || i%10 >= c.fails, 1)
 			}
 		}
 		for range 8 {
@@ -78,26 +78,26 @@
 	}
 }
 
-// Guards against a bound that stays at one request a server because other zones' servers
-// have room, so that requests cross zones that idle servers of the own could serve.
-func TestBoundGrowsForWantOfRoomNearby(t *testing.T) {
-	r, b := newSteered(t)
-	b.held = nil
-	before, known := b.limit, b.limitKnown
+// Guards against a limit that stays at one request per server because servers of other zones have room, so that
+// requests cross zones that idle local servers could have served.
+func TestLimitGrowsWhenLocalZoneIsFull(t *testing.T) {
+	r, b := newLimitRig(t)
+	b.queue = nil
+	before, known := b.limit, b.goodLimit
 	for i := range time.Duration(20) {
-		b.crossed = true // as a send would note it
-		steerFor(b, r.now+i*10*ms, 10*ms, 0)
+		b.crossedZone = true // as a send would note it
+		adjustFor(b, r.now+i*10*ms, 10*ms, 0)
 	}
-	if b.limit <= before || b.crossed {
-		t.Fatalf("bound went from %v to %v, crossing still noted: %v", before, b.limit, b.crossed)
+	if b.limit <= before || b.crossedZone {
+		t.Fatalf("limit changed from %v to %v, crossing still noted: %v", before, b.limit, b.crossedZone)
 	}
-	if b.limitKnown != known {
-		t.Fatal("a bound counts as known to be good though the fleet was not full")
+	if b.goodLimit != known {
+		t.Fatal("the limit counts as known good though the fleet was not full")
 	}
 }
 
-// Guards against small servers that are as full as large ones, and large ones that idle.
-func TestRoomFollowsSize(t *testing.T) {
+// Guards against small servers that hold as much as large ones, and large ones that idle.
+func TestLimitFollowsServerSize(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set, 0)
 	entries := ready(1, 2)
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards against heavy requests at servers too slow for them while fast ones have room.
-func TestHeavyRequestsGoWhereTheyCanBeInTime(t *testing.T) {
+// Guards against sending heavy requests to servers too slow for them while fast ones have room.
+func TestHeavyRequestsAvoidSlowServers(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	send := func(hint time.Duration) ServerID {
 		r.now += ms
@@ -146,27 +146,27 @@
 	}
 }
 
-// Guards against the collapse of servers with long queues: when nearly all answers come too late, the
-// few that come in time tell nothing of the crowd. A server that answers nobody tells nothing either.
-func TestAttemptsGivenUpAtLivingServersAreACrowd(t *testing.T) {
+// Guards against the collapse of servers with long queues: when nearly all answers are late, the few timely ones
+// do not show the congestion, so timeouts have to. A server that answers nobody shows nothing either.
+func TestTimeoutsAtRespondingServersCountAsCongestion(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		set := testSettings()
 		set.Limits.SecondCopies = false
 		r := newRig(t, set, 1)
 		s := r.b.ready[0]
-		r.b.classes[0].yardstick, s.loneSeen, r.b.crowded, r.b.typical = 0.1, 4, true, 0.1
-		r.b.limit, r.b.loneSeen = 8, loneNeeded
+		r.b.classes[0].baseline, s.unloadedSamples, r.b.congestedBefore, r.b.typicalLatency = 0.1, 4, true, 0.1
+		r.b.limit, r.b.unloadedSamples = 8, minUnloadedSamples
 		for range 200 {
 			id := r.request(0)
-			r.pass(900 * ms)
+			r.advance(900 * ms)
 			if answers {
 				s.answeredAt = r.now
 			}
 			r.end(id, Timeout, 900*ms)
-			s.breaker, r.b.opened = closed, nil
+			s.breaker, r.b.notClosed = closed, nil
 		}
-		if crowd := r.b.crowding > crowdingAim; crowd != answers || (r.b.limit < 8) != answers {
-			t.Errorf("server answers others %v: crowding %.2f, bound %.2f", answers, r.b.crowding, r.b.limit)
+		if crowd := r.b.congestion > congestionTarget; crowd != answers || (r.b.limit < 8) != answers {
+			t.Errorf("server answers others %v: congestion %.2f, limit %.2f", answers, r.b.congestion, r.b.limit)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -84,14 +84,14 @@
 	return s
 }
 
-// rig drives a Balancer against a fakeHost, its clock in hand.
+// rig drives a Balancer with a fakeHost and a manual clock.
 type rig struct {
 	t    *testing.T
 	b    *Balancer
 	h    *fakeHost
 	now  time.Duration
 	next RequestID
-	done map[RequestID]int // outcomes given, by request
+	done map[RequestID]int // outcomes reported, by request
 }
 
 func newRig(t *testing.T, set Settings, servers int) *rig {
@@ -106,7 +106,7 @@
 	return r
 }
 
-// ready gives entries for servers first to last, two to a cell, five to a zone.
+// ready returns entries for servers first to last, two to a cell, five to a zone.
 func ready(first, last int) []Entry {
 	var entries []Entry
 	for i := first; i <= last; i++ {
@@ -123,7 +123,7 @@
 	return r.next
 }
 
-// sendsOf lists the servers that a request was sent to.
+// sendsOf returns the servers that a request was sent to.
 func (r *rig) sendsOf(id RequestID) []ServerID {
 	var servers []ServerID
 	for _, s := range r.h.sends {
@@ -134,7 +134,7 @@
 	return servers
 }
 
-// end gives the next outcome of a request.
+// end reports the next outcome of a request.
 func (r *rig) end(id RequestID, status Status, latency time.Duration) {
 	i := r.done[id]
 	r.done[id]++
@@ -142,8 +142,8 @@
 		Ended: status == OK})
 }
 
-// pass lets time go by, firing the timers that fall due.
-func (r *rig) pass(d time.Duration) {
+// advance moves the clock, firing the timers that fall due.
+func (r *rig) advance(d time.Duration) {
 	for end := r.now + d; ; {
 		due := -1
 		for i, t := range r.h.timers {
@@ -162,11 +162,11 @@
 	}
 }
 
-// serve has n requests of a class answered in a steady time, spread over time.
+// serve sends n requests of a class one after the other, each answered after the same latency.
 func (r *rig) serve(n, class int, latency time.Duration) {
 	for range n {
 		id := r.request(class)
-		r.pass(latency)
+		r.advance(latency)
 		if r.done[id] < len(r.sendsOf(id)) {
 			r.end(id, OK, latency)
 		}
@@ -184,7 +184,7 @@
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.ready[0]
 	for range failuresToOpen {
-		r.b.failed(r.now, &attempt{server: bad}, false)
+		r.b.recordFailure(r.now, &attempt{server: bad}, false)
 	}
 	if bad.breaker != open {
 		t.Fatalf("breaker %v after %d failures, want open", bad.breaker, failuresToOpen)
@@ -192,60 +192,60 @@
 	r.serve(20, 0, 50*ms)
 	for _, s := range r.h.sends {
 		if s.server == bad.Server {
-			t.Fatal("an open server was sent a request before its time")
+			t.Fatal("an open server was sent a request too early")
 		}
 	}
-	r.pass(bad.reopenAt - r.now)
+	r.advance(bad.reopenAt - r.now)
 	trial := r.request(0)
 	if got := r.sendsOf(trial); len(got) != 1 || got[0] != bad.Server {
 		t.Fatalf("trial went to %v, want the half-open server %d", got, bad.Server)
 	}
 	if other := r.sendsOf(r.request(0)); len(other) != 1 || other[0] == bad.Server {
-		t.Fatalf("second request went to %v while the trial is out", other)
+		t.Fatalf("second request went to %v while the trial is in flight", other)
 	}
 	before := bad.openFor
 	r.end(trial, Error, 5*ms)
 	if bad.breaker != open || bad.openFor != 2*before {
 		t.Fatalf("after a failed trial: breaker %v for %v, want open for %v", bad.breaker, bad.openFor, 2*before)
 	}
-	r.pass(bad.reopenAt - r.now)
+	r.advance(bad.reopenAt - r.now)
 	trial = r.request(0)
 	r.end(trial, OK, 50*ms)
 	if bad.breaker != closed {
-		t.Fatalf("after a good trial: breaker %v, want closed", bad.breaker)
+		t.Fatalf("after a successful trial: breaker %v, want closed", bad.breaker)
 	}
 }
 
-func TestFailuresOpenOnlyInARowWithinTheWindow(t *testing.T) {
+func TestOnlyConsecutiveRecentFailuresOpenBreaker(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	s := r.b.ready[0]
 	for range failuresToOpen - 1 {
-		r.b.failed(r.now, &attempt{server: s}, false)
+		r.b.recordFailure(r.now, &attempt{server: s}, false)
 	}
-	r.b.succeeded(r.now, &attempt{server: s})
-	r.b.failed(r.now, &attempt{server: s}, false)
+	r.b.recordSuccess(r.now, &attempt{server: s})
+	r.b.recordFailure(r.now, &attempt{server: s}, false)
 	if s.breaker != closed {
 		t.Fatal("failures with a success between them opened the breaker")
 	}
 	for range 2 * failuresToOpen {
-		r.now += failuresFor / 3
-		r.b.failed(r.now, &attempt{server: s}, false)
+		r.now += failureWindow / 3
+		r.b.recordFailure(r.now, &attempt{server: s}, false)
 	}
 	if s.breaker != closed {
 		t.Fatal("failures spread wider than the window opened the breaker")
 	}
 }
 
-// Guards against a fleet-wide slowdown that opens every breaker and so refuses all.
+// Guards against a fleet-wide slowdown that opens every breaker and so refuses everything.
 func TestSharedSlownessLeavesHalfOfTheFleetClosed(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	for _, s := range r.b.ready {
 		for range 2 * failuresToOpen {
-			r.b.failed(r.now, &attempt{server: s}, true)
+			r.b.recordFailure(r.now, &attempt{server: s}, true)
 		}
 	}
 	if got := r.breakers(); got[open] != 3 {
-		t.Fatalf("%d of 6 breakers open by slowness, want 3", got[open])
+		t.Fatalf("%d of 6 breakers opened by slowness, want 3", got[open])
 	}
 }
 
@@ -253,7 +253,7 @@
 	r := newRig(t, testSettings(), 3)
 	for _, s := range r.b.ready {
 		for range failuresToOpen {
-			r.b.failed(r.now, &attempt{server: s}, false)
+			r.b.recordFailure(r.now, &attempt{server: s}, false)
 		}
 	}
 	id := r.request(2)
@@ -261,7 +261,7 @@
 	if !ok || after <= 0 || after > time.Second {
 		t.Fatalf("refused %v with retry-after %v, want at once and within the limit", ok, after)
 	}
-	r.pass(2 * openFirst)
+	r.advance(2 * openInitial)
 	trial, second := r.request(0), r.request(0)
 	if len(r.sendsOf(trial)) != 1 {
 		t.Fatal("half-open servers must still take their trial")
@@ -269,7 +269,7 @@
 	_ = second
 }
 
-// Guards against a second effect and against a false promise, under every outcome.
+// Guards against a repeated effect and against a false promise of a safe retry, for every status.
 func TestEffectsUnderEveryOutcome(t *testing.T) {
 	const retried, refused, failed = "retried", "refused", "failed"
 	for _, tc := range []struct {
@@ -289,9 +289,9 @@
 			set.Limits.SecondCopies = false
 			r := newRig(t, set, 9)
 			id := r.request(tc.class)
-			r.pass(20 * ms)
+			r.advance(20 * ms)
 			r.end(id, tc.status, 20*ms)
-			r.pass(200 * ms)
+			r.advance(200 * ms)
 			got := "held"
 			_, isRefused := r.h.refused[id]
 			switch {
@@ -318,16 +318,16 @@
 	}
 }
 
-// Guards against repeating a keyed request that its group has forgotten.
+// Guards against repeating a keyed request after its scope has forgotten it.
 func TestKeyedWindow(t *testing.T) {
 	set := testSettings()
 	set.Limits.SecondCopies = false
 	set.Classes[1].Window = 100 * ms
 	r := newRig(t, set, 9)
 	id := r.request(1)
-	r.pass(150 * ms)
+	r.advance(150 * ms)
 	r.end(id, Error, 150*ms)
-	r.pass(300 * ms)
+	r.advance(300 * ms)
 	if n := len(r.sendsOf(id)); n != 1 || !r.h.failed[id] {
 		t.Fatalf("%d sends, failed %v; want one send and a failure", n, r.h.failed[id])
 	}
@@ -343,7 +343,7 @@
 		from := r.now
 		r.end(id, Error, ms)
 		for len(r.sendsOf(id)) == i+1 && r.now < from+time.Second {
-			r.pass(ms)
+			r.advance(ms)
 		}
 		waits = append(waits, r.now-from)
 	}
@@ -351,18 +351,18 @@
 		t.Fatalf("waits %v do not grow", waits)
 	}
 	late := r.request(0)
-	r.pass(790 * ms)
+	r.advance(790 * ms)
 	r.end(late, Error, 790*ms)
 	if _, ok := r.h.refused[late]; !ok {
-		t.Fatal("a retry that cannot be in time must be refused at once")
+		t.Fatal("a retry that would be late must be refused at once")
 	}
 }
 
-// Guards against work sent after a notice, also by retries and held requests.
-func TestNothingAfterADrainNotice(t *testing.T) {
+// Guards against work sent after a drain notice, also by retries and queued requests.
+func TestNothingIsSentAfterDrainNotice(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set, 2)
-	for i := range 20 { // more than there is room for: some are held
+	for i := range 20 { // more than there is room for: some are queued
 		r.request(i % 3)
 	}
 	first := r.h.sends[0]
@@ -370,7 +370,7 @@
 	r.list(ListDelta, Entry{Server: 1, State: Draining})
 	r.list(ListDelta, Entry{Server: 2, State: Gone})
 	before := len(r.h.sends)
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	if len(r.h.sends) != before {
 		t.Fatalf("sent %v after the notices", r.h.sends[before:])
 	}
@@ -389,17 +389,17 @@
 	}
 	r.list(ListFailed)
 	r.list(ListFailed)
-	r.pass(set.Rules.MustAsk / 2)
+	r.advance(set.Rules.MustAsk / 2)
 	if r.h.watches < 2 {
-		t.Fatal("not asked again after a failure")
+		t.Fatal("no new call after a failure")
 	}
 	if len(r.b.ready) != 3 {
 		t.Fatal("a failed call must leave the list in force")
 	}
 }
 
-// Guards rule 3 where calls for the list fail, be they refused, given up or broken off: a change counts as told 6 s
-// after discovery had it, so that the next call comes within 4 s however many have failed and however many nodes ask.
+// Guards the rule that a change counts as announced 6 s after discovery had it. When list calls fail, whether refused,
+// timed out or broken off, the next call must come within 4 s, however many have failed and however many nodes call.
 func TestFailedCallsAreRepeatedInTime(t *testing.T) {
 	for _, nodes := range []int{1, 30, 300} {
 		for _, ask := range []time.Duration{4600 * ms, 13 * time.Second} {
@@ -409,7 +409,7 @@
 			for n := range 20 {
 				before := r.h.watches
 				r.list(ListFailed)
-				if r.pass(4 * time.Second); r.h.watches == before {
+				if r.advance(4 * time.Second); r.h.watches == before {
 					t.Errorf("%d nodes, to ask within %v: no call for 4 s after failure %d", nodes, ask, n+1)
 				}
 			}
@@ -417,7 +417,7 @@
 	}
 }
 
-// Guards against pushing a cold server over, by a burst right after its start
+// Guards against overloading a cold server, by a burst right after its start
 // and while most of the fleet restarts.
 func TestColdBudget(t *testing.T) {
 	for _, tc := range []struct {
@@ -432,41 +432,41 @@
 				restarted[i].Started = r.now
 			}
 			r.list(ListDelta, restarted...)
-			// What a warm server gets: an even part of all that is asked for.
+			// What a warm server gets: an equal part of all demand.
 			part := r.b.demand.perSecond(r.now) / 10 * r.b.set.Rules.FallFor.Seconds()
 			s := r.b.servers[1]
 			work, sends := 0.0, 0
-			burst := func() { // by the gate alone
+			burst := func() { // limited by maySend alone
 				for range 1000 {
 					r.next++
 					q := r.b.newRequest(Request{ID: r.next, Left: time.Second}, &r.b.classes[0])
-					q.end = r.now + time.Second
+					q.deadline = r.now + time.Second
 					if !r.b.maySend(r.now, q, s) {
 						break
 					}
 					r.b.send(r.now, q, s)
-					work += r.b.classes[0].lone
+					work += r.b.classes[0].unloaded
 					sends++
 				}
 			}
 			burst()
 			r.now += r.b.set.Rules.FallFor
 			burst()
-			if limit := part * 3 * 0.3; work > limit+r.b.classes[0].lone {
+			if limit := part * 3 * 0.3; work > limit+r.b.classes[0].unloaded {
 				t.Errorf("the cold server was sent %.3f s of work within a window, more than %.3f", work, limit)
 			}
 			if sends == 0 {
-				t.Error("a cold server must get something, or it never shows that it is warm")
+				t.Error("a cold server must get some work, or it never shows that it is warm")
 			}
-			r.pass(r.b.set.Rules.ColdFor)
+			r.advance(r.b.set.Rules.ColdFor)
 			if q := r.b.requests[r.request(0)]; !r.b.maySend(r.now, q, s) {
-				t.Error("the budget still holds for a warm server")
+				t.Error("the budget still limits a warm server")
 			}
 		})
 	}
 }
 
-// Guards against many nodes that each send just one request to a cold server at once.
+// Guards against many nodes that each send just one request to a cold server at the same time.
 func TestManyNodesShareTheColdBudget(t *testing.T) {
 	const nodes = 200
 	sends, part := 0, 0.0
@@ -496,52 +496,52 @@
 	if even := nodes * 20 * 0.2 / 9.2; float64(sends) < 0.75*even {
 		t.Fatalf("%d sends to the cold server, its share of all is %.0f", sends, even)
 	}
-	// At 0.2 of its capacity rising to 0.28, with a window of 1 s.
+	// From 0.2 of its capacity rising to 0.28, with a window of 1 s.
 	if work := float64(sends) * 0.05; work > part*3*0.24 {
 		t.Fatalf("%d nodes sent %.1f s of work, a warm server's part is %.1f", nodes, work, part)
 	}
 }
 
-// Guards against sends by the gate itself to a server that is not ready.
-func TestGateRefusesServersThatAreNotReady(t *testing.T) {
+// Guards against maySend allowing a send to a server that is not ready.
+func TestMaySendRejectsServersThatAreNotReady(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	q := r.b.newRequest(Request{ID: 9, Left: time.Second}, &r.b.classes[0])
-	q.end = r.now + time.Second
+	q.deadline = r.now + time.Second
 	s := r.b.ready[0]
 	if !r.b.maySend(r.now, q, s) {
-		t.Fatal("a ready server must pass")
+		t.Fatal("a ready server must be allowed")
 	}
 	for _, state := range []State{Draining, Gone} {
 		s.State = state
 		if r.b.maySend(r.now, q, s) {
-			t.Errorf("state %d passes the gate", state)
+			t.Errorf("a server in state %d is allowed", state)
 		}
 	}
 }
 
-// Guards against a server that fell silent keeping its good score until time-outs.
+// Guards against a server that stopped answering but keeps its good score until attempts time out.
 func TestAgeOfAnAttemptLowersTheScore(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.serve(60, 0, 20*ms)
 	id := r.request(0)
 	silent := r.b.requests[id].attempts[0].server
-	r.pass(70 * ms) // a few times the usual, too early to count as a failure
+	r.advance(70 * ms) // a few times the usual, too early to count as a failure
 	r.b.refresh(r.now)
 	for _, s := range r.b.ready {
-		if s != silent && s.score <= silent.score+nearTie {
+		if s != silent && s.score <= silent.score+tieMargin {
 			t.Fatalf("silent server scores %.2f, another %.2f", silent.score, s.score)
 		}
 	}
 }
 
-// Guards against counting on a server that answers nothing until its time-outs.
-func TestSilentServerIsLeftBeforeAnyTimeout(t *testing.T) {
+// Guards against relying on a server that answers nothing until its attempts time out.
+func TestSilentServerIsAvoidedBeforeTimeout(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	r.serve(100, 0, 20*ms)
 	silent := r.b.ready[2]
 	for range 60 {
 		id := r.request(0)
-		r.pass(20 * ms)
+		r.advance(20 * ms)
 		for _, s := range r.sendsOf(id)[r.done[id]:] {
 			if s != silent.Server {
 				r.done[id] = len(r.sendsOf(id)) - 1
@@ -550,18 +550,18 @@
 			}
 		}
 	}
-	if n := len(silent.out); n > 3 {
+	if n := len(silent.inFlight); n > 3 {
 		t.Fatalf("%d requests wait at a server that answers nothing", n)
 	}
-	for _, a := range silent.out {
+	for _, a := range silent.inFlight {
 		if len(a.request.attempts) != 2 {
 			t.Fatal("no second copy was sent for a request that got no answer")
 		}
 	}
 }
 
-// Guards against taking a server that turns requests away for an idle one.
-func TestFullServerIsLeftAlone(t *testing.T) {
+// Guards against taking a server that rejects requests for an idle one.
+func TestFullServerIsAvoided(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	id := r.request(0)
 	full := r.sendsOf(id)[0]
@@ -573,9 +573,9 @@
 	}
 }
 
-// Guards against a crowd at the servers: what they cannot take waits here, and
-// what would be late is refused while trying elsewhere still helps.
-func TestRequestsBeyondTheBoundWaitAndAreShedInTime(t *testing.T) {
+// Guards against congestion at the servers: what they cannot take waits here, and
+// what would be late is refused while retrying elsewhere still helps.
+func TestRequestsBeyondLimitWaitAndAreShedInTime(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 10 {
 		r.request(0)
@@ -583,13 +583,13 @@
 	if n := len(r.h.sends); n > 4 {
 		t.Fatalf("%d requests in flight at two unknown servers", n)
 	}
-	r.pass(790 * ms)
+	r.advance(790 * ms)
 	if n := len(r.h.refused); n < 6 {
-		t.Fatalf("%d of the held requests refused before their aim had passed", n)
+		t.Fatalf("%d of the queued requests refused before their aim had passed", n)
 	}
 }
 
-// Guards against serving everybody late under overload: past its aim a request
+// Guards against answering everything late under overload: past its aim a request
 // waits at its late worth, behind those that can still be in time.
 func TestLateRequestsWaitBehindTimelyOnes(t *testing.T) {
 	set := testSettings()
@@ -600,7 +600,7 @@
 	r := newRig(t, set, 1)
 	busy := r.request(0)
 	old := r.request(0)
-	r.pass(700 * ms)
+	r.advance(700 * ms)
 	young := r.request(0)
 	r.end(busy, OK, 700*ms)
 	if len(r.sendsOf(young)) != 1 || len(r.sendsOf(old)) != 0 {
@@ -611,8 +611,8 @@
 	}
 }
 
-// Guards against one tenant's surplus taking the room of the others.
-func TestOverShareTrafficWaitsBehindTheRest(t *testing.T) {
+// Guards against one tenant's excess traffic displacing that of the others.
+func TestOverQuotaTrafficWaitsBehindTheRest(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaPerS: 2}, {QuotaPerS: 100}}
 	set.OverShareWorth = 0.05
@@ -632,7 +632,7 @@
 	}
 	_ = first
 	if len(r.sendsOf(over)) != 0 || len(r.sendsOf(within)) != 1 {
-		t.Fatal("a request over its tenant's share was served first")
+		t.Fatal("a request beyond its tenant's quota was served first")
 	}
 }
 
@@ -652,17 +652,17 @@
 	if better(good, slow) != good || better(failing, good) != good {
 		t.Fatal("the better score lost")
 	}
-	twin := &server{score: good.score - nearTie/2, size: 1}
+	twin := &server{score: good.score - tieMargin/2, relativeWeight: 1}
 	good.load = 1
 	if better(good, twin) != twin {
 		t.Fatal("a near-tie must go to less work in flight")
 	}
-	if twin.load, good.size = 0.6, 2; better(good, twin) != good {
+	if twin.load, good.relativeWeight = 0.6, 2; better(good, twin) != good {
 		t.Fatal("a near-tie must go to less work in flight for a server's size")
 	}
 }
 
-func TestUnmeasuredServerStandsAtTheMean(t *testing.T) {
+func TestUnmeasuredServerScoresAtTheMean(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	for range 20 {
 		r.b.ready[0].record(r.now, true, 1)
@@ -673,9 +673,9 @@
 	if !(s[0].score > s[2].score && s[2].score > s[1].score) {
 		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score, s[1].score, s[2].score)
 	}
-	r.b.refresh(r.now + 2*outcomesFor)
+	r.b.refresh(r.now + 2*outcomeTTL)
 	if s[0].score != s[1].score {
-		t.Fatal("old outcomes still count: a server that was bad once is never met again")
+		t.Fatal("old outcomes still count: a server that was bad once is never used again")
 	}
 }
 
@@ -706,13 +706,13 @@
 	r := newRig(t, set, 4)
 	id := r.request(0)
 	r.b.Started(r.now, id, 0)
-	r.pass(10 * time.Second) // long after the deadline
+	r.advance(10 * time.Second) // long after the deadline
 	if len(r.sendsOf(id)) != 1 || r.h.failed[id] || r.h.cancels > 0 {
-		t.Fatalf("a running stream was touched: %v", r.h.log)
+		t.Fatalf("a running stream was affected: %v", r.h.log)
 	}
 }
 
-func TestSettingsThatAreImpossible(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	nan := 0.0
 	nan /= nan
 	for _, tc := range []struct {
@@ -752,7 +752,7 @@
 	}
 }
 
-// The module is ported by hand: what decides must stay small and readable.
+// The module is ported by hand, so the decision logic must stay small and readable.
 func TestModuleSize(t *testing.T) {
 	count := 0
 	for _, name := range []string{"policy.go", "pick.go", "hand.go"} {
@@ -771,6 +771,6 @@
 		}
 	}
 	if count > 1200 {
-		t.Errorf("the decisions have %d lines that are not blank, 1,200 at most", count)
+		t.Errorf("the decision logic has %d lines that are not blank, 1,200 at most", count)
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// ServerView is what a Balancer knows of a listed server.
+// ServerView is a Balancer's state of one listed server.
 type ServerView struct {
 	Entry
 	Breaker  string        // closed, open or half-open
 	ReopenIn time.Duration // open: until the next trial
-	Score    float64       // as of the last pick
-	InFlight int           // this node's own attempts
+	Score    float64       // as of the last update of the scores
+	InFlight int           // attempts of this node only
 	Success  float64       // share of the latest judged attempts that succeeded; 1 without any
-	Judged   int           // how many these are, at most 100
+	Judged   int           // number of these attempts, at most 100
 }
 
-// View is a Balancer's state for those who look on.
+// View is a Balancer's state for monitoring.
 type View struct {
 	Servers []ServerView // ready ones, in the order of the list
-	Open    int          // requests without their final answer
-	Held    int          // of these, those that wait for room
+	Open    int          // requests without a final answer
+	Held    int          // those of them that are queued for a server
 	Out     int          // attempts in flight
 }
 
-// Inspect copies the state without changing anything: no later decision depends on
-// whether it was called. It costs a few words for each ready server.
+// Inspect returns a copy of the state. It has no side effects, so no later decision
+// depends on whether it was called. It allocates a few words per ready server.
 func (b *Balancer) Inspect(now time.Duration) View {
-	v := View{Servers: make([]ServerView, 0, len(b.ready)), Open: len(b.open), Out: b.out}
-	for _, r := range b.held {
+	v := View{Servers: make([]ServerView, 0, len(b.ready)), Open: len(b.unfinished), Out: b.inFlight}
+	for _, r := range b.queue {
 		if !r.done {
 			v.Held++
 		}
 	}
 	for _, s := range b.ready {
-		sv := ServerView{Entry: s.Entry, Score: s.score, InFlight: len(s.out), Success: 1, Judged: s.kept}
-		if s.kept > 0 {
-			sv.Success = float64(s.good) / float64(s.kept)
+		sv := ServerView{Entry: s.Entry, Score: s.score, InFlight: len(s.inFlight), Success: 1, Judged: s.judged}
+		if s.judged > 0 {
+			sv.Success = float64(s.successes) / float64(s.judged)
 		}
 		switch s.breaker {
 		case closed:
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// recorder notes all that a Balancer does.
+// recorder logs all actions of a Balancer.
 type recorder struct {
 	log  []string
 	sent []Outcome
@@ -32,9 +32,9 @@
 func (r *recorder) SetTimer(at time.Duration, token uint64)  { r.note("timer %v %d", at, token) }
 func (r *recorder) WatchList()                               { r.note("watch") }
 
-// play drives a Balancer through a busy stretch, and looks at it all the time or
+// runScenario drives a Balancer through a busy period, and inspects it at every step or
 // never.
-func play(t *testing.T, seed uint64, look bool) ([]string, View) {
+func runScenario(t *testing.T, seed uint64, inspect bool) ([]string, View) {
 	t.Helper()
 	host := &recorder{}
 	set := Defaults()
@@ -54,7 +54,7 @@
 	for id := range 400 {
 		now += time.Duration(rng.IntN(10)) * time.Millisecond
 		b.Request(now, Request{ID: RequestID(id + 1), Left: time.Second})
-		if look {
+		if inspect {
 			b.Inspect(now)
 		}
 		for len(host.sent) > 2 {
@@ -67,24 +67,24 @@
 			b.Outcome(now, o)
 		}
 		b.Timer(now, tokenSweep)
-		if look {
+		if inspect {
 			b.Inspect(now)
 		}
 	}
 	return host.log, b.Inspect(now)
 }
 
-// Looking at a Balancer changes none of its decisions, and shows what it knows.
-func TestInspectDisturbsNothing(t *testing.T) {
+// Inspecting a Balancer changes none of its decisions, and shows its state.
+func TestInspectHasNoSideEffects(t *testing.T) {
 	for seed := range uint64(20) {
-		seen, view := play(t, seed, true)
-		unseen, _ := play(t, seed, false)
+		seen, view := runScenario(t, seed, true)
+		unseen, _ := runScenario(t, seed, false)
 		if len(seen) != len(unseen) {
-			t.Fatalf("seed %d: %d actions with looks, %d without", seed, len(seen), len(unseen))
+			t.Fatalf("seed %d: %d actions with inspection, %d without", seed, len(seen), len(unseen))
 		}
 		for n := range seen {
 			if seen[n] != unseen[n] {
-				t.Fatalf("seed %d, action %d: %q with looks, %q without", seed, n, seen[n], unseen[n])
+				t.Fatalf("seed %d, action %d: %q with inspection, %q without", seed, n, seen[n], unseen[n])
 			}
 		}
 		open := 0
--- a/policy/thin_test.go
+++ b/policy/thin_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// newThin is a node of a bank that outnumbers its servers.
-func newThin(t *testing.T) *rig {
+// newSparse returns a node of a tier with more nodes than servers.
+func newSparse(t *testing.T) *rig {
 	set := testSettings()
 	set.Nodes = 100
 	set.Limits.SecondCopies = false
 	return newRig(t, set, 10)
 }
 
-// Guards against a node that holds its requests back because one of them is stuck: the
-// fair bound in flight of a thin node is below one request.
-func TestStuckAttemptDoesNotBlockAThinNode(t *testing.T) {
-	r := newThin(t)
+// Guards against a node that holds its requests back because one of them is stuck: the fair
+// concurrency limit of a very sparse node is below one request.
+func TestStuckAttemptDoesNotBlockSparseNode(t *testing.T) {
+	r := newSparse(t)
 	for range 5 {
 		if id := r.request(0); len(r.sendsOf(id)) != 1 {
-			t.Fatalf("request %d is held behind others of this node", id)
+			t.Fatalf("request %d waits behind others of this node", id)
 		}
 	}
 }
 
-// Guards against a crowd that thin nodes cannot bound in flight: late answers must lower
-// the share that goes out, and timely ones bring all of it back.
-func TestThinNodeShedsWhileAnswersAreLateAndRecovers(t *testing.T) {
-	r := newThin(t)
+// Guards against congestion that a limit below one request cannot prevent: late answers must lower the
+// admitted share, and timely ones restore it in full.
+func TestSparseNodeShedsWhileAnswersAreLateAndRecovers(t *testing.T) {
+	r := newSparse(t)
 	sent := func(latency time.Duration) (n int) {
 		for range 100 {
 			id := r.request(0)
-			r.pass(50 * ms)
+			r.advance(50 * ms)
 			if len(r.sendsOf(id)) > 0 {
 				n++
 				r.end(id, OK, latency)
@@ -54,19 +54,19 @@
 	}
 }
 
-// Guards against the two controls sharing a clock: the bound of a node that sees enough
-// never grew while the thin node's control moved the time of the last step.
-func TestOutcomesLeaveTheBoundToSteer(t *testing.T) {
+// Guards against two controls that share a clock: the limit of a node with enough traffic never grew while
+// the admission control of sparse nodes reset the time of the last step.
+func TestOutcomesDoNotStopLimitGrowth(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.serve(3*loneNeeded, 0, 20*ms)
-	r.b.crowding = 0
+	r.serve(3*minUnloadedSamples, 0, 20*ms)
+	r.b.congestion = 0
 	before := r.b.limit
 	for range 20 {
 		var ids []RequestID
 		for range 12 { // some wait for room
 			ids = append(ids, r.request(0))
 		}
-		r.pass(20 * ms)
+		r.advance(20 * ms)
 		for _, id := range ids {
 			if len(r.sendsOf(id)) > r.done[id] {
 				r.end(id, OK, 20*ms)
@@ -74,14 +74,14 @@
 		}
 	}
 	if r.b.limit <= before {
-		t.Fatalf("bound stays at %.2f though requests wait and servers are not crowded", r.b.limit)
+		t.Fatalf("limit stays at %.2f though requests wait without congestion", r.b.limit)
 	}
 }
 
-// Guards against small servers that are sent as much as large ones by nodes that have too
-// little in flight to see them crowd.
-func TestThinNodeDrawsByWeight(t *testing.T) {
-	r := newThin(t)
+// Guards against nodes that send small servers as much as large ones because they have too little in flight to see
+// the small ones become congested.
+func TestSparseNodeDrawsByWeight(t *testing.T) {
+	r := newSparse(t)
 	entries := ready(1, 10)
 	for i := range 5 {
 		entries[i].Weight = 3
@@ -96,11 +96,11 @@
 		if r.sendsOf(id)[0] <= 5 {
 			large++
 		}
-		r.pass(20 * ms)
+		r.advance(20 * ms)
 		r.end(id, OK, 20*ms)
 	}
 	weight, heavy := 0.0, 0.0
-	for _, s := range r.b.mine {
+	for _, s := range r.b.subset {
 		weight += s.Weight
 		if s.Server <= 5 {
 			heavy += s.Weight
@@ -112,29 +112,29 @@
 }
 
 // Guards against a breaker that never closes again where no class may be repeated: the
-// trial is then an unsafe request.
+// trial then has to be an unsafe request.
 func TestTrialIsUnsafeWhereEveryClassIs(t *testing.T) {
 	set := testSettings()
 	set.Classes = set.Classes[2:]
 	r := newRig(t, set, 3)
 	bad := r.b.ready[0]
 	for range failuresToOpen {
-		r.b.failed(r.now, &attempt{server: bad}, false)
+		r.b.recordFailure(r.now, &attempt{server: bad}, false)
 	}
-	r.pass(bad.reopenAt - r.now)
+	r.advance(bad.reopenAt - r.now)
 	trial := r.request(0)
 	if got := r.sendsOf(trial); len(got) != 1 || got[0] != bad.Server {
 		t.Fatalf("trial went to %v, want the half-open server %d", got, bad.Server)
 	}
 	r.end(trial, OK, 20*ms)
 	if bad.breaker != closed {
-		t.Fatal("the breaker stays open after a good trial")
+		t.Fatal("the breaker stays open after a successful trial")
 	}
 }
 
-// Guards against a storm of retries by many nodes when all servers turn requests away.
-func TestThinNodeHasARetryBudget(t *testing.T) {
-	r := newThin(t)
+// Guards against a retry storm by many nodes when all servers reject requests.
+func TestSparseNodeHasRetryBudget(t *testing.T) {
+	r := newSparse(t)
 	r.serve(20, 0, 20*ms)
 	before := len(r.h.sends)
 	for range 100 {
@@ -143,25 +143,25 @@
 			if n := len(r.sendsOf(id)); n > r.done[id] {
 				r.end(id, Full, 0)
 			}
-			r.pass(200 * ms)
+			r.advance(200 * ms)
 		}
 	}
 	if n := len(r.h.sends) - before; n > 100+15 {
-		t.Fatalf("%d sends for 100 requests that were turned away, want about a tenth more", n)
+		t.Fatalf("%d sends for 100 rejected requests, want about a tenth more", n)
 	}
 }
 
-// Guards against single time-outs that cost a node with few answers most of its share.
+// Guards against single timeouts that cost a node with few answers most of its admitted share.
 func TestOneTimeoutHardlyLowersTheAdmittedShare(t *testing.T) {
-	r := newThin(t)
+	r := newSparse(t)
 	for i := range 60 {
 		id := r.request(0)
-		r.pass(200 * ms)
+		r.advance(200 * ms)
 		if len(r.sendsOf(id)) == 0 {
 			continue
 		}
 		if i%15 == 14 {
-			r.pass(time.Second)
+			r.advance(time.Second)
 			r.end(id, Timeout, 1200*ms)
 			r.b.Left(r.now, id)
 		} else {
@@ -169,14 +169,14 @@
 		}
 	}
 	if r.b.admitted < 0.8 {
-		t.Fatalf("admitted share %.2f with one time-out in 15 answers, the others quick", r.b.admitted)
+		t.Fatalf("admitted share %.2f with one timeout in 15 answers, the others quick", r.b.admitted)
 	}
 }
 
-// Guards against warm servers crushed by what cold ones could carry, and the other way:
-// the draw follows what a server can do now.
-func TestThinNodeDrawsByColdShare(t *testing.T) {
-	r := newThin(t)
+// Guards against warm servers overloaded by what cold ones could serve, and the reverse:
+// the draw follows each server's present capacity.
+func TestSparseNodeDrawsByColdShare(t *testing.T) {
+	r := newSparse(t)
 	entries := ready(1, 10)
 	for i := range entries {
 		entries[i].Zone = 1
@@ -186,10 +186,10 @@
 	}
 	r.list(ListFull, entries...)
 	r.b.refresh(r.now)
-	r.b.choices = append(r.b.choices[:0], r.b.ready...)
+	r.b.candidates = append(r.b.candidates[:0], r.b.ready...)
 	cold := 0
 	for range 6000 {
-		if r.b.draw(-1) < 5 {
+		if r.b.drawWeighted(-1) < 5 {
 			cold++
 		}
 	}
@@ -198,8 +198,8 @@
 	}
 }
 
-// Guards against shedding what would be late where late answers still pay, and against
-// letting it through where the site charges for such work as much as it is worth.
+// Guards against shedding requests that would be late where late answers still have worth, and against
+// admitting them where the site charges as much for such work as it is worth.
 func TestShedsLaterWhereLateAnswersPay(t *testing.T) {
 	admitted := func(prices Prices) float64 {
 		set := testSettings()
@@ -209,7 +209,7 @@
 		r := newRig(t, set, 10)
 		for range 100 {
 			id := r.request(0)
-			r.pass(50 * ms)
+			r.advance(50 * ms)
 			if len(r.sendsOf(id)) > 0 {
 				r.end(id, OK, 500*ms) // 0.625 of the aim
 			}
@@ -221,13 +221,13 @@
 	}
 }
 
-// Guards against keeping choked servers at work: three times slower, a tenth of the usual
-// load leaves them a third busy, and they recover only once they rest.
-func TestFloorOfTheAdmittedShareLetsServersRest(t *testing.T) {
-	r := newThin(t)
+// Guards against keeping overloaded servers busy: when they are three times slower, a tenth of the usual
+// load keeps them busy a third of the time, and they recover only once idle.
+func TestMinimumAdmittedShareLetsServersRecover(t *testing.T) {
+	r := newSparse(t)
 	for range 2000 {
 		id := r.request(0)
-		r.pass(20 * ms)
+		r.advance(20 * ms)
 		if len(r.sendsOf(id)) > 0 {
 			r.end(id, OK, 1500*ms)
 		}
@@ -237,10 +237,10 @@
 	}
 }
 
-// Guards against a cold part that is not a number for good: servers may start at nothing,
+// Guards against a cold budget that becomes NaN for good: servers may start at zero capacity,
 // and an empty list leaves no capacity to divide by.
-func TestColdPartIsANumberWithoutCapacity(t *testing.T) {
-	r := newThin(t)
+func TestColdBudgetIsNeverNaN(t *testing.T) {
+	r := newSparse(t)
 	r.b.set.Rules.ColdFrom = 0
 	r.serve(20, 0, 20*ms)
 	cold := ready(1, 10)
@@ -258,41 +258,41 @@
 	r.serve(200, 0, 50*ms)
 	sends := 0
 	for _, s := range r.b.ready {
-		sends += len(s.out) + s.kept
+		sends += len(s.inFlight) + s.judged
 	}
 	if sends == 0 {
 		t.Fatal("nothing is sent to a fleet that started cold")
 	}
 }
 
-// Guards against a crowd of nodes that each send on whatever comes: all together they fill the servers, which then get
-// less done. Beyond its part of what servers take at a time a node holds its requests, and sheds what waits too long.
-func TestThinNodeBoundsWhatItHasInFlight(t *testing.T) {
+// Guards against many nodes that each send on whatever arrives and together congest the servers, whose throughput then
+// drops. Beyond its part of what servers take at a time a node queues its requests, and sheds those that wait too long.
+func TestSparseNodeLimitsRequestsInFlight(t *testing.T) {
 	set := testSettings()
 	r := newFleet(t, set, 80, 60)[0]
-	most := int(fairStart*60/80) + 1
+	most := int(fairLimit*60/80) + 1
 	for range 20 {
 		r.request(0)
 	}
-	if n := len(r.h.sends); n < most-1 || n > most || len(r.b.held) != 20-n {
-		t.Fatalf("%d of 20 requests out, %d held; want %d out at most", n, len(r.b.held), most)
+	if n := len(r.h.sends); n < most-1 || n > most || len(r.b.queue) != 20-n {
+		t.Fatalf("%d of 20 requests in flight, %d queued; want %d in flight at most", n, len(r.b.queue), most)
 	}
 	r.end(r.h.sends[0].id, OK, 20*ms)
 	if n := len(r.h.sends); n > most+1 {
 		t.Fatalf("%d sent after one answer", n)
 	}
-	r.pass(2 * time.Second)
-	if open := len(r.b.open); open > most {
+	r.advance(2 * time.Second)
+	if open := len(r.b.unfinished); open > most {
 		t.Fatalf("%d requests still open long after their time", open)
 	}
-	if r.b.scant() {
-		t.Fatal("80 nodes over 60 servers count as too many for a bound")
+	if r.b.verySparse() {
+		t.Fatal("80 nodes over 60 servers count as too many for a limit")
 	}
 }
 
-// Guards against a server that is overrun by many nodes, none of which sends it enough to see that: one that turned a
-// request away is left alone until the node would have met it again.
-func TestThinNodeLeavesOverrunServersAlone(t *testing.T) {
+// Guards against a server overloaded by many nodes, none of which sends it enough to notice: one that rejected a
+// request is avoided until the node would have used it again.
+func TestSparseNodeAvoidsOverloadedServers(t *testing.T) {
 	for name, c := range map[string]struct {
 		status  Status
 		latency time.Duration
@@ -307,9 +307,9 @@
 		bad := r.sendsOf(id)[0]
 		from := r.now
 		r.end(id, c.status, c.latency)
-		meeting := r.b.meeting(r.now, &request{class: &r.b.classes[0]})
-		if meeting < 500*ms || meeting > meetingMost {
-			t.Fatalf("%s: a meeting takes %v", name, meeting)
+		avoidance := r.b.avoidTime(r.now, &request{class: &r.b.classes[0]})
+		if avoidance < 500*ms || avoidance > maxAvoidTime {
+			t.Fatalf("%s: the server is avoided for %v", name, avoidance)
 		}
 		sent, back := 0, 0
 		for r.now < from+20*time.Second {
@@ -317,26 +317,26 @@
 			for _, s := range r.sendsOf(id) {
 				switch {
 				case s != bad:
-				case r.now < from+meeting:
+				case r.now < from+avoidance:
 					sent++
 				default:
 					back++
 				}
 			}
 			r.end(id, OK, 50*ms)
-			r.pass(20 * ms)
+			r.advance(20 * ms)
 		}
 		if (sent == 0) != c.left || back == 0 {
-			t.Errorf("%s: %d requests sent there within %v, %d in the 20 s after", name, sent, meeting, back)
+			t.Errorf("%s: %d requests sent there within %v, %d in the 20 s after", name, sent, avoidance, back)
 		}
 	}
 }
 
-// Guards against 80 nodes that each hold connections to all of 60 servers and meet each every few seconds only, against
-// servers that get much more or less than others by it, and against a node that keeps to servers that are gone.
-func TestThinNodesKeepToSubsets(t *testing.T) {
+// Guards against 80 nodes that each hold connections to all of 60 servers and use each only every few seconds, against
+// subsets that load servers unevenly, and against a node that keeps using servers that are gone.
+func TestSparseNodesUseSubsets(t *testing.T) {
 	set := testSettings()
-	set.Zone = 100 // none of the servers'
+	set.Zone = 100 // no server's zone
 	const nodes, servers, each = 80, 60, 60
 	count := map[ServerID]int{}
 	for i, r := range newFleet(t, set, nodes, servers) {
@@ -350,12 +350,12 @@
 			t.Fatalf("node %d sends to %d servers", i, len(met))
 		}
 		var gone []Entry
-		for _, s := range r.b.mine {
+		for _, s := range r.b.subset {
 			gone = append(gone, Entry{Server: s.Server, State: Draining})
 		}
 		r.list(ListDelta, gone...)
-		if id := r.request(0); len(r.sendsOf(id)) != 1 || len(r.b.mine) < subsetLeast {
-			t.Fatalf("node %d keeps to servers that drain", i)
+		if id := r.request(0); len(r.sendsOf(id)) != 1 || len(r.b.subset) < minSubset {
+			t.Fatalf("node %d keeps using servers that drain", i)
 		}
 	}
 	for s := range ServerID(servers) {
@@ -365,28 +365,28 @@
 	}
 }
 
-// Guards against a fleet that is busy all over and shuns so many servers that the rest are overrun in turn.
-func TestThinNodeShunsFewServersAtOnce(t *testing.T) {
+// Guards against a fleet that is busy as a whole and avoids so many servers that the rest are overloaded in turn.
+func TestSparseNodeAvoidsFewServersAtOnce(t *testing.T) {
 	r := newFleet(t, testSettings(), 80, 60)[0]
 	r.serve(100, 0, 50*ms)
 	for _, s := range r.b.ready {
-		s.fullUntil = r.now + r.b.meeting(r.now, &request{class: &r.b.classes[0]})
+		s.avoidUntil = r.now + r.b.avoidTime(r.now, &request{class: &r.b.classes[0]})
 	}
-	r.pass(300 * ms)
-	left := 0
+	r.advance(300 * ms)
+	avoided := 0
 	for _, s := range r.b.ready {
-		if r.now < s.fullUntil {
-			left++
+		if r.now < s.avoidUntil {
+			avoided++
 		}
 	}
-	if most := 60/leftMost + 1; left == 0 || left > most {
-		t.Errorf("%d of 60 servers are left alone", left)
+	if most := 60/avoidDivisor + 1; avoided == 0 || avoided > most {
+		t.Errorf("%d of 60 servers are avoided", avoided)
 	}
 }
 
-// Guards against slow machines that count for most because their weight, the cores, is the largest: what a kind can do
-// shows in the answers of all its servers, also at one that this node has not met.
-func TestThinNodeKnowsKindsByTheirAnswers(t *testing.T) {
+// Guards against slow machines that get the most because their weight, the number of cores, is the largest: the speed
+// of a kind shows in the answers of all its servers, and applies to servers that this node has not used yet.
+func TestSparseNodeMeasuresMachineKinds(t *testing.T) {
 	r := newFleet(t, testSettings(), 80, 0)[0]
 	entries := ready(1, 60)
 	for i := range entries {
@@ -401,7 +401,7 @@
 		if r.b.servers[r.sendsOf(id)[0]].Kind == 1 {
 			latency = 90 * ms
 		}
-		r.pass(20 * ms)
+		r.advance(20 * ms)
 		r.end(id, OK, latency)
 	}
 	r.list(ListDelta, Entry{Server: 101, Kind: 0, State: Ready, Weight: 2}, Entry{Server: 102, Kind: 1, State: Ready, Weight: 3})
@@ -411,8 +411,8 @@
 	}
 }
 
-// Guards against a key whose servers are jammed one like the other, and which goes on going there.
-func TestThinNodeTakesAKeyAwayFromJammedServers(t *testing.T) {
+// Guards against sending a key on to its servers when all of them have become slow.
+func TestSparseNodeMovesKeyAwayFromSlowServers(t *testing.T) {
 	set := testSettings()
 	set.WarmKeys = true
 	r := newFleet(t, set, 80, 60)[0]
@@ -426,18 +426,18 @@
 			t.Fatalf("request %d goes back to server %d", i, s)
 		}
 		jammed[s] = true
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		r.end(r.next, OK, 300*ms)
 	}
 }
 
-// Guards against copies that many nodes make of whatever is overdue, which is a crowd's doing.
-func TestThinNodeSendsNoSecondCopies(t *testing.T) {
+// Guards against many nodes sending copies of whatever is overdue, which is a sign of congestion.
+func TestSparseNodeSendsNoSecondCopies(t *testing.T) {
 	for _, nodes := range []int{1, 80} {
 		r := newFleet(t, testSettings(), nodes, 60)[0]
 		r.serve(100, 0, 50*ms)
 		id := r.request(0)
-		r.pass(600 * ms)
+		r.advance(600 * ms)
 		if n := len(r.sendsOf(id)); (n > 1) != (nodes == 1) {
 			t.Errorf("%d nodes: %d attempts of an overdue request", nodes, n)
 		}
