--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,9 +1,9 @@
-// Package buildinfo tells which version of the project a program was built from.
+// Package buildinfo reports which version of the project a program was built from.
 package buildinfo
 
 import "runtime/debug"
 
-// Version is the commit that the program was built from, or the module's version.
+// Version returns the commit that the program was built from, or the module's version if it is unknown.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,62 +1,63 @@
-// Package pace is when many parties may each begin what they all may do at once: starts, calls,
-// connections, trials. It is the one place for delays that many processes share. Nobody asks
-// anybody: the bound holds by arithmetic over how many there are. It does no I/O and has no
-// clock; chance is handed in.
+// Package pace is a rate limiter without coordination: each of many parties (processes, clients)
+// schedules its own starts, calls, connections or trials so that all of them together stay below a
+// rate. The parties exchange no messages; the bound follows from their number alone. The package
+// does no I/O and has no clock; the source of randomness is an argument.
 package pace
 
 import "time"
 
-// Bound is what all parties together may begin.
+// Bound limits the combined rate of all parties.
 type Bound struct {
-	Parties int     // how many there are; at least 1
-	Rate    float64 // a second, of all together; 0: there is no bound
-	// Burst may be begun at once by all together. With so many parties or fewer each begins its
-	// first without waiting.
+	Parties int     // number of parties, at least 1
+	Rate    float64 // events per second of all parties together; 0 means unlimited
+	// Burst is how many events may happen at once. With at most this many parties, each starts its
+	// first event without delay.
 	Burst int
 }
 
-// Turns are one party's turns under a bound.
+// Turns is one party's schedule under a Bound.
 type Turns struct {
-	each, first, later time.Duration
-	given              int
-	last               time.Duration
+	interval, firstOffset, secondOffset time.Duration
+	issued                              int
+	last                                time.Duration
 }
 
-// Turns makes a party's. draw gives numbers in [0, 1), and is asked twice.
+// Turns returns the schedule of one party. draw returns random numbers in [0, 1) and is called at
+// most twice.
 //
-// In any stretch of time w all parties together begin Rate × w + Parties at most, whenever they
-// came and whenever they ask: each begins its own at distances of Parties / Rate and more. Beyond
-// Burst parties, each draws where in its first distance it begins, so that of parties that came
-// together Rate × w is begun in the mean from the first moment on.
+// In any time window w all parties together start at most Rate × w + Parties events, whenever they
+// joined and whenever they ask, because each one spaces its own events at least Parties / Rate apart.
+// With more than Burst parties, each draws a random offset within its first interval, so that parties
+// that join at the same time start Rate × w events on average from the beginning.
 func (b Bound) Turns(draw func() float64) *Turns {
 	t := &Turns{}
 	if b.Rate <= 0 {
 		return t
 	}
-	each := float64(max(1, b.Parties)) / b.Rate * float64(time.Second)
-	t.each = time.Duration(each)
+	interval := float64(max(1, b.Parties)) / b.Rate * float64(time.Second)
+	t.interval = time.Duration(interval)
 	if b.Parties > b.Burst {
-		t.first = time.Duration(draw() * each)
+		t.firstOffset = time.Duration(draw() * interval)
 	}
-	// From the second on no two parties that came together are in step.
-	t.later = time.Duration(draw() * each)
+	// A second random offset keeps parties that joined together from staying in step.
+	t.secondOffset = time.Duration(draw() * interval)
 	return t
 }
 
-// Next gives when the next thing may be begun, now or later.
+// Next returns when the next event may start, now or later.
 func (t *Turns) Next(now time.Duration) time.Duration {
 	at := now
 	switch {
-	case t.each == 0:
+	case t.interval == 0:
 		return now
-	case t.given == 0:
-		at += t.first
-	case t.given == 1:
-		at = max(now, t.last+t.each+t.later)
+	case t.issued == 0:
+		at += t.firstOffset
+	case t.issued == 1:
+		at = max(now, t.last+t.interval+t.secondOffset)
 	default:
-		at = max(now, t.last+t.each)
+		at = max(now, t.last+t.interval)
 	}
-	t.given++
+	t.issued++
 	t.last = at
 	return at
 }
--- a/internal/tlsfile/tlsfile.go
+++ b/internal/tlsfile/tlsfile.go
@@ -1,4 +1,4 @@
-// Package tlsfile makes TLS configurations of files in PEM.
+// Package tlsfile builds TLS configurations from PEM files.
 package tlsfile
 
 import (
@@ -9,7 +9,7 @@
 	"os"
 )
 
-// Pool reads certificates of authorities.
+// Pool reads a pool of CA certificates.
 func Pool(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -17,13 +17,13 @@
 	}
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%s: no certificate in PEM", path)
+		return nil, fmt.Errorf("%s: no PEM certificate found", path)
 	}
 	return p, nil
 }
 
-// Client is how servers are met: their certificates are of ca and for name; cert and key
-// are shown to them, if given. TLS 1.2 is the least.
+// Client returns the configuration for connections to servers. Their certificates must be issued by ca for
+// name; cert and key are the client certificate, if given. The minimum version is TLS 1.2.
 func Client(ca, name, cert, key string) (*tls.Config, error) {
 	t := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: name}
 	var err error
@@ -31,14 +31,14 @@
 		return nil, fmt.Errorf("ca: %w", err)
 	}
 	if name == "" {
-		return nil, errors.New("name: none given, and the servers' certificates must be for one")
+		return nil, errors.New("name: missing; it is the name that the servers' certificates are verified against")
 	}
 	if cert != "" {
-		own, err := tls.LoadX509KeyPair(cert, key)
+		certificate, err := tls.LoadX509KeyPair(cert, key)
 		if err != nil {
 			return nil, fmt.Errorf("cert and key: %w", err)
 		}
-		t.Certificates = []tls.Certificate{own}
+		t.Certificates = []tls.Certificate{certificate}
 	}
 	return t, nil
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads the project's TOML files and says all that is wrong with
-// one, each with file, line and key.
+// Package tomlfile reads the project's TOML files and reports all errors of a file at once,
+// each with file, line and key.
 package tomlfile
 
 import (
@@ -16,42 +16,41 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// most bounds a file: far above any that a person writes.
-const most = 4 << 20
+// maxFileSize is far above the size of any hand-written file.
+const maxFileSize = 4 << 20
 
-// Duration is a time with its unit, as in "500ms"; a number alone is none.
+// Duration is a duration with its unit, as in "500ms"; a number without a unit is rejected.
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads one; it must not be negative.
+// UnmarshalText implements encoding.TextUnmarshaler. Negative durations are rejected.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil || v < 0 {
-		return fmt.Errorf("%q is no time such as \"500ms\" or \"30s\"", text)
+		return fmt.Errorf("%q is not a duration such as \"500ms\" or \"30s\"", text)
 	}
 	d.Duration = v
 	return nil
 }
 
-// MarshalText writes it as it is read.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// File is a file that was read, for checks that name the place.
+// File is a parsed file. It collects the errors of parsing and of later checks, with their positions.
 type File struct {
 	path  string
-	lines map[string]int // dotted key: its line
+	lines map[string]int // line number by dotted key
 	errs  []error
 }
 
-// Load reads a file into a pointer to a struct. Unknown keys are errors. What it
-// returns beside an error still serves for further checks, so that all that is
-// wrong is told at once: call Err last.
+// Load reads a file into a pointer to a struct. Unknown keys are errors. Parse errors are collected
+// in the File, so that the caller can run further checks and report everything at once: call Err last.
 func Load(path string, into any) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if info.Size() > most {
-		return nil, fmt.Errorf("configuration %s: %d bytes, at most %d are read", path, info.Size(), most)
+	if info.Size() > maxFileSize {
+		return nil, fmt.Errorf("configuration %s: file is too large: %d bytes, limit is %d", path, info.Size(), maxFileSize)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -60,49 +59,49 @@
 	return Parse(path, text, into), nil
 }
 
-// Parse is Load for a text that stands in no file yet.
+// Parse is Load for text that is already in memory; path is used in error messages.
 func Parse(path string, text []byte, into any) *File {
-	f := &File{path: path, lines: lines(text)}
+	f := &File{path: path, lines: keyLines(text)}
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := decoder.Decode(into)
 	var strict *toml.StrictMissingError
-	var one *toml.DecodeError
+	var decodeErr *toml.DecodeError
 	switch {
 	case errors.As(err, &strict):
-		known := keys(reflect.TypeOf(into).Elem(), "")
+		known := structKeys(reflect.TypeOf(into).Elem(), "")
 		for i := range strict.Errors {
 			e := &strict.Errors[i]
 			row, _ := e.Position()
 			key := strings.Join(e.Key(), ".")
 			f.errs = append(f.errs, fmt.Errorf("%s:%d: %s: unknown key%s", path, row, key, suggest(key, known)))
 		}
-	case errors.As(err, &one):
-		row, column := one.Position()
-		f.errs = append(f.errs, fmt.Errorf("%s:%d:%d: %s: %s", path, row, column, strings.Join(one.Key(), "."), strings.TrimPrefix(one.Error(), "toml: ")))
+	case errors.As(err, &decodeErr):
+		row, column := decodeErr.Position()
+		f.errs = append(f.errs, fmt.Errorf("%s:%d:%d: %s: %s", path, row, column, strings.Join(decodeErr.Key(), "."), strings.TrimPrefix(decodeErr.Error(), "toml: ")))
 	case err != nil:
 		f.errs = append(f.errs, fmt.Errorf("%s: %w", path, err))
 	}
 	return f
 }
 
-// Bad notes what is wrong with a key; an element of an array of tables is named
-// as in "instance[2].name" or "web[1].server[2].address", counted from 1.
+// Bad records an error for a key. An element of an array of tables is named as in "instance[2].name"
+// or "web[1].server[2].address", counted from 1.
 func (f *File) Bad(key, format string, args ...any) {
 	line := f.lines[key]
 	if table, _, ok := cutLast(key); line == 0 && ok {
-		line = f.lines[table] // the key is missing: its table's line
+		line = f.lines[table] // the key is missing: report the line of its table
 	}
-	place := f.path
+	position := f.path
 	if line > 0 {
-		place = fmt.Sprintf("%s:%d", f.path, line)
+		position = fmt.Sprintf("%s:%d", f.path, line)
 	}
-	f.errs = append(f.errs, fmt.Errorf("%s: %s: %s", place, key, fmt.Sprintf(format, args...)))
+	f.errs = append(f.errs, fmt.Errorf("%s: %s: %s", position, key, fmt.Sprintf(format, args...)))
 }
 
-// Has tells whether the file gives a key.
+// Has reports whether the file sets a key.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// Err joins all that is wrong; nil if nothing is.
+// Err returns all recorded errors joined, or nil.
 func (f *File) Err() error { return errors.Join(f.errs...) }
 
 func cutLast(key string) (before, after string, ok bool) {
@@ -113,18 +112,18 @@
 	return key[:i], key[i+1:], true
 }
 
-// lines finds the line of each key, as far as the text can be read.
-func lines(text []byte) map[string]int {
+// keyLines returns the line number of each key, up to the first syntax error.
+func keyLines(text []byte) map[string]int {
 	found, counts := map[string]int{}, map[string]int{}
-	// within gives a table's name with the place of each array of tables that it is in.
-	within := func(name string) string {
+	// within returns a table's name with the index of each array of tables that contains it.
+	qualify := func(name string) string {
 		parts := strings.Split(name, ".")
 		full := parts[0]
 		for _, part := range parts[1:] {
 			if n := counts[full]; n > 0 {
 				full = fmt.Sprintf("%s[%d]", full, n)
 			}
-			full = join(full, part)
+			full = joinKey(full, part)
 		}
 		return full
 	}
@@ -139,17 +138,17 @@
 			if line == 0 {
 				line = p.Shape(n.Raw).Start.Line
 			}
-			name = join(name, string(n.Data))
+			name = joinKey(name, string(n.Data))
 		}
 		switch e.Kind {
 		case unstable.Table:
-			table = within(name)
+			table = qualify(name)
 		case unstable.ArrayTable:
-			name = within(name)
+			name = qualify(name)
 			counts[name]++
 			table = fmt.Sprintf("%s[%d]", name, counts[name])
 		default:
-			found[join(table, name)] = line
+			found[joinKey(table, name)] = line
 			continue
 		}
 		found[table] = line
@@ -157,15 +156,15 @@
 	return found
 }
 
-func join(table, key string) string {
+func joinKey(table, key string) string {
 	if table == "" {
 		return key
 	}
 	return table + "." + key
 }
 
-// keys lists the dotted keys that a struct takes.
-func keys(t reflect.Type, prefix string) []string {
+// structKeys returns the dotted keys that a struct accepts.
+func structKeys(t reflect.Type, prefix string) []string {
 	for t.Kind() == reflect.Slice || t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -179,18 +178,18 @@
 		if name == "" {
 			name = strings.ToLower(field.Name)
 		}
-		name = join(prefix, name)
-		all = append(append(all, name), keys(field.Type, name)...)
+		name = joinKey(prefix, name)
+		all = append(append(all, name), structKeys(field.Type, name)...)
 	}
 	return all
 }
 
-// suggest names the known key that is nearest, if one is near enough.
+// suggest returns a hint with the known key that is most similar, if one is similar enough.
 func suggest(key string, known []string) string {
-	best, least := "", max(2, len(key)/4)+1
+	best, bestDistance := "", max(2, len(key)/4)+1
 	for _, k := range known {
-		if d := distance(key, k); d < least {
-			best, least = k, d
+		if d := levenshtein(key, k); d < bestDistance {
+			best, bestDistance = k, d
 		}
 	}
 	if best == "" {
@@ -199,8 +198,8 @@
 	return fmt.Sprintf(", did you mean %s?", best)
 }
 
-// distance is Levenshtein's: single characters put in, left out or changed.
-func distance(a, b string) int {
+// levenshtein returns the Levenshtein distance: the number of single-byte insertions, deletions and substitutions.
+func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
@@ -220,14 +219,14 @@
 	return row[len(b)]
 }
 
-// Size is a number of bytes with its unit, as in "64KiB"; a number alone is bytes.
+// Size is a number of bytes, with a unit as in "64KiB" or without one.
 type Size struct{ Bytes int }
 
-// UnmarshalText reads one.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Size) UnmarshalText(text []byte) error {
 	n, err := humanize.ParseBytes(string(text))
 	if err != nil || n > 1<<40 {
-		return fmt.Errorf("%q is no size such as \"64KiB\" or \"1MiB\"", text)
+		return fmt.Errorf("%q is not a size such as \"64KiB\" or \"1MiB\"", text)
 	}
 	s.Bytes = int(n)
 	return nil
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -15,7 +15,7 @@
 	Instance []struct{ Name string }
 }
 
-func TestAllThatIsWrongIsToldWithItsPlace(t *testing.T) {
+func TestAllErrorsAreReportedWithPosition(t *testing.T) {
 	var s sample
 	f := Parse("f.toml", []byte("nmae = \"x\"\n\n[limit]\nsocket = 3\n\n[[instance]]\nname = \"a\"\n[[instance]]\nname = \"b\"\ncolour = 1\n"), &s)
 	f.Bad("instance[2].name", "given twice")
@@ -29,12 +29,12 @@
 		"f.toml:6: instance[1].listen: none given",
 	} {
 		if !strings.Contains(text+"\n", want) {
-			t.Errorf("lacks %q in\n%s", want, text)
+			t.Errorf("missing %q in\n%s", want, text)
 		}
 	}
 }
 
-func TestDurationsHaveUnits(t *testing.T) {
+func TestDurationsNeedUnits(t *testing.T) {
 	var s sample
 	if err := Parse("f", []byte(`wait = "1.5s"`), &s).Err(); err != nil || s.Wait.Duration != 1500*time.Millisecond {
 		t.Errorf("got %v, %v", s.Wait, err)
