--- a/cmd/otterstep/large_test.go
+++ b/cmd/otterstep/large_test.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// large is a body as DAYS' peers send them at most.
-const large = 32 << 20
+// largeBody is the largest body that clients send according to the platform's DAYS document.
+const largeBody = 32 << 20
 
-// BenchmarkLargeBodies sends 40 bodies of 32 MB at once through a node with 192 MB, and takes
-// 40 answers of 32 MB, and tells the most memory and descriptors that the node's process had:
+// BenchmarkLargeBodies sends 40 request bodies of 32 MB at once through a node with 192 MB of memory and receives
+// 40 answers of 32 MB. It reports the peak memory and descriptor count of the node's process:
 //
 //	go test -run xxx -bench LargeBodies -benchtime 1x ./cmd/otterstep
 func BenchmarkLargeBodies(b *testing.B) {
@@ -29,15 +29,15 @@
 			fmt.Fprint(w, n)
 			return
 		}
-		w.Header().Set("Content-Length", strconv.Itoa(large))
-		for range large / len(piece) {
+		w.Header().Set("Content-Length", strconv.Itoa(largeBody))
+		for range largeBody / len(piece) {
 			if _, err := w.Write(piece); err != nil {
 				return
 			}
 		}
 	}))
 	defer backend.Close()
-	addr, discovery := freeAddress(b), listOf(b, 8, backend.Listener.Addr().String())
+	addr, discovery := freeAddress(b), startDiscovery(b, 8, backend.Listener.Addr().String())
 	var log bytes.Buffer
 	cmd := program(configFile(b, func(c map[string]any) {
 		c["listen"], c["discovery"] = addr, discovery
@@ -59,7 +59,7 @@
 		whole, refused := 0, 0
 		for i := range 80 {
 			ids++
-			method, class, body := http.MethodPost, "push", io.Reader(io.LimitReader(&endless{piece}, large))
+			method, class, body := http.MethodPost, "push", io.Reader(io.LimitReader(&endless{piece}, largeBody))
 			if i%2 == 1 {
 				method, class, body = http.MethodGet, "read", nil
 			}
@@ -89,7 +89,7 @@
 				switch {
 				case resp.StatusCode == http.StatusServiceUnavailable:
 					refused++
-				case err == nil && (n == large || text.String() == strconv.Itoa(large)):
+				case err == nil && (n == largeBody || text.String() == strconv.Itoa(largeBody)):
 					whole++
 				default:
 					b.Errorf("%s: %s, %d bytes, %v", method, resp.Status, n, err)
@@ -117,7 +117,7 @@
 	b.ReportMetric(float64(files), "descriptors")
 }
 
-// endless repeats a piece.
+// endless is a reader that repeats piece without end.
 type endless struct{ piece []byte }
 
 // Read implements io.Reader.
--- a/cmd/otterstep/main.go
+++ b/cmd/otterstep/main.go
@@ -1,10 +1,9 @@
-// Command otterstep is one load-balancing node. Its configuration is the file
-// that PROXY_CONFIG names; SIGHUP makes it read that file again, SIGTERM and SIGINT
-// make it drain and exit with 0. With -operator it reads the operator's file too,
-// with -check it says what is wrong with both and starts nothing.
+// Command otterstep runs one load-balancing node. Its configuration is the file that PROXY_CONFIG
+// names; SIGHUP reloads that file, SIGTERM and SIGINT drain the node, which then exits with status 0. With
+// -operator it also reads the operator's file; with -check it only validates both files.
 //
-// "otterstep serve" needs none of these: it serves ordinary HTTP from the servers that it is
-// given.
+// "otterstep serve" needs no configuration file: it serves ordinary HTTP from the servers given on the
+// command line.
 package main
 
 import (
@@ -28,8 +27,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	operatorFile := flag.String("operator", "", "the operator's `file`; none leaves all that it could switch on off")
-	check := flag.Bool("check", false, "check the configuration, say all that is wrong with it, and start nothing")
+	operatorFile := flag.String("operator", "", "the operator's `file`; without it every feature that it can enable is off")
+	check := flag.Bool("check", false, "check the configuration, print all errors and exit")
 	flag.Parse()
 	if flag.NArg() > 0 {
 		fmt.Fprintln(os.Stderr, "otterstep: unexpected argument:", flag.Arg(0))
@@ -42,17 +41,17 @@
 }
 
 func run(ctx context.Context, operatorFile string, check bool) error {
-	// From the first moment on, as an uncaught SIGHUP ends the process. One signal
-	// that waits stands for all: the file is read after it.
+	// Installed first, because an unhandled SIGHUP ends the process. A buffer of one is enough: the file is
+	// read after the pending signal is received.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	path := os.Getenv("PROXY_CONFIG")
 	if path == "" {
-		return errors.New("configuration: PROXY_CONFIG names no file")
+		return errors.New("configuration: PROXY_CONFIG is not set")
 	}
 	cfg, err := node.LoadConfig(path)
-	op, err2 := operator.Load(operatorFile)
-	if err := errors.Join(err, err2); err != nil || check {
+	op, operatorErr := operator.Load(operatorFile)
+	if err := errors.Join(err, operatorErr); err != nil || check {
 		return err
 	}
 	return node.Run(ctx, cfg, op, node.Reloads{Path: path, Signals: hangups}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
--- a/cmd/otterstep/main_test.go
+++ b/cmd/otterstep/main_test.go
@@ -21,7 +21,8 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs main instead of the tests if OTTERSTEP_MAIN is set, so that tests can start the test binary as the
+// program.
 func TestMain(m *testing.M) {
 	if os.Getenv("OTTERSTEP_MAIN") == "1" {
 		main()
@@ -36,9 +37,9 @@
 	return cmd
 }
 
-// started starts a program, which is ended with the test at the latest. until reads its log up to a line that holds
-// the word; it holds 1,000 lines, which is more than these programs write.
-func started(t *testing.T, cmd *exec.Cmd) (until func(word string) string) {
+// startProgram starts a program and kills it at the end of the test. until reads its log up to a line that contains
+// word. Up to 1,000 lines are buffered, which is more than these programs write.
+func startProgram(t *testing.T, cmd *exec.Cmd) (until func(word string) string) {
 	t.Helper()
 	lines := make(chan string, 1000)
 	read, write := io.Pipe()
@@ -65,7 +66,7 @@
 					return line
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatalf("the log does not come to %q", word)
+				t.Fatalf("no log line with %q within 20 s", word)
 			}
 		}
 	}
@@ -94,15 +95,15 @@
 	return path
 }
 
-func TestBadConfigurationIsOneClearLine(t *testing.T) {
-	noJSON := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(noJSON, []byte("{"), 0o600); err != nil {
+func TestInvalidConfigurationIsReportedInOneLine(t *testing.T) {
+	invalidJSON := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(invalidJSON, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct{ path, word string }{
 		"none named": {"", "PROXY_CONFIG"},
 		"no file":    {filepath.Join(t.TempDir(), "none.json"), "none.json"},
-		"no JSON":    {noJSON, "JSON"},
+		"no JSON":    {invalidJSON, "JSON"},
 		"listen":     {configFile(t, func(c map[string]any) { c["listen"] = "nowhere" }), "listen"},
 		"discovery":  {configFile(t, func(c map[string]any) { delete(c, "discovery") }), "discovery"},
 		"seed":       {configFile(t, func(c map[string]any) { c["seed"] = "xyz" }), "seed"},
@@ -127,8 +128,7 @@
 	}
 }
 
-// The operator's file is checked as a whole before anything starts, and -check starts
-// nothing.
+// The operator's file is checked completely before the node starts, and -check does not start it.
 func TestOperatorFileIsChecked(t *testing.T) {
 	config := configFile(t, func(map[string]any) {})
 	file := filepath.Join(t.TempDir(), "operator.toml")
@@ -142,21 +142,22 @@
 		return string(out), err
 	}
 	if out, err := run("[control]\nsocket = \"/tmp/n1.sock\"\n[drain]\ntell_up = true\n", "-check", "-operator", file); err != nil || out != "" {
-		t.Errorf("a good file: %v, %s", err, out)
+		t.Errorf("valid file: %v, %s", err, out)
 	}
 	out, err := run("[control]\nsocket = \"n1.sock\"\n[drian]\ntell_up = true\n", "-operator", file)
 	for _, want := range []string{"operator.toml:2: control.socket:", "operator.toml:3: drian: unknown key, did you mean drain?"} {
 		if err == nil || !strings.Contains(out, want) {
-			t.Errorf("lacks %q: %v, %s", want, err, out)
+			t.Errorf("missing %q: %v, %s", want, err, out)
 		}
 	}
 	if out, err := run("", "-operator", file, "more"); err == nil || !strings.Contains(out, "unexpected argument") {
-		t.Errorf("an argument too many: %v, %s", err, out)
+		t.Errorf("unexpected argument: %v, %s", err, out)
 	}
 }
 
-// listOf gives the address of a discovery that tells of so many servers, all at one address.
-func listOf(t testing.TB, servers int, endpoint string) string {
+// startDiscovery starts a discovery service that lists the given number of servers, all at one address, and returns its
+// address.
+func startDiscovery(t testing.TB, servers int, endpoint string) string {
 	t.Helper()
 	var targets []any
 	for i := range servers {
@@ -177,7 +178,7 @@
 	return d.Listener.Addr().String()
 }
 
-// freeAddress gives one that the program can listen on.
+// freeAddress returns an address that the program can listen on.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -188,7 +189,7 @@
 	return l.Addr().String()
 }
 
-// awaitUp waits until the program takes clients; log is what it has to say if it does not.
+// awaitUp waits until the program accepts clients; log is printed if it does not.
 func awaitUp(t testing.TB, addr string, log fmt.Stringer) {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
@@ -204,15 +205,15 @@
 	}
 }
 
-// Guards rule 1 at a reload and a planned restart: under load every connection that came
-// before the node stopped accepting gets its whole answer, and the exit code is 0.
-func TestSignalsUnderLoadLoseNothing(t *testing.T) {
+// Guards rule 1 during a reload and a planned restart: under load, every request on a connection made before the node
+// stopped accepting gets its complete answer, and the exit code is 0.
+func TestSignalsUnderLoadLoseNoRequests(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
 		io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 	}))
 	defer backend.Close()
-	discovery := listOf(t, 1, backend.Listener.Addr().String())
+	discovery := startDiscovery(t, 1, backend.Listener.Addr().String())
 	addr := freeAddress(t)
 
 	var stderr bytes.Buffer
@@ -264,7 +265,7 @@
 	for answered.Load() < 20 {
 		time.Sleep(time.Millisecond)
 	}
-	// A reload must not end the program, as an uncaught SIGHUP does.
+	// A reload must not end the program, as an unhandled SIGHUP does.
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -275,7 +276,7 @@
 		t.Fatal(err)
 	}
 	atTerm.Store(answered.Load())
-	time.Sleep(150 * time.Millisecond) // connections go on coming for a while
+	time.Sleep(150 * time.Millisecond) // new connections arrive for a while
 	close(stop)
 	clients.Wait()
 	select {
@@ -284,15 +285,15 @@
 			t.Errorf("ended with %v: %s", err, &stderr)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("does not end")
+		t.Error("the program does not end within 20 s")
 	}
 	if answered.Load() == atTerm.Load() {
 		t.Error("nothing was answered after SIGTERM")
 	}
 }
 
-// One line puts any service behind the node, until SIGTERM drains it; what is wrong with the
-// line is told, and nothing is served.
+// "otterstep serve" load-balances any service until SIGTERM drains it; invalid arguments are reported and nothing is
+// served.
 func TestServe(t *testing.T) {
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusTeapot)
@@ -305,12 +306,12 @@
 		return cmd
 	}
 	for want, args := range map[string][]string{
-		"no servers":       {"--listen", "127.0.0.1:0"},
-		"no address":       {"--listen", "127.0.0.1:0", "--server", "localhost:80"},
-		"at least one of":  {"--server", "127.0.0.1:1"},
-		"unknown flag":     {"--moon"},
-		"no such file":     {"--file", "/none"},
-		"none of the othe": {"--file", "x", "--listen", "127.0.0.1:0"},
+		"no servers":                 {"--listen", "127.0.0.1:0"},
+		"not an IP address and port": {"--listen", "127.0.0.1:0", "--server", "localhost:80"},
+		"at least one of":            {"--server", "127.0.0.1:1"},
+		"unknown flag":               {"--moon"},
+		"no such file":               {"--file", "/none"},
+		"none of the othe":           {"--file", "x", "--listen", "127.0.0.1:0"},
 	} {
 		out, err := serve(args...).CombinedOutput()
 		if err == nil || !strings.Contains(string(out), want) {
@@ -318,7 +319,7 @@
 		}
 	}
 	cmd := serve("--listen", "127.0.0.1:0", "--server", service.Listener.Addr().String())
-	until := started(t, cmd)
+	until := startProgram(t, cmd)
 	_, rest, _ := strings.Cut(until("listen="), "listen=")
 	addr, _, _ := strings.Cut(rest, " ")
 	resp, err := http.Post("http://"+addr+"/tea", "", nil)
--- a/cmd/otterstep/serve.go
+++ b/cmd/otterstep/serve.go
@@ -15,16 +15,16 @@
 	"otterstep/internal/web"
 )
 
-// serveCommand puts any web service behind the decision module, without the platform.
+// serveCommand load-balances any web service with the decision module, without the platform's configuration.
 func serveCommand() *cobra.Command {
 	root := &cobra.Command{Use: "otterstep"}
 	listen, servers, file, check := "", []string(nil), "", false
 	c := &cobra.Command{
-		Use: "serve --listen ADDRESS:PORT --server ADDRESS:PORT...", Short: "Serve ordinary HTTP from servers, until SIGTERM drains it",
-		Long: "With --file the listeners and all else stand in a file, as [[web]] tables; see docs/operate/web.md.",
+		Use: "serve --listen ADDRESS:PORT --server ADDRESS:PORT...", Short: "Load-balance ordinary HTTP until SIGTERM, then drain",
+		Long: "With --file the listeners, servers and all other settings are read from [[web]] tables in a file; see docs/operate/web.md.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			all, err := serving(listen, servers, file)
+			all, err := webConfigs(listen, servers, file)
 			if err != nil || check {
 				return err
 			}
@@ -33,9 +33,9 @@
 	}
 	f := c.Flags()
 	f.StringVar(&listen, "listen", "", "`address:port` for clients")
-	f.StringArrayVar(&servers, "server", nil, "`address:port` of a server; give one for each")
-	f.StringVar(&file, "file", "", "`file` with [[web]] tables, in place of the two")
-	f.BoolVar(&check, "check", false, "say all that is wrong, and serve nothing")
+	f.StringArrayVar(&servers, "server", nil, "`address:port` of a server; may be repeated")
+	f.StringVar(&file, "file", "", "`file` with [[web]] tables, instead of --listen and --server")
+	f.BoolVar(&check, "check", false, "check the configuration, print all errors and exit")
 	c.MarkFlagsMutuallyExclusive("file", "listen")
 	c.MarkFlagsMutuallyExclusive("file", "server")
 	c.MarkFlagsOneRequired("file", "listen")
@@ -43,8 +43,8 @@
 	return root
 }
 
-// serving gives what is to be served, checked.
-func serving(listen string, servers []string, path string) ([]web.Config, error) {
+// webConfigs returns the checked configurations of the fronts.
+func webConfigs(listen string, servers []string, path string) ([]web.Config, error) {
 	var file struct {
 		Web []web.Config `toml:"web"`
 	}
@@ -64,12 +64,12 @@
 	}
 	web.CheckAll(f, file.Web)
 	if len(file.Web) == 0 {
-		f.Bad("web", "nothing to serve: no [[web]]")
+		f.Bad("web", "no [[web]] table: there is nothing to serve")
 	}
 	return file.Web, f.Err()
 }
 
-// serve carries traffic until ctx ends, and drains then.
+// serve runs the fronts until ctx ends, then drains them.
 func serve(ctx context.Context, all []web.Config, log *slog.Logger) error {
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
--- a/cmd/otterstep/signals_test.go
+++ b/cmd/otterstep/signals_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// SIGHUP, SIGTERM and SIGTERM again, while a request is held by its server: the later signals change nothing, the
-// request is answered whole, and the process ends by itself with 0.
+// SIGHUP, SIGTERM and a second SIGTERM while a server holds a request: the later signals change nothing, the request
+// gets its complete answer, and the process exits with status 0.
 func TestSecondSignalChangesNothing(t *testing.T) {
-	came, hold := make(chan struct{}), make(chan struct{})
+	received, hold := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(came)
+		close(received)
 		<-hold
 		io.WriteString(w, "made here")
 	}))
@@ -28,7 +28,7 @@
 		}}}
 	})
 	cmd := program(path)
-	until := started(t, cmd)
+	until := startProgram(t, cmd)
 	_, rest, _ := strings.Cut(until("msg=ready"), "listen=")
 	c, err := net.Dial("tcp", strings.TrimSpace(rest))
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	defer c.Close()
 	io.WriteString(c, "POST /book/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: a\r\nX-Service-Class: book\r\nX-Time-Left: 2\r\nContent-Length: 0\r\n\r\n")
-	<-came
+	<-received
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
--- a/internal/listed/listed.go
+++ b/internal/listed/listed.go
@@ -1,4 +1,4 @@
-// Package listed reads the servers of a pool that the operator lists in a file.
+// Package listed handles server pools that are listed statically in a configuration file.
 package listed
 
 import (
@@ -11,24 +11,24 @@
 	"otterstep/policy"
 )
 
-// Server is one of them.
+// Server is one entry of the list.
 type Server struct {
 	Name    string  `toml:"name"`
-	Address string  `toml:"address"` // an address and port; there are no name look-ups
+	Address string  `toml:"address"` // IP address and port; host names are not resolved
 	Zone    int     `toml:"zone"`
-	Weight  float64 `toml:"weight"` // rough size, comparable across servers; 0: unknown
+	Weight  float64 `toml:"weight"` // approximate relative capacity; 0 means unknown
 }
 
-// Check notes at f all that is wrong with the servers under a key such as "sip.server".
+// Check validates the servers under a key such as "sip.server" and records the errors in f.
 func Check(f *tomlfile.File, key string, all []Server) {
 	names := map[string]bool{}
 	for i, s := range all {
 		key := fmt.Sprintf("%s[%d]", key, i+1)
 		if _, err := netip.ParseAddrPort(s.Address); err != nil {
-			f.Bad(key+".address", "%q is no address and port", s.Address)
+			f.Bad(key+".address", "%q is not an IP address and port", s.Address)
 		}
 		if s.Name == "" || names[s.Name] {
-			f.Bad(key+".name", "%q: each server needs a name of its own", s.Name)
+			f.Bad(key+".name", "%q: server names must be set and unique", s.Name)
 		}
 		if s.Weight < 0 || s.Zone < 0 {
 			f.Bad(key, "weight and zone must not be negative")
@@ -37,11 +37,12 @@
 	}
 }
 
-// Entries gives them as the decision module knows servers, with their addresses.
+// Entries converts the servers to entries of the decision module, with their addresses. A server's ID is a hash of
+// its name and address.
 func Entries(all []Server) (entries []policy.Entry, addrs []string) {
 	for _, s := range all {
 		h := fnv.New64a()
-		_, _ = io.WriteString(h, s.Name+"\x00"+s.Address) // a hash takes all
+		_, _ = io.WriteString(h, s.Name+"\x00"+s.Address) // writing to a hash never fails
 		entries = append(entries, policy.Entry{Server: policy.ServerID(h.Sum64()), Zone: s.Zone, State: policy.Ready, Weight: s.Weight})
 		addrs = append(addrs, s.Address)
 	}
