--- a/internal/confidence/confidence.go
+++ b/internal/confidence/confidence.go
@@ -1,6 +1,6 @@
-// Package confidence decides what knowledge of before is worth to a node that comes back: from
-// who said it and how old it is to whether a server is confirmed, and how much of what was
-// learnt still counts. It does no I/O and has no clock.
+// Package confidence decides how far a restarted node can trust the state it saved earlier: whether a saved
+// server is confirmed, given the age of the data and what discovery says, and how much weight the saved
+// statistics still have. It does no I/O and has no clock.
 package confidence
 
 import (
@@ -11,71 +11,71 @@
 )
 
 const (
-	// halfLife is when what was learnt counts half.
+	// halfLife is the age at which saved statistics count half.
 	halfLife = 10 * time.Minute
-	// forgetAt is the weight below which nothing of it is used.
-	forgetAt = 0.05
-	// olderMost is the age from which an address is not used before discovery has named it: by
-	// then it may belong to anybody.
-	olderMost = 30 * 24 * time.Hour
-	// bootSpare is how far the two clocks may lie apart.
-	bootSpare = 2 * time.Second
+	// minWeight is the weight below which saved statistics are not used.
+	minWeight = 0.05
+	// maxAddressAge is the age beyond which a saved address is not used before discovery has confirmed it:
+	// it may belong to a different host by then.
+	maxAddressAge = 30 * 24 * time.Hour
+	// clockTolerance is how far the wall clock may have gone back before the age counts as unknown.
+	clockTolerance = 2 * time.Second
 )
 
-// Stamp is a moment by both clocks: the wall clock, which may be set, and the time since the
-// machine started, which is of use only while it runs on.
-type Stamp struct {
+// Timestamp is a point in time by two clocks: the wall clock, which may be set, and the time since boot, which is
+// comparable only within one boot of the machine.
+type Timestamp struct {
 	Wall      time.Time     `json:"wall"`
-	Boot      string        `json:"boot"` // the id of the machine's start; "" if unknown
+	Boot      string        `json:"boot"` // the machine's boot ID; "" if unknown
 	SinceBoot time.Duration `json:"since_boot_ns"`
 }
 
-// Age is how old something is.
+// Age is the age of saved data.
 type Age struct {
 	For  time.Duration
-	Sure bool // one of the clocks is known to be right, as far as can be told
+	Sure bool // the age is known, as far as can be told
 }
 
-// Between gives the age of what was noted at then. A machine that has not started anew since tells it
-// by its own time, whatever happened to the wall clock. Else the wall clock has to do; one that
-// went back tells nothing.
-func Between(then, now Stamp) Age {
+// AgeBetween returns the age at now of data saved at then. Within one boot of the machine it is measured by the
+// time since boot, whatever happened to the wall clock. Otherwise the wall clock is used; if that went back,
+// the age is unknown.
+func AgeBetween(then, now Timestamp) Age {
 	if then.Boot != "" && then.Boot == now.Boot && now.SinceBoot >= then.SinceBoot {
 		return Age{now.SinceBoot - then.SinceBoot, true}
 	}
 	d := now.Wall.Sub(then.Wall)
-	if then.Wall.IsZero() || d < -bootSpare {
+	if then.Wall.IsZero() || d < -clockTolerance {
 		return Age{}
 	}
 	return Age{max(0, d), true}
 }
 
-// Standing is what is known of a server.
-type Standing int
+// Status is the status of a saved server.
+type Status int
 
-// The standings.
+// The statuses.
 const (
-	Unconfirmed  Standing = iota // known of before, and discovery has not been heard since
-	Confirmed                    // discovery names it
-	Gone                         // discovery does not name it any more
-	Contradicted                 // discovery names it otherwise: started anew, or another is at its address
-	TooOld                       // not used before discovery names it
+	Unconfirmed  Status = iota // saved, and discovery has not answered since
+	Confirmed                  // listed by discovery
+	Gone                       // no longer listed by discovery
+	Contradicted               // listed by discovery with other data: it restarted, or its address belongs to another server
+	Expired                    // not used before discovery lists it
 )
 
-// String names a standing as operators see it.
-func (s Standing) String() string {
+// String returns the status as shown to operators.
+func (s Status) String() string {
 	return [...]string{"unconfirmed", "confirmed", "gone", "contradicted", "too old"}[s]
 }
 
-// Line is what a list says of a server.
+// Line is a server's entry in a list.
 type Line struct {
 	UID, Endpoint string
 	BootMs        int64
 }
 
-// Judge tells what a line of before is worth. named and at are discovery's lines for its uid and for
-// its address, nil if there are none; heard tells whether discovery has been heard at all.
-func Judge(l Line, age Age, heard bool, named, at *Line) Standing {
+// Judge returns the status of the saved entry l. named and at are discovery's entries for its UID and for
+// its address, nil if there are none; heard reports whether discovery has answered at all.
+func Judge(l Line, age Age, heard bool, named, at *Line) Status {
 	switch {
 	case heard && named == nil && at != nil && at.UID != l.UID:
 		return Contradicted
@@ -85,47 +85,48 @@
 		return Contradicted
 	case heard:
 		return Confirmed
-	case !age.Sure || age.For > olderMost:
-		return TooOld
+	case !age.Sure || age.For > maxAddressAge:
+		return Expired
 	}
 	return Unconfirmed
 }
 
-// Weight is how much what was learnt so long ago counts, from 1 to 0.
+// Weight returns the weight of statistics of the given age, from 1 to 0.
 func Weight(a Age) float64 {
 	if !a.Sure {
 		return 0
 	}
 	w := math.Exp2(-float64(a.For) / float64(halfLife))
-	if w < forgetAt {
+	if w < minWeight {
 		return 0
 	}
 	return w
 }
 
-// Fade gives what a node that has stopped had learnt, as it counts at a later time. fresh is what
-// one that knows nothing starts with. What was open stays so, for as long as it was to be and with
-// a single trial behind that: forgetting closes no breaker. What a server had earned or been
-// spared is of its life then, which may be over, and so is load; neither counts. ages has how long each
-// server has been running that is still listed, by the list that goes with the memory, 0 for
-// one that was started long ago.
+// Fade returns the saved memory m of a stopped node, decayed to age a. fresh is the memory of a node that has
+// learnt nothing; with decreasing weight, values move towards it.
+//
+// An open breaker stays open for its remaining time and is then followed by a single trial: decay never closes
+// a breaker. What depends on a server's life at that time (credit earned, cold-start protection) or on load is
+// dropped, because the server may have restarted and the load is over. ages maps each server that is still
+// listed, by the list saved with the memory, to how long it has been running; 0 means that it started long ago.
 func Fade(m, fresh policy.Memory, a Age, ages map[policy.ServerID]time.Duration) policy.Memory {
 	w := Weight(a)
-	out := fresh // and with it what it admits
-	toward := func(from, to float64) float64 { return from + (to-from)*w }
+	out := fresh // including the admitted share
+	blend := func(from, to float64) float64 { return from + (to-from)*w }
 	if w > 0 && len(m.Classes) == len(fresh.Classes) {
-		out.Limit = toward(fresh.Limit, m.Limit)
+		out.Limit = blend(fresh.Limit, m.Limit)
 		out.LimitKnown = m.LimitKnown * w
 		out.Bore = m.Bore * w
 		out.LoneSeen = int(float64(m.LoneSeen) * w)
-		out.Typical = toward(fresh.Typical, m.Typical)
-		out.MeanSuccess, out.MeanLatency = toward(fresh.MeanSuccess, m.MeanSuccess), toward(fresh.MeanLatency, m.MeanLatency)
+		out.Typical = blend(fresh.Typical, m.Typical)
+		out.MeanSuccess, out.MeanLatency = blend(fresh.MeanSuccess, m.MeanSuccess), blend(fresh.MeanLatency, m.MeanLatency)
 		out.Classes = nil
 		for i, c := range m.Classes {
 			f := fresh.Classes[i]
 			out.Classes = append(out.Classes, policy.ClassMemory{
-				Lone: toward(f.Lone, c.Lone), Yardstick: toward(f.Yardstick, c.Yardstick), LoneSeen: c.LoneSeen * w,
-				Work: toward(f.Work, c.Work), Seen: c.Seen * w, Hint: toward(f.Hint, c.Hint), Hinted: c.Hinted * w,
+				Lone: blend(f.Lone, c.Lone), Yardstick: blend(f.Yardstick, c.Yardstick), LoneSeen: c.LoneSeen * w,
+				Work: blend(f.Work, c.Work), Seen: c.Seen * w, Hint: blend(f.Hint, c.Hint), Hinted: c.Hinted * w,
 			})
 		}
 		out.Kinds = nil
@@ -135,7 +136,8 @@
 		out.Keys = m.Keys
 	}
 	if w == 0 && len(m.Classes) == len(fresh.Classes) {
-		// As a guess, which the first answer replaces, it is better than none: what one asks is known so.
+		// The latency and work of a lone request remain a better initial guess than the defaults; the first answer
+		// replaces them.
 		out.Classes = nil
 		for i, c := range m.Classes {
 			f := fresh.Classes[i]
@@ -149,18 +151,18 @@
 		if !listed {
 			continue
 		}
-		faded := policy.ServerMemory{Server: s.Server, Age: age}
+		decayed := policy.ServerMemory{Server: s.Server, Age: age}
 		if w > 0 {
-			faded.Lone, faded.LoneSeen = s.Lone, s.LoneSeen*w
+			decayed.Lone, decayed.LoneSeen = s.Lone, s.LoneSeen*w
 		}
 		if s.Open {
-			faded.Open, faded.OpenFor, faded.Failures = true, s.OpenFor, s.Failures
-			faded.ReopenIn = s.ReopenIn
+			decayed.Open, decayed.OpenFor, decayed.Failures = true, s.OpenFor, s.Failures
+			decayed.ReopenIn = s.ReopenIn
 			if a.Sure {
-				faded.ReopenIn = max(0, s.ReopenIn-a.For)
+				decayed.ReopenIn = max(0, s.ReopenIn-a.For)
 			}
 		}
-		out.Servers = append(out.Servers, faded)
+		out.Servers = append(out.Servers, decayed)
 	}
 	return out
 }
--- a/internal/confidence/confidence_test.go
+++ b/internal/confidence/confidence_test.go
@@ -12,57 +12,57 @@
 
 func TestMain(m *testing.M) { drawn.Main(m) }
 
-// A plain model: a moment and a later one, between which the wall clock may be set and the machine may
-// start anew. While it runs on the age is right to the spare, whatever the wall clock did; behind a new
-// start it is as right as the wall clock, and one that went back makes it unknown.
-func TestAgesAgainstAModel(t *testing.T) {
+// Compares ages with a simple model: between two points in time the wall clock may be set and the machine may
+// reboot. Without a reboot the age is exact, whatever the wall clock did; after a reboot it is as accurate as
+// the wall clock, and unknown if that went back by more than the tolerance.
+func TestAgesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		took := time.Duration(rapid.Int64Range(0, int64(60*24*time.Hour)).Draw(t, "took"))
+		elapsed := time.Duration(rapid.Int64Range(0, int64(60*24*time.Hour)).Draw(t, "took"))
 		up := time.Duration(rapid.Int64Range(0, int64(1000*time.Hour)).Draw(t, "up"))
-		set := time.Duration(rapid.Int64Range(-int64(24*time.Hour), int64(24*time.Hour)).Draw(t, "set"))
-		then := Stamp{Wall: time.Unix(1e9, 0), Boot: "a", SinceBoot: up}
-		now := Stamp{Wall: then.Wall.Add(took + set), Boot: "a", SinceBoot: up + took}
+		clockChange := time.Duration(rapid.Int64Range(-int64(24*time.Hour), int64(24*time.Hour)).Draw(t, "set"))
+		then := Timestamp{Wall: time.Unix(1e9, 0), Boot: "a", SinceBoot: up}
+		now := Timestamp{Wall: then.Wall.Add(elapsed + clockChange), Boot: "a", SinceBoot: up + elapsed}
 		if rapid.Bool().Draw(t, "started anew") {
-			now.Boot, now.SinceBoot = "b", time.Duration(rapid.Int64Range(0, int64(took)).Draw(t, "since"))
+			now.Boot, now.SinceBoot = "b", time.Duration(rapid.Int64Range(0, int64(elapsed)).Draw(t, "since"))
 		}
-		a := Between(then, now)
+		a := AgeBetween(then, now)
 		switch {
 		case now.Boot == "a":
-			if !a.Sure || a.For != took {
-				t.Fatalf("%v, took %v", a, took)
+			if !a.Sure || a.For != elapsed {
+				t.Fatalf("age %v, want %v", a, elapsed)
 			}
-		case took+set < -bootSpare:
-			if a.Sure || Weight(a) != 0 || Judge(Line{}, a, false, nil, nil) != TooOld {
-				t.Fatalf("a clock that went back: %v", a)
+		case elapsed+clockChange < -clockTolerance:
+			if a.Sure || Weight(a) != 0 || Judge(Line{}, a, false, nil, nil) != Expired {
+				t.Fatalf("wall clock went back, but the age is used: %v", a)
 			}
 		default:
-			if !a.Sure || (a.For-max(0, took+set)).Abs() > 0 {
-				t.Fatalf("%v, the wall clock says %v", a, took+set)
+			if !a.Sure || (a.For-max(0, elapsed+clockChange)).Abs() > 0 {
+				t.Fatalf("age %v, the wall clock says %v", a, elapsed+clockChange)
 			}
 		}
 		later := now
 		later.SinceBoot, later.Wall = now.SinceBoot+time.Minute, now.Wall.Add(time.Minute)
-		if older := Between(then, later); older.Sure && a.Sure && (older.For < a.For || Weight(older) > Weight(a)) {
-			t.Fatalf("%v is worth less than %v", a, older)
+		if older := AgeBetween(then, later); older.Sure && a.Sure && (older.For < a.For || Weight(older) > Weight(a)) {
+			t.Fatalf("age %v has less weight than the greater age %v", a, older)
 		}
 	})
 }
 
-// Discovery's word is above all that was kept, and nobody's word is worth nothing.
-func TestStandings(t *testing.T) {
+// What discovery lists overrides saved entries; without discovery an entry of unknown or too great an age is unused.
+func TestStatuses(t *testing.T) {
 	l := Line{"s1", "10.0.0.1:80", 7}
-	anew, moved, other := Line{"s1", "10.0.0.1:80", 9}, Line{"s1", "10.0.0.2:80", 7}, Line{"s2", "10.0.0.1:80", 7}
+	restarted, moved, other := Line{"s1", "10.0.0.1:80", 9}, Line{"s1", "10.0.0.2:80", 7}, Line{"s2", "10.0.0.1:80", 7}
 	minute := Age{time.Minute, true}
-	for want, all := range map[Standing][]struct {
+	for want, all := range map[Status][]struct {
 		age       Age
 		heard     bool
 		named, at *Line
 	}{
-		Unconfirmed:  {{minute, false, nil, nil}, {Age{olderMost, true}, false, nil, nil}},
-		TooOld:       {{Age{}, false, nil, nil}, {Age{olderMost + 1, true}, false, nil, nil}},
+		Unconfirmed:  {{minute, false, nil, nil}, {Age{maxAddressAge, true}, false, nil, nil}},
+		Expired:      {{Age{}, false, nil, nil}, {Age{maxAddressAge + 1, true}, false, nil, nil}},
 		Confirmed:    {{minute, true, &l, &l}, {Age{}, true, &l, &l}},
 		Gone:         {{minute, true, nil, nil}},
-		Contradicted: {{minute, true, &anew, &anew}, {minute, true, &moved, nil}, {minute, true, nil, &other}},
+		Contradicted: {{minute, true, &restarted, &restarted}, {minute, true, &moved, nil}, {minute, true, nil, &other}},
 	} {
 		for _, c := range all {
 			if got := Judge(l, c.age, c.heard, c.named, c.at); got != want {
@@ -72,9 +72,9 @@
 	}
 }
 
-// Forgetting closes no breaker and passes on nothing that a server had earned; from one halving to the
-// next what was learnt counts half, until nothing of it is left but what was open.
-func TestFade(t *testing.T) {
+// Decay closes no breaker and carries over nothing that a server had earned. Decayed values lie between the saved
+// and the fresh ones; once the weight is 0 only open breakers and the initial guess per class are left.
+func TestDecay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := Age{time.Duration(rapid.Int64Range(0, int64(3*time.Hour)).Draw(t, "age")), rapid.IntRange(0, 4).Draw(t, "sure") > 0}
 		f := func(name string) float64 { return rapid.Float64Range(0.01, 100).Draw(t, name) }
@@ -96,26 +96,26 @@
 		}
 		out := Fade(m, fresh, age, ages)
 		if out.Pressure != 0 || out.Demand != 0 || out.Admitted != 1 {
-			t.Fatalf("load of before: %+v", out)
+			t.Fatalf("load was carried over: %+v", out)
 		}
 		if low, high := min(1, m.Limit), max(1, m.Limit); out.Limit < low || out.Limit > high {
-			t.Fatalf("limit %v, was %v", out.Limit, m.Limit)
+			t.Fatalf("limit %v, saved %v, fresh 1", out.Limit, m.Limit)
 		}
 		guess := fresh.Classes[0]
 		guess.Lone, guess.Work = m.Classes[0].Lone, m.Classes[0].Work
 		if Weight(age) == 0 && (out.Limit != 1 || out.Classes[0] != guess || out.Bore != 0) {
-			t.Fatalf("%v: of no worth, and counts: %+v", age, out)
+			t.Fatalf("age %v has weight 0, but values were carried over: %+v", age, out)
 		}
 		if len(out.Servers) != len(ages) {
-			t.Fatalf("%d servers, %d are listed", len(out.Servers), len(ages))
+			t.Fatalf("%d servers, want the %d listed ones", len(out.Servers), len(ages))
 		}
 		for _, s := range out.Servers {
 			was := m.Servers[s.Server]
 			if s.Open != was.Open || s.ReopenIn > was.ReopenIn || s.OpenFor != was.OpenFor {
-				t.Fatalf("a breaker: %+v, was %+v", s, was)
+				t.Fatalf("breaker changed: %+v, was %+v", s, was)
 			}
 			if s.Earned != 0 || s.ColdSaved != 0 || s.Rate != 0 || s.Done != 0 || s.Good+s.Bad != 0 || s.Age != time.Hour {
-				t.Fatalf("passed on: %+v", s)
+				t.Fatalf("per-server state was carried over: %+v", s)
 			}
 		}
 	})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,5 @@
-// Package control is a node's control socket: a Unix socket on which the machine's
-// agent asks what the node is doing, says what becomes of what the node keeps for its way back, and brings
-// the fleet's word, if the node takes one.
+// Package control is a node's control socket: a Unix socket over which the machine's agent inspects the node,
+// controls its saved state and delivers the fleet's bans, if the node accepts them.
 package control
 
 import (
@@ -24,18 +23,18 @@
 	"otterstep/internal/unixsock"
 )
 
-// Version of the answers' form; it grows with each change that a reader must know.
+// Version is the version of the answer format; it is raised by each incompatible change.
 const Version = 1
 
 const (
-	connectionsMost = 8 // open at once; further ones wait in the kernel
-	answerWithin    = 2 * time.Second
-	answerMost      = 4 << 20
-	keepMost        = 4 << 10
-	wordMost        = 1 << 20
+	maxConnections = 8 // further ones wait in the kernel
+	answerTimeout  = 2 * time.Second
+	maxAnswerSize  = 4 << 20
+	maxKeepSize    = 4 << 10
+	maxWordSize    = 1 << 20
 )
 
-// Server is a listed server as the node sees it.
+// Server is the status of a listed server at the node.
 type Server struct {
 	ID       string    `json:"id"`
 	Endpoint string    `json:"endpoint"`
@@ -50,7 +49,7 @@
 
 // Inspection is a node's answer.
 type Inspection struct {
-	Form        int                         `json:"form"` // Version
+	Form        int                         `json:"form"` // the answer's Version
 	Name        string                      `json:"name"`
 	Version     string                      `json:"version"`
 	Started     time.Time                   `json:"started"`
@@ -60,73 +59,73 @@
 	ReloadError string                      `json:"reload_error,omitempty"` // of the latest reload
 	Servers     []Server                    `json:"servers"`
 	Open        int                         `json:"open"`     // requests without their final answer
-	Held        int                         `json:"held"`     // of these, those that wait for room
+	Held        int                         `json:"held"`     // of these, queued for capacity
 	Attempts    int                         `json:"attempts"` // in flight
 	Clients     Clients                     `json:"clients"`
 	Descriptors Descriptors                 `json:"descriptors"`
 	Memory      Memory                      `json:"memory"`
 	Counts      map[string]map[string]int64 `json:"counts"` // by class and outcome, since the start
 	SIP         *SIP                        `json:"sip,omitempty"`
-	Return      *Return                     `json:"return,omitempty"` // where something is kept
-	Fleet       *Fleet                      `json:"fleet,omitempty"`  // where the fleet's word is taken
+	Return      *Return                     `json:"return,omitempty"` // if state is saved
+	Fleet       *Fleet                      `json:"fleet,omitempty"`  // if fleet bans are accepted
 	Web         []Web                       `json:"web,omitempty"`
 }
 
-// Return is what the node keeps for its way back, and what it found of before.
+// Return describes the state that the node saves for a restart, and the state it found at its start.
 type Return struct {
 	Heard    bool      `json:"heard"` // discovery has answered since the start
-	Used     bool      `json:"used"`  // the node began with the servers that were kept
+	Used     bool      `json:"used"`  // the node started with the saved servers
 	Servers  int       `json:"servers"`
 	Rev      int64     `json:"rev"`
 	Saved    time.Time `json:"saved"`
-	AgeMs    int64     `json:"age_ms"` // of what was found, at the start
+	AgeMs    int64     `json:"age_ms"` // age of the saved state at the start
 	AgeKnown bool      `json:"age_known"`
-	Said     []string  `json:"said,omitempty"`    // what was wrong with it
-	Failure  string    `json:"failure,omitempty"` // of the latest save
-	Held     bool      `json:"held,omitempty"`    // nothing but calls by hand is written
-	Hand     int       `json:"hand"`              // calls by hand that are kept
+	Said     []string  `json:"said,omitempty"`    // problems with the files
+	Failure  string    `json:"failure,omitempty"` // error of the latest save
+	Held     bool      `json:"held,omitempty"`    // frozen: only manual cordons are written
+	Hand     int       `json:"hand"`              // saved manual cordons and uncordons
 	Doubted  int       `json:"doubted"`           // servers in use that discovery has not confirmed
 }
 
-// Word is the fleet's, as the machine's agent has it.
+// Word is the fleet's bans as known to the machine's agent.
 type Word struct {
 	cordon.Word
-	// Sure tells that the agent has heard just now that nothing later was said.
+	// Sure means that the agent has just confirmed that there is no later version.
 	Sure bool `json:"sure"`
 }
 
-// Fleet is what a node knows of the fleet's word, and what operators have said at this node alone.
+// Fleet is a node's view of the fleet's bans, and the manual cordons of this node.
 type Fleet struct {
 	Version uint64    `json:"version"`
 	Token   uint64    `json:"token"`
-	Since   time.Time `json:"since,omitzero"` // when this version was told to this process
+	Since   time.Time `json:"since,omitzero"` // when this process received this version
 	Sure    bool      `json:"sure"`
 	Waits   string    `json:"waits,omitempty"` // what the node waits for before it serves
 	Bans    int       `json:"bans"`
 	Listed  int       `json:"listed"`            // servers in the list
-	Missing []string  `json:"missing,omitempty"` // servers that the fleet leaves out and that the list does not name
-	Hand    []string  `json:"by_hand,omitempty"` // servers left out by hand at this node
+	Missing []string  `json:"missing,omitempty"` // banned servers that are not in the list
+	Hand    []string  `json:"by_hand,omitempty"` // servers cordoned manually at this node
 }
 
-// Refusals of a word. ErrOldWord is one of a later version or a later owner's that has been here.
+// Errors of ApplyFleetBans and Tell. ErrOldWord means that a later version or a later owner's token has been seen.
 var (
-	ErrOldWord = errors.New("an older word than one that has been here")
-	ErrNoFleet = errors.New("this node takes no word of the fleet: its operator's file has no [fleet]")
+	ErrOldWord = errors.New("a later version or token has already been received")
+	ErrNoFleet = errors.New("this node accepts no fleet bans: its operator's file has no [fleet]")
 )
 
-// Keep is what is to become of what a node keeps.
+// Keep is a command on the node's saved state.
 type Keep struct {
-	Do string `json:"do"` // one of the words below
+	Do string `json:"do"` // one of the constants below
 }
 
-// The words of Keep.
+// The values of Keep.Do.
 const (
-	KeepForget  = "forget"  // servers and figures are dropped from the disk; calls by hand stay
-	KeepHold    = "hold"    // the files stay as they are, but for calls by hand
-	KeepRelease = "release" // and are written again
+	KeepForget  = "forget"  // delete servers and statistics from the disk; manual cordons stay
+	KeepHold    = "hold"    // freeze the files, except for manual cordons
+	KeepRelease = "release" // undo hold
 )
 
-// Check names what is wrong.
+// Check validates the command.
 func (k Keep) Check() error {
 	switch k.Do {
 	case KeepForget, KeepHold, KeepRelease:
@@ -135,48 +134,48 @@
 	return fmt.Errorf("do: %q is none of %s, %s, %s", k.Do, KeepForget, KeepHold, KeepRelease)
 }
 
-// ErrNothingKept means that the node keeps nothing for its way back.
-var ErrNothingKept = errors.New("this node keeps nothing: its operator's file has no kept.file")
+// ErrNothingKept means that the node does not save its state.
+var ErrNothingKept = errors.New("this node saves no state: its operator's file has no kept.file")
 
-// Web is a front for ordinary HTTP. Counts are since the start.
+// Web is a front for ordinary HTTP. Counters start at zero with the process.
 type Web struct {
 	Name        string                      `json:"name"`
 	Listen      string                      `json:"listen"`
-	Streams     int64                       `json:"streams"` // answers on their way
+	Streams     int64                       `json:"streams"` // answers being sent
 	Tunnels     int64                       `json:"tunnels"`
-	Cut         int64                       `json:"cut"`         // answers that broke after they had begun
-	Gone        int64                       `json:"gone"`        // clients that left before the end
-	TurnedDown  int64                       `json:"turned_down"` // requests that could not be used
-	Rules       []int64                     `json:"rules"`       // hits of each, and of none
+	Cut         int64                       `json:"cut"`         // answers that broke off
+	Gone        int64                       `json:"gone"`        // clients that disconnected before the end of the answer
+	TurnedDown  int64                       `json:"turned_down"` // invalid requests
+	Rules       []int64                     `json:"rules"`       // matches of each rule, then requests without a match
 	Connections int                         `json:"connections"` // to servers, over HTTP/1.1
 	Idle        int                         `json:"idle"`        // of these
-	Kept        int64                       `json:"kept"`        // bytes of bodies kept for further attempts
+	Kept        int64                       `json:"kept"`        // bytes of bodies buffered for further attempts
 	Open        int                         `json:"open"`        // requests without their final answer
 	Held        int                         `json:"held"`
 	Servers     []Server                    `json:"servers"`
 	Counts      map[string]map[string]int64 `json:"counts"`
 }
 
-// SIP is the front for calls, where it is on. Counts are since the start.
+// SIP is the SIP front. Counters start at zero with the process.
 type SIP struct {
 	Listen       map[string]string           `json:"listen"`       // by transport
-	Transactions map[string]int              `json:"transactions"` // callers', open and lingering, by state
-	Attempts     map[string]int              `json:"attempts"`     // transactions at servers, by state
+	Transactions map[string]int              `json:"transactions"` // server transactions (callers), open and lingering, by state
+	Attempts     map[string]int              `json:"attempts"`     // client transactions (servers), by state
 	Requests     int64                       `json:"requests"`     // outside dialogs
 	Inside       int64                       `json:"inside"`       // inside dialogs
-	Dialogs      int64                       `json:"dialogs"`      // begun
+	Dialogs      int64                       `json:"dialogs"`      // dialogs created
 	Byes         int64                       `json:"byes"`
-	Finals       map[int]int64               `json:"finals"`  // responses given, by code
-	Ends         map[string]int64            `json:"ends"`    // of attempts and of requests inside dialogs
+	Finals       map[int]int64               `json:"finals"`  // final responses sent, by code
+	Ends         map[string]int64            `json:"ends"`    // outcomes of attempts and of requests inside dialogs
 	Refused      map[string]int64            `json:"refused"` // by cause
-	Late         int64                       `json:"late"`    // 2xx after another final: ended with BYE
+	Late         int64                       `json:"late"`    // 2xx after another final response: ended with BYE
 	Stray        int64                       `json:"stray"`
 	Repeats      int64                       `json:"repeats"`
 	Malformed    int64                       `json:"malformed"`
-	Dropped      int64                       `json:"dropped"` // datagrams that the node was too far behind for
+	Dropped      int64                       `json:"dropped"` // datagrams dropped because of backlog
 	Sources      int                         `json:"sources"`
 	Connections  int                         `json:"connections"`
-	TurnedAway   int64                       `json:"turned_away"` // connections
+	TurnedAway   int64                       `json:"turned_away"` // refused connections
 	Servers      []Server                    `json:"servers"`
 	Held         int                         `json:"held"`
 	Counts       map[string]map[string]int64 `json:"counts"`
@@ -186,36 +185,35 @@
 type Clients struct {
 	Connections int `json:"connections"`
 	Idle        int `json:"idle"`
-	Silent      int `json:"silent"` // no head so far
+	Silent      int `json:"silent"` // no request head received yet
 	Most        int `json:"most"`
 }
 
-// Descriptors are the process's.
+// Descriptors are the process's file descriptors.
 type Descriptors struct {
 	Open  int `json:"open"`
 	Limit int `json:"limit"`
 }
 
-// Memory is the process's, in bytes.
+// Memory is the process's memory use, in bytes.
 type Memory struct {
 	Heap  uint64 `json:"heap"`
-	Total uint64 `json:"total"` // had from the system
+	Total uint64 `json:"total"` // obtained from the operating system
 	Limit uint64 `json:"limit"`
 }
 
-// Node is whom a control socket speaks for.
+// Node is the node behind a control socket.
 type Node interface {
-	// Inspect tells what the node is doing. It is never called more than once at a time: those who ask
-	// meanwhile share its answer.
+	// Inspect returns the node's status. It is never called concurrently: requests that arrive meanwhile
+	// share the answer.
 	Inspect(ctx context.Context) (Inspection, error)
-	// Keep carries out a Keep whose word is known; it returns once that is on the disk.
-	Keep(k Keep) error
-	// Tell takes the fleet's word in, and returns once it is in force and on the node's disk, if it keeps
-	// anything there.
-	Tell(ctx context.Context, w Word) (Fleet, error)
+	// ApplyStateCommand carries out a valid command on the saved state; it returns once the change is on disk.
+	ApplyStateCommand(k Keep) error
+	// ApplyFleetBans applies the fleet's bans; it returns once they are in force and, if the node saves state, on disk.
+	ApplyFleetBans(ctx context.Context, w Word) (Fleet, error)
 }
 
-// Serve answers on the socket at path until ctx ends.
+// Serve serves the socket at path until ctx ends.
 func Serve(ctx context.Context, path string, node Node, log *slog.Logger) error {
 	l, err := Listen(path)
 	if err != nil {
@@ -226,20 +224,20 @@
 	mux.Handle("GET /v1/inspect", h)
 	mux.HandleFunc("POST /v1/kept", func(w http.ResponseWriter, r *http.Request) {
 		var k Keep
-		err := json.NewDecoder(io.LimitReader(r.Body, keepMost)).Decode(&k)
+		err := json.NewDecoder(io.LimitReader(r.Body, maxKeepSize)).Decode(&k)
 		if err = errors.Join(err, k.Check()); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := node.Keep(k); err != nil {
+		if err := node.ApplyStateCommand(k); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 		}
 	})
 	mux.HandleFunc("POST /v1/fleet", func(w http.ResponseWriter, r *http.Request) {
 		var word Word
-		text, err := io.ReadAll(io.LimitReader(r.Body, wordMost+1))
-		if err == nil && len(text) > wordMost {
-			err = fmt.Errorf("over %d bytes", wordMost)
+		text, err := io.ReadAll(io.LimitReader(r.Body, maxWordSize+1))
+		if err == nil && len(text) > maxWordSize {
+			err = fmt.Errorf("larger than %d bytes", maxWordSize)
 		}
 		if err == nil {
 			err = json.Unmarshal(text, &word)
@@ -251,9 +249,9 @@
 			http.Error(w, "the fleet's word: "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 		defer cancel()
-		is, err := node.Tell(ctx, word)
+		status, err := node.ApplyFleetBans(ctx, word)
 		switch {
 		case errors.Is(err, ErrOldWord):
 			http.Error(w, err.Error(), http.StatusConflict)
@@ -263,29 +261,28 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		default:
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(is) // an agent that is gone asks again
+			_ = json.NewEncoder(w).Encode(status) // an agent that has disconnected asks again
 		}
 	})
 	s := &http.Server{
-		Handler: mux, ReadTimeout: answerWithin, WriteTimeout: 2 * answerWithin, MaxHeaderBytes: 4 << 10,
+		Handler: mux, ReadTimeout: answerTimeout, WriteTimeout: 2 * answerTimeout, MaxHeaderBytes: 4 << 10,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	s.SetKeepAlivesEnabled(false)
 	stop := context.AfterFunc(ctx, func() { s.Close() })
 	defer stop()
-	if err := s.Serve(netutil.LimitListener(l, connectionsMost)); err != nil && ctx.Err() == nil {
+	if err := s.Serve(netutil.LimitListener(l, maxConnections)); err != nil && ctx.Err() == nil {
 		return fmt.Errorf("control socket: %w", err)
 	}
 	return nil
 }
 
-// Listen opens a Unix socket that only its owner may use. A socket that a dead
-// process left behind is replaced; one that still answers is not, nor is any other
-// file.
+// Listen opens a Unix socket that only its owner can access. A stale socket of a dead process is replaced; one
+// that still accepts connections is not, nor is any other file.
 func Listen(path string) (net.Listener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode().Type() != fs.ModeSocket {
-			return nil, fmt.Errorf("%s is there and no socket", path)
+			return nil, fmt.Errorf("%s exists and is not a socket", path)
 		}
 		if c, err := net.Dial("unix", path); err == nil {
 			c.Close()
@@ -299,16 +296,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &unlinking{l, path}, nil
+	return &unlinkingListener{l, path}, nil
 }
 
-// unlinking removes its socket when it closes.
-type unlinking struct {
+// unlinkingListener removes its socket when it is closed.
+type unlinkingListener struct {
 	net.Listener
 	path string
 }
 
-func (l *unlinking) Close() error {
+func (l *unlinkingListener) Close() error {
 	err := l.Listener.Close()
 	if err == nil {
 		os.Remove(l.path)
@@ -323,7 +320,7 @@
 	pending *pending
 }
 
-// pending is an inspection under way.
+// pending is an inspection in progress.
 type pending struct {
 	done chan struct{}
 	text []byte
@@ -353,7 +350,7 @@
 }
 
 func (h *handler) run(p *pending) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	i, err := h.inspect(ctx)
 	if err == nil {
@@ -366,14 +363,14 @@
 	close(p.done)
 }
 
-// way leads to the node whose control socket is at path.
-func way(path string) *http.Transport {
+// transport connects to the node whose control socket is at path.
+func transport(path string) *http.Transport {
 	return &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "unix", path)
 	}}
 }
 
-// call makes a call at the node whose control socket is at path, and gives its answer.
+// call sends a request to the node whose control socket is at path, and returns its answer.
 func call(ctx context.Context, path, method, at string, body any) (status int, answer []byte, err error) {
 	var text []byte
 	if body != nil {
@@ -385,24 +382,24 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := way(path).RoundTrip(req)
+	resp, err := transport(path).RoundTrip(req)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(resp.Body, answerMost+1))
+	answer, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerSize+1))
 	switch {
 	case err != nil:
 		return 0, nil, err
-	case len(answer) > answerMost:
-		return 0, nil, fmt.Errorf("an answer of over %d bytes", answerMost)
+	case len(answer) > maxAnswerSize:
+		return 0, nil, fmt.Errorf("answer is larger than %d bytes", maxAnswerSize)
 	case resp.StatusCode != http.StatusOK:
 		return resp.StatusCode, answer, fmt.Errorf("the node answered %s: %.200s", resp.Status, bytes.TrimSpace(answer))
 	}
 	return resp.StatusCode, answer, nil
 }
 
-// TellKept has the node whose control socket is at path do something with what it keeps.
+// TellKept sends a command on the saved state to the node whose control socket is at path.
 func TellKept(ctx context.Context, path string, k Keep) error {
 	if _, _, err := call(ctx, path, http.MethodPost, "kept", k); err != nil {
 		return fmt.Errorf("kept: %w", err)
@@ -410,7 +407,7 @@
 	return nil
 }
 
-// Tell brings the fleet's word to the node whose control socket is at path.
+// Tell sends the fleet's bans to the node whose control socket is at path.
 func Tell(ctx context.Context, path string, w Word) (is Fleet, err error) {
 	status, answer, err := call(ctx, path, http.MethodPost, "fleet", w)
 	switch {
@@ -427,7 +424,7 @@
 	return is, nil
 }
 
-// Inspect asks the node whose control socket is at path.
+// Inspect returns the status of the node whose control socket is at path.
 func Inspect(ctx context.Context, path string) (Inspection, error) {
 	var i Inspection
 	_, text, err := call(ctx, path, http.MethodGet, "inspect", nil)
@@ -438,9 +435,9 @@
 		return i, fmt.Errorf("inspect: %w", err)
 	}
 	if i.Form != Version {
-		return i, fmt.Errorf("inspect: %w", errForm)
+		return i, fmt.Errorf("inspect: %w", errVersionMismatch)
 	}
 	return i, nil
 }
 
-var errForm = errors.New("the node answers in another form than this program reads: bring both to one version")
+var errVersionMismatch = errors.New("the node's answer has a format version that this program does not support: use the same version of both")
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -21,16 +21,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// node is one by its answers.
+// node is a Node made of functions.
 type node struct {
-	inspect func(context.Context) (Inspection, error)
-	keep    func(Keep) error
-	tell    func(Word) (Fleet, error)
+	inspect           func(context.Context) (Inspection, error)
+	applyStateCommand func(Keep) error
+	applyFleetBans    func(Word) (Fleet, error)
 }
 
-func (n node) Inspect(ctx context.Context) (Inspection, error) { return n.inspect(ctx) }
-func (n node) Keep(k Keep) error                               { return n.keep(k) }
-func (n node) Tell(_ context.Context, w Word) (Fleet, error)   { return n.tell(w) }
+func (n node) Inspect(ctx context.Context) (Inspection, error)         { return n.inspect(ctx) }
+func (n node) ApplyStateCommand(k Keep) error                          { return n.applyStateCommand(k) }
+func (n node) ApplyFleetBans(_ context.Context, w Word) (Fleet, error) { return n.applyFleetBans(w) }
 
 func serve(t *testing.T, inspect func(context.Context) (Inspection, error)) string {
 	t.Helper()
@@ -49,7 +49,7 @@
 			t.Error(err)
 		}
 		if _, err := os.Lstat(path); !errors.Is(err, os.ErrNotExist) {
-			t.Errorf("the socket is left: %v", err)
+			t.Errorf("the socket was not removed: %v", err)
 		}
 	})
 	for {
@@ -59,55 +59,55 @@
 	}
 }
 
-// However many ask, one inspection is under way at a time, and each gets an answer.
+// Any number of concurrent requests share one inspection at a time, and each gets an answer.
 func TestOneInspectionAtATime(t *testing.T) {
-	var now, most, all atomic.Int64
+	var running, most, total atomic.Int64
 	release := make(chan struct{})
 	path := serve(t, func(context.Context) (Inspection, error) {
-		if n := now.Add(1); n > most.Load() {
+		if n := running.Add(1); n > most.Load() {
 			most.Store(n)
 		}
-		defer now.Add(-1)
-		all.Add(1)
+		defer running.Add(-1)
+		total.Add(1)
 		<-release
 		return Inspection{Form: Version, Name: "n1"}, nil
 	})
-	var askers sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 30 {
-		askers.Go(func() {
+		clients.Go(func() {
 			if i, err := Inspect(context.Background(), path); err != nil || i.Name != "n1" {
 				t.Errorf("%+v, %v", i, err)
 			}
 		})
 	}
-	for all.Load() == 0 {
+	for total.Load() == 0 {
 	}
 	close(release)
-	askers.Wait()
+	clients.Wait()
 	if most.Load() != 1 {
-		t.Errorf("%d at a time", most.Load())
+		t.Errorf("%d inspections at a time, want 1", most.Load())
 	}
 }
 
-func TestAnswersThatCannotBeUsed(t *testing.T) {
+func TestInvalidAnswers(t *testing.T) {
 	path := serve(t, func(context.Context) (Inspection, error) { return Inspection{}, errors.New("the loop is busy") })
 	if _, err := Inspect(t.Context(), path); err == nil || !strings.Contains(err.Error(), "the loop is busy") {
 		t.Errorf("%v", err)
 	}
 	path = serve(t, func(context.Context) (Inspection, error) { return Inspection{Form: Version + 1}, nil })
-	if _, err := Inspect(t.Context(), path); !errors.Is(err, errForm) {
+	if _, err := Inspect(t.Context(), path); !errors.Is(err, errVersionMismatch) {
 		t.Errorf("%v", err)
 	}
 	if _, err := Inspect(t.Context(), filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("an answer from nobody")
+		t.Error("an answer without a node")
 	}
 }
 
-// What becomes of what a node keeps is said in one of a few words; a node's no reaches who asked.
+// A command on the saved state has to be one of the known ones; the node's error reaches the caller.
 func TestKeep(t *testing.T) {
-	var told []string
-	path := serveNode(t, node{keep: func(k Keep) error {
-		if told = append(told, k.Do); k.Do == KeepHold {
+	var received []string
+	path := serveNode(t, node{applyStateCommand: func(k Keep) error {
+		if received = append(received, k.Do); k.Do == KeepHold {
 			return ErrNothingKept
 		}
 		return nil
@@ -115,14 +115,14 @@
 	if err := TellKept(t.Context(), path, Keep{KeepForget}); err != nil {
 		t.Error(err)
 	}
-	if err := TellKept(t.Context(), path, Keep{KeepHold}); err == nil || !strings.Contains(err.Error(), "keeps nothing") {
+	if err := TellKept(t.Context(), path, Keep{KeepHold}); err == nil || !strings.Contains(err.Error(), "saves no state") {
 		t.Errorf("%v", err)
 	}
 	if err := TellKept(t.Context(), path, Keep{"burn"}); err == nil || !strings.Contains(err.Error(), `"burn" is none of`) {
 		t.Errorf("%v", err)
 	}
-	if !slices.Equal(told, []string{KeepForget, KeepHold}) {
-		t.Errorf("told %v", told)
+	if !slices.Equal(received, []string{KeepForget, KeepHold}) {
+		t.Errorf("the node received %v", received)
 	}
 }
 
@@ -142,42 +142,42 @@
 	}
 	l.(*net.UnixListener).SetUnlinkOnClose(false)
 	l.Close()
-	mine, err := Listen(dead)
+	replacement, err := Listen(dead)
 	if err != nil {
-		t.Fatalf("a dead process's socket: %v", err)
+		t.Fatalf("stale socket of a dead process: %v", err)
 	}
-	defer mine.Close()
+	defer replacement.Close()
 	if info, err := os.Lstat(dead); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info.Mode(), err)
 	}
 	if _, err := Listen(dead); err == nil || !strings.Contains(err.Error(), "another process answers") {
-		t.Errorf("a living process's socket: %v", err)
+		t.Errorf("socket of a running process: %v", err)
 	}
 }
 
-// The fleet's word comes whole or not at all, and the node's no keeps its meaning.
-func TestTell(t *testing.T) {
-	var took []Word
+// Invalid or oversized bans are rejected as a whole, and the node's errors keep their identity.
+func TestFleetBans(t *testing.T) {
+	var received []Word
 	answer := error(nil)
-	path := serveNode(t, node{tell: func(w Word) (Fleet, error) {
-		took = append(took, w)
+	path := serveNode(t, node{applyFleetBans: func(w Word) (Fleet, error) {
+		received = append(received, w)
 		return Fleet{Version: w.Version, Listed: 3}, answer
 	}})
 	word := Word{cordon.Word{Version: 7, Token: 2, Bans: []cordon.Ban{{ID: "s/1", Reason: "disk", By: "ada"}}}, true}
-	if is, err := Tell(t.Context(), path, word); err != nil || is.Version != 7 || is.Listed != 3 || len(took) != 1 || !reflect.DeepEqual(took[0], word) {
-		t.Errorf("%+v, %v; took %+v", is, err, took)
+	if is, err := Tell(t.Context(), path, word); err != nil || is.Version != 7 || is.Listed != 3 || len(received) != 1 || !reflect.DeepEqual(received[0], word) {
+		t.Errorf("%+v, %v; received %+v", is, err, received)
 	}
 	for _, answer = range []error{ErrOldWord, ErrNoFleet} {
 		if _, err := Tell(t.Context(), path, word); !errors.Is(err, answer) {
 			t.Errorf("%v, want %v", err, answer)
 		}
 	}
-	took, answer = nil, nil
+	received, answer = nil, nil
 	many := Word{Word: cordon.Word{Bans: make([]cordon.Ban, cordon.BansMost+1)}}
-	long := Word{Word: cordon.Word{Bans: []cordon.Ban{{ID: "s1", Reason: strings.Repeat("x", wordMost)}}}}
+	long := Word{Word: cordon.Word{Bans: []cordon.Ban{{ID: "s1", Reason: strings.Repeat("x", maxWordSize)}}}}
 	for _, bad := range []Word{many, long, {Word: cordon.Word{Bans: []cordon.Ban{{ID: "s1"}, {ID: "s1"}}}}} {
-		if _, err := Tell(t.Context(), path, bad); err == nil || len(took) > 0 {
-			t.Errorf("%d bans: %v, took %d", len(bad.Bans), err, len(took))
+		if _, err := Tell(t.Context(), path, bad); err == nil || len(received) > 0 {
+			t.Errorf("%d bans: %v, the node received %d", len(bad.Bans), err, len(received))
 		}
 	}
 }
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -1,6 +1,6 @@
-// Package cordon keeps which servers the operators have left out, by hand at this node or by the word of
-// the fleet. It has no clock and no I/O. Two processes that are one node each keep a Set and tell each other what
-// changes; whatever the order, they come to agree on the latest call for each server.
+// Package cordon keeps the set of servers that operators have excluded from traffic, manually at this node
+// or fleet-wide. It has no clock and no I/O. During a handover both processes of a node keep a Set and send each
+// other their changes; in whatever order these arrive, both sets converge on the latest call for each server.
 package cordon
 
 import (
@@ -11,54 +11,54 @@
 	"time"
 )
 
-// Bounds. A server that has left the list may still be named until so many more have.
+// Bounds. A server that has left the list may still be named until maxGone further servers have left it.
 const (
-	goneMost    = 4096
-	entriesMost = 4096 // servers that were named by hand
-	idMost      = 1024 // bytes
+	maxGone    = 4096
+	maxEntries = 4096 // servers with a manual call
+	maxIDBytes = 1024
 )
 
-// Errors of Call.
+// Errors of Apply.
 var (
 	ErrNeverListed = errors.New("no server of this id was ever listed")
-	ErrTooMany     = errors.New("too many servers are left out by hand, call some back first")
+	ErrTooMany     = errors.New("too many servers are cordoned manually, uncordon some first")
 )
 
-// Entry is the latest call for a server.
+// Entry is the latest manual call for a server.
 type Entry struct {
 	ID    string    `json:"id"`
-	Out   bool      `json:"out"`
-	At    time.Time `json:"at"`    // when the call was made, or first made of several alike
-	Stamp uint64    `json:"stamp"` // the higher one is the later call
+	Out   bool      `json:"out"`   // cordoned
+	At    time.Time `json:"at"`    // time of the call; repeated calls keep the time of the first
+	Stamp uint64    `json:"stamp"` // logical clock: the higher one is the later call
 }
 
-// later orders calls. Of two made at once, one at each process, the one to leave out holds.
-func (e Entry) later(o Entry) bool {
+// newerThan orders calls. Of two concurrent calls, one at each process, the one that cordons wins.
+func (e Entry) newerThan(o Entry) bool {
 	if e.Stamp != o.Stamp {
 		return e.Stamp > o.Stamp
 	}
 	return e.Out && !o.Out
 }
 
-// Set is what the operators have said. Make it with New. It is for one caller at a time.
+// Set holds the operators' latest calls and the fleet's bans. Make it with New. It is not safe for concurrent use.
 type Set struct {
-	listed  map[string]struct{}
-	gone    map[string]struct{}
-	order   []string // of gone, the oldest first; some may be listed again
-	entries map[string]Entry
-	stamp   uint64
-
-	word   Word           // the fleet's latest
-	banned map[string]Ban // by id, of word
+	listed    map[string]struct{}
+	gone      map[string]struct{}
+	goneOrder []string // keys of gone, oldest first; some may be listed again
+	entries   map[string]Entry
+	stamp     uint64
+
+	word   Word           // latest fleet bans
+	banned map[string]Ban // the same by server ID
 }
 
-// New makes an empty one.
+// New returns an empty set.
 func New() *Set {
 	return &Set{listed: map[string]struct{}{}, gone: map[string]struct{}{}, entries: map[string]Entry{}}
 }
 
-// Listed notes servers that a list names, or all that there are.
-func (s *Set) Listed(all bool, ids []string) {
+// UpdateList records servers named by a list; all means that the list is complete.
+func (s *Set) UpdateList(all bool, ids []string) {
 	if all {
 		old := s.listed
 		s.listed = make(map[string]struct{}, len(ids))
@@ -66,7 +66,7 @@
 			s.listed[id] = struct{}{}
 		}
 		for _, id := range slices.Sorted(maps.Keys(old)) {
-			s.leave(id)
+			s.markGone(id)
 		}
 		return
 	}
@@ -75,13 +75,13 @@
 	}
 }
 
-// Unlisted notes that a server has left the list.
-func (s *Set) Unlisted(id string) {
+// RemoveFromList records that a server has left the list.
+func (s *Set) RemoveFromList(id string) {
 	delete(s.listed, id)
-	s.leave(id)
+	s.markGone(id)
 }
 
-func (s *Set) leave(id string) {
+func (s *Set) markGone(id string) {
 	if _, back := s.listed[id]; back {
 		return
 	}
@@ -89,14 +89,14 @@
 		return
 	}
 	s.gone[id] = struct{}{}
-	if s.order = append(s.order, id); len(s.order) > goneMost {
-		delete(s.gone, s.order[0])
-		s.order = s.order[1:]
+	if s.goneOrder = append(s.goneOrder, id); len(s.goneOrder) > maxGone {
+		delete(s.gone, s.goneOrder[0])
+		s.goneOrder = s.goneOrder[1:]
 	}
 }
 
-// Call takes a call for a server. It changes the entry only if it says something new.
-func (s *Set) Call(now time.Time, id string, out bool) (e Entry, changed bool, err error) {
+// Apply applies a manual call for a server: out cordons it, else it is uncordoned. A repeated call changes nothing.
+func (s *Set) Apply(now time.Time, id string, out bool) (e Entry, changed bool, err error) {
 	e, named := s.entries[id]
 	_, listed := s.listed[id]
 	_, gone := s.gone[id]
@@ -105,7 +105,7 @@
 		return e, false, ErrNeverListed
 	case e.Out == out:
 		return e, false, nil
-	case !named && !s.room():
+	case !named && !s.makeRoom():
 		return e, false, ErrTooMany
 	}
 	s.stamp++
@@ -114,14 +114,14 @@
 	return e, true, nil
 }
 
-// room makes room for one more, by forgetting the earliest call back; false if all are out.
-func (s *Set) room() bool {
-	if len(s.entries) < entriesMost {
+// makeRoom makes room for one more entry by evicting the oldest uncordon; it returns false if every entry is a cordon.
+func (s *Set) makeRoom() bool {
+	if len(s.entries) < maxEntries {
 		return true
 	}
 	oldest := Entry{}
 	for _, e := range s.entries {
-		if !e.Out && (oldest.ID == "" || oldest.later(e)) {
+		if !e.Out && (oldest.ID == "" || oldest.newerThan(e)) {
 			oldest = e
 		}
 	}
@@ -129,38 +129,38 @@
 	return oldest.ID != ""
 }
 
-// Merge takes what another process was told, and gives what is new here. What does not fit
-// is in left.
-func (s *Set) Merge(entries []Entry) (changed, left []Entry) {
+// Merge applies entries of another process and returns those that were new here. Entries that exceed the
+// bounds are returned in rejected.
+func (s *Set) Merge(entries []Entry) (changed, rejected []Entry) {
 	for _, e := range entries {
 		own, named := s.entries[e.ID]
 		s.stamp = max(s.stamp, e.Stamp)
 		switch {
-		case e.ID == "" || len(e.ID) > idMost:
-			left = append(left, e)
-		case named && !e.later(own):
-		case !named && !s.room():
-			left = append(left, e)
+		case e.ID == "" || len(e.ID) > maxIDBytes:
+			rejected = append(rejected, e)
+		case named && !e.newerThan(own):
+		case !named && !s.makeRoom():
+			rejected = append(rejected, e)
 		default:
 			s.entries[e.ID] = e
 			changed = append(changed, e)
 		}
 	}
-	return changed, left
+	return changed, rejected
 }
 
-// Entries gives the latest call for each server that was named, the earliest first.
+// Entries returns the latest call for each server that was named, oldest first.
 func (s *Set) Entries() []Entry {
 	return slices.SortedFunc(maps.Values(s.entries), func(x, y Entry) int {
 		return cmp.Or(cmp.Compare(x.Stamp, y.Stamp), cmp.Compare(x.ID, y.ID))
 	})
 }
 
-// Out tells whether a server is left out, by hand or by the fleet.
-func (s *Set) Out(id string) bool {
+// IsOut reports whether a server is excluded, manually or by the fleet.
+func (s *Set) IsOut(id string) bool {
 	_, banned := s.banned[id]
 	return banned || s.entries[id].Out
 }
 
-// Known gives the servers that were listed once and are gone, the latest last.
-func (s *Set) Known() []string { return slices.Clone(s.order) }
+// Delisted returns the servers that have left the list, the most recent last.
+func (s *Set) Delisted() []string { return slices.Clone(s.goneOrder) }
--- a/internal/cordon/fleet.go
+++ b/internal/cordon/fleet.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// BansMost bounds the servers that the fleet's operators leave out at all nodes.
+// BansMost is the maximum number of servers that can be banned fleet-wide.
 const BansMost = 256
 
-// Ban is a server that the fleet's operators have left out at all nodes.
+// Ban is a server that the fleet's operators have excluded at all nodes.
 type Ban struct {
 	ID     string    `json:"id"`
 	Reason string    `json:"reason,omitempty"`
 	By     string    `json:"by,omitempty"`
-	At     time.Time `json:"at,omitzero"` // by the operator's clock: to be shown only
+	At     time.Time `json:"at,omitzero"` // by the operator's clock, for display only
 }
 
-// Word is the whole of what the fleet says at a version. Versions only rise, across whatever the fleet's
-// council goes through, so that the higher one is the later word; Token is that of whoever sent it.
+// Word is the complete list of fleet-wide bans at a version. Versions never decrease, whatever happens to the
+// fleet's council, so the higher one is the later; Token is the fencing token of the sender.
 type Word struct {
 	Version uint64 `json:"version"`
 	Token   uint64 `json:"token"`
 	Bans    []Ban  `json:"bans,omitempty"`
 }
 
-// ErrOld refuses a word of the fleet that is older than one that was here.
-var ErrOld = errors.New("an older word of the fleet")
+// ErrOutdated is returned for fleet bans that are older than those already received.
+var ErrOutdated = errors.New("outdated fleet bans")
 
-// Check tells what makes a word unfit for use.
+// Check validates the bans.
 func (w Word) Check() error {
 	if len(w.Bans) > BansMost {
-		return fmt.Errorf("%d servers are left out, at most %d can be", len(w.Bans), BansMost)
+		return fmt.Errorf("%d servers are banned, at most %d are allowed", len(w.Bans), BansMost)
 	}
 	seen := make(map[string]bool, len(w.Bans))
 	for _, b := range w.Bans {
-		if b.ID == "" || len(b.ID) > idMost || seen[b.ID] {
-			return fmt.Errorf("server %.80q: nameless, over %d bytes long or named twice", b.ID, idMost)
+		if b.ID == "" || len(b.ID) > maxIDBytes || seen[b.ID] {
+			return fmt.Errorf("server %.80q: empty id, id over %d bytes or banned twice", b.ID, maxIDBytes)
 		}
 		seen[b.ID] = true
 	}
 	return nil
 }
 
-// Take takes the fleet's word in, unless a later one or a later sender has been here, and names the servers
-// whose ban begins or ends with it. What operators have said of them by hand stays as it is.
+// Take applies the fleet's bans, unless a later version or a later sender's token has been seen, and returns the
+// servers whose ban begins or ends. Manual calls are not affected.
 func (s *Set) Take(w Word) (began, ended []string, err error) {
 	switch {
 	case w.Token < s.word.Token:
-		return nil, nil, fmt.Errorf("%w: of token %d, token %d has been here", ErrOld, w.Token, s.word.Token)
+		return nil, nil, fmt.Errorf("%w: token %d is older than token %d", ErrOutdated, w.Token, s.word.Token)
 	case w.Version < s.word.Version:
-		return nil, nil, fmt.Errorf("%w: version %d, version %d has been here", ErrOld, w.Version, s.word.Version)
+		return nil, nil, fmt.Errorf("%w: version %d is older than version %d", ErrOutdated, w.Version, s.word.Version)
 	}
 	if err := w.Check(); err != nil {
 		return nil, nil, err
@@ -75,20 +75,20 @@
 	return began, ended, nil
 }
 
-// Word gives the latest word of the fleet, the zero one if there was none.
+// Word returns the latest fleet bans, or the zero Word if there were none.
 func (s *Set) Word() Word { return s.word }
 
-// Banned gives the fleet's ban of a server.
+// Banned returns the fleet's ban of a server.
 func (s *Set) Banned(id string) (Ban, bool) {
 	b, banned := s.banned[id]
 	return b, banned
 }
 
-// Lists tells whether a server is in the list.
-func (s *Set) Lists(id string) bool {
+// IsListed reports whether a server is in the list.
+func (s *Set) IsListed(id string) bool {
 	_, listed := s.listed[id]
 	return listed
 }
 
-// Size tells how many servers are in the list.
-func (s *Set) Size() int { return len(s.listed) }
+// ListedCount returns the number of servers in the list.
+func (s *Set) ListedCount() int { return len(s.listed) }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -1,6 +1,6 @@
-// Package door is the operators' door of one instance: a listener of its own on which each
-// connection carries one call (HTTP/1.1, RFC 9112). Its descriptors are its own too, so that
-// clients can't take them, and callers that say nothing make room for those that do.
+// Package door is the operator API of one instance: a separate listener on which each connection carries one
+// request (HTTP/1.1, RFC 9112). Its file descriptors are reserved, so that clients cannot exhaust them, and
+// connections without a complete request are dropped in favour of new ones.
 package door
 
 import (
@@ -20,23 +20,23 @@
 )
 
 const (
-	// Connections is how many the door holds open at once. Beyond that the one goes that has
-	// been without a whole call longest.
-	Connections = 24
+	// MaxConnections is the maximum number of open connections. Beyond that the connection that has been
+	// without a complete request longest is dropped.
+	MaxConnections = 24
 
-	headMost   = 8 << 10 // of a call
-	bodyMost   = 4 << 10 // none is needed, and none is read
-	callWithin = 2 * time.Second
-	silentFor  = 25 * time.Millisecond // a connection keeps its place at least, in a crowd
-	// A call's effect is waited for this long: an answer is owed in a second.
-	effectWithin = 800 * time.Millisecond
-	// After its answer a caller's connection is read this long, so that bytes still on their
-	// way don't reset it before the answer is read.
-	lingerFor = 100 * time.Millisecond
+	maxHeadBytes   = 8 << 10
+	maxBodyBytes   = 4 << 10 // bodies are ignored
+	ioTimeout      = 2 * time.Second
+	minPendingTime = 25 * time.Millisecond // a connection is not dropped before
+	// The operation's time limit: an answer is due within a second.
+	operationTimeout = 800 * time.Millisecond
+	// After the answer the connection is read for this long, so that bytes still in flight do not cause a
+	// reset before the client has read the answer.
+	lingerTimeout = 100 * time.Millisecond
 )
 
-// Node is what the calls act on. An error is the reason for a no; wrap ErrUnknown or
-// ErrRefused for one that lies with the caller.
+// Node carries out the operations. An error becomes the text of the answer; ErrUnknown and ErrRefused are to be
+// wrapped by errors that are due to the request.
 type Node interface {
 	Health() error
 	Cordon(ctx context.Context, id string, out bool) error
@@ -44,60 +44,60 @@
 	Resume(ctx context.Context) error
 }
 
-// Reasons for a no that lie with the call.
+// Errors that are due to the request, with their HTTP status.
 var (
 	ErrUnknown = errors.New("not found") // 404
 	ErrRefused = errors.New("refused")   // 409
 )
 
-// Door answers operators.
-type Door struct {
+// Server serves the operator API.
+type Server struct {
 	listener net.Listener
 	node     Node
 	log      *slog.Logger
 
-	mu     sync.Mutex
-	open   int
-	silent list.List // of *silent, the oldest first
-	ending bool
-	calls  sync.WaitGroup
+	mu       sync.Mutex
+	open     int
+	pending  list.List // of *pendingConn, oldest first
+	ending   bool
+	requests sync.WaitGroup
 }
 
-// silent is a connection with no whole call yet.
-type silent struct {
+// pendingConn is a connection without a complete request so far.
+type pendingConn struct {
 	net.Conn
 	since   time.Time
-	place   *list.Element
-	dropped bool // it had to make room
+	element *list.Element
+	dropped bool // closed in favour of another connection
 }
 
-// New makes a door on a listener; Run answers on it.
-func New(l net.Listener, node Node, log *slog.Logger) *Door {
-	return &Door{listener: l, node: node, log: log}
+// New returns a server for a listener; Run serves it.
+func New(l net.Listener, node Node, log *slog.Logger) *Server {
+	return &Server{listener: l, node: node, log: log}
 }
 
-// Run answers until ctx ends; calls that came whole are answered still.
-func (d *Door) Run(ctx context.Context) error {
+// Run serves until ctx ends; requests that are complete by then are still answered.
+func (d *Server) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() {
 		d.listener.Close()
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.ending = true
-		for d.silent.Len() > 0 {
-			d.drop()
+		for d.pending.Len() > 0 {
+			d.dropOldest()
 		}
 	})()
-	defer d.calls.Wait()
+	defer d.requests.Wait()
 	for {
 		c, err := d.listener.Accept()
 		switch {
 		case err == nil:
-			d.patience()
-			d.take(ctx, c)
+			d.awaitSlot()
+			d.admit(ctx, c)
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return nil
-		default: // out of descriptors, say: that passes
-			d.log.Warn("the operators' door", "err", err)
+		default: // a temporary error, such as no free file descriptors
+			d.log.Warn("operators' door: accept failed", "err", err)
 			select {
 			case <-time.After(20 * time.Millisecond):
 			case <-ctx.Done():
@@ -106,34 +106,34 @@
 	}
 }
 
-// patience waits until the connection that has to make room has had its time: in a crowd of
-// callers that say nothing, one that has a call must not go before it was read.
-func (d *Door) patience() {
+// awaitSlot waits until the connection that is to be dropped next has been open for minPendingTime: among many
+// idle connections, one that sends a request must not be dropped before the request was read.
+func (d *Server) awaitSlot() {
 	d.mu.Lock()
 	wait := time.Duration(0)
-	if oldest := d.silent.Front(); oldest != nil && d.open >= Connections {
-		wait = time.Until(oldest.Value.(*silent).since.Add(silentFor))
+	if oldest := d.pending.Front(); oldest != nil && d.open >= MaxConnections {
+		wait = time.Until(oldest.Value.(*pendingConn).since.Add(minPendingTime))
 	}
 	d.mu.Unlock()
-	time.Sleep(wait) // the listener's backlog holds who comes meanwhile
+	time.Sleep(wait) // new connections wait in the listener's backlog
 }
 
-// take gives a connection a goroutine, and makes room for it.
-func (d *Door) take(ctx context.Context, c net.Conn) {
+// admit makes room for a connection and starts its goroutine.
+func (d *Server) admit(ctx context.Context, c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ending {
 		c.Close()
 		return
 	}
-	if d.open >= Connections && !d.drop() {
-		c.Close() // so many whole calls at once are no operator's
+	if d.open >= MaxConnections && !d.dropOldest() {
+		c.Close() // no operator sends this many requests at once
 		return
 	}
 	d.open++
-	s := &silent{Conn: c, since: time.Now()}
-	s.place = d.silent.PushBack(s)
-	d.calls.Go(func() {
+	s := &pendingConn{Conn: c, since: time.Now()}
+	s.element = d.pending.PushBack(s)
+	d.requests.Go(func() {
 		defer func() {
 			c.Close()
 			d.mu.Lock()
@@ -144,71 +144,71 @@
 	})
 }
 
-// drop ends the oldest connection without a whole call; false if there is none. It needs the
-// lock.
-func (d *Door) drop() bool {
-	oldest := d.silent.Front()
+// dropOldest closes the oldest connection without a complete request; it returns false if there is none. The
+// caller holds mu.
+func (d *Server) dropOldest() bool {
+	oldest := d.pending.Front()
 	if oldest == nil {
 		return false
 	}
-	s := d.silent.Remove(oldest).(*silent)
+	s := d.pending.Remove(oldest).(*pendingConn)
 	s.dropped = true
 	s.Close()
 	return true
 }
 
-// whole notes that a call has come; false if its connection was given up before.
-func (d *Door) whole(s *silent) bool {
+// markComplete records that a connection's request is complete; it returns false if the connection was dropped before.
+func (d *Server) markComplete(s *pendingConn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !s.dropped {
-		d.silent.Remove(s.place)
+		d.pending.Remove(s.element)
 	}
 	return !s.dropped
 }
 
-// serve answers one call.
-func (d *Door) serve(ctx context.Context, c *silent) {
-	_ = c.SetDeadline(time.Now().Add(callWithin)) // a connection that can't is broken and shows as such
-	r, err := read(c)
-	if !d.whole(c) {
+// serve answers one request.
+func (d *Server) serve(ctx context.Context, c *pendingConn) {
+	_ = c.SetDeadline(time.Now().Add(ioTimeout)) // fails only on a broken connection, on which the read fails too
+	r, err := readRequest(c)
+	if !d.markComplete(c) {
 		return
 	}
 	a := answer{status: http.StatusBadRequest}
 	if err != nil {
 		a.text = err.Error()
 	} else {
-		effect, cancel := context.WithTimeout(context.WithoutCancel(ctx), effectWithin)
-		a = d.call(effect, r)
+		operation, cancel := context.WithTimeout(context.WithoutCancel(ctx), operationTimeout)
+		a = d.handle(operation, r)
 		cancel()
 		if r.Method != http.MethodGet || a.status >= 300 {
-			d.log.Info("operators' call", "method", r.Method, "path", r.URL.EscapedPath(), "status", a.status, "reason", a.text)
+			d.log.Info("operator request", "method", r.Method, "path", r.URL.EscapedPath(), "status", a.status, "reason", a.text)
 		}
 	}
-	_ = c.SetDeadline(time.Now().Add(callWithin))
+	_ = c.SetDeadline(time.Now().Add(ioTimeout))
 	if _, err := io.WriteString(c, a.encode()); err != nil {
 		return
 	}
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		_ = c.SetReadDeadline(time.Now().Add(lingerFor))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c, bodyMost))
+		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.Copy(io.Discard, io.LimitReader(c, maxBodyBytes))
 	}
 }
 
-// read takes in a call. A body has no meaning; a short one is left unread.
-func read(c net.Conn) (*http.Request, error) {
-	in := bufio.NewReaderSize(io.LimitReader(c, headMost), headMost)
+// readRequest reads a request. Bodies are ignored; a short one is left unread.
+func readRequest(c net.Conn) (*http.Request, error) {
+	in := bufio.NewReaderSize(io.LimitReader(c, maxHeadBytes), maxHeadBytes)
 	r, err := http.ReadRequest(in)
 	if err != nil {
-		return nil, fmt.Errorf("no whole call of HTTP/1.1 in %d bytes: %w", headMost, err)
+		return nil, fmt.Errorf("no complete HTTP/1.1 request in %d bytes: %w", maxHeadBytes, err)
 	}
-	if r.ContentLength > bodyMost || len(r.TransferEncoding) > 0 {
-		return nil, fmt.Errorf("a call has no body")
+	if r.ContentLength > maxBodyBytes || len(r.TransferEncoding) > 0 {
+		return nil, fmt.Errorf("request bodies are not accepted")
 	}
 	return r, nil
 }
 
-// answer is what a caller gets: a line of text for people.
+// answer is a response; its body is one line of text.
 type answer struct {
 	status int
 	allow  string
@@ -229,14 +229,14 @@
 		a.status, http.StatusText(a.status), len(text), allow, text)
 }
 
-// call carries out one call.
-func (d *Door) call(ctx context.Context, r *http.Request) answer {
+// handle carries out one request.
+func (d *Server) handle(ctx context.Context, r *http.Request) answer {
 	method, act, err := d.route(r.URL)
 	switch {
 	case err != nil:
 		return answer{status: http.StatusNotFound, text: err.Error()}
 	case r.Method != method:
-		return answer{status: http.StatusMethodNotAllowed, allow: method, text: r.URL.Path + " takes " + method}
+		return answer{status: http.StatusMethodNotAllowed, allow: method, text: r.URL.Path + " accepts only " + method}
 	}
 	switch err := act(ctx); {
 	case err == nil:
@@ -250,9 +250,9 @@
 	}
 }
 
-// route finds what a path asks for. Paths are taken as written: an id may hold an escaped
+// route returns the method and operation of a path. It uses the escaped path, as a server ID may contain an escaped
 // slash.
-func (d *Door) route(u *url.URL) (method string, act func(context.Context) error, err error) {
+func (d *Server) route(u *url.URL) (method string, act func(context.Context) error, err error) {
 	path := u.EscapedPath()
 	switch path {
 	case "/admin/health":
@@ -273,5 +273,5 @@
 		}
 		return http.MethodPost, func(ctx context.Context) error { return d.node.Cordon(ctx, id, out) }, nil
 	}
-	return "", nil, fmt.Errorf("no such call: %.100s", path)
+	return "", nil, fmt.Errorf("no such endpoint: %.100s", path)
 }
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -19,28 +19,28 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// script is a node that notes what it is asked.
-type script struct {
-	mu    sync.Mutex
-	calls []string
-	fails error
+// recordingNode is a node that records its calls.
+type recordingNode struct {
+	mu       sync.Mutex
+	recorded []string
+	err      error
 }
 
-func (s *script) note(format string, args ...any) error {
+func (s *recordingNode) record(format string, args ...any) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls = append(s.calls, fmt.Sprintf(format, args...))
-	return s.fails
+	s.recorded = append(s.recorded, fmt.Sprintf(format, args...))
+	return s.err
 }
 
-func (s *script) Health() error { return s.note("health") }
-func (s *script) Cordon(_ context.Context, id string, out bool) error {
-	return s.note("%q out=%v", id, out)
+func (s *recordingNode) Health() error { return s.record("health") }
+func (s *recordingNode) Cordon(_ context.Context, id string, out bool) error {
+	return s.record("%q out=%v", id, out)
 }
-func (s *script) Quiesce(context.Context) error { return s.note("quiesce") }
-func (s *script) Resume(context.Context) error  { return s.note("resume") }
+func (s *recordingNode) Quiesce(context.Context) error { return s.record("quiesce") }
+func (s *recordingNode) Resume(context.Context) error  { return s.record("resume") }
 
-// start runs a door until the test's end.
+// start runs a server until the end of the test.
 func start(t *testing.T, n Node) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 	return l.Addr().String()
 }
 
-// send gives the answer to raw bytes; status 0 if none came.
+// send sends raw bytes and returns the answer; status is 0 if there was none.
 func send(t *testing.T, addr, text string) (status int, header http.Header, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -84,13 +84,13 @@
 	return resp.StatusCode, resp.Header, string(all)
 }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	call := func(method, path string) string {
 		return method + " " + path + " HTTP/1.1\r\nHost: door\r\n\r\n"
 	}
 	for _, c := range []struct {
 		text   string
-		fails  error
+		err    error
 		status int
 		asked  string
 		says   string
@@ -105,22 +105,22 @@
 		{call("POST", "/admin/quiesce"), nil, 200, "quiesce", "ok"},
 		{call("POST", "/admin/resume"), nil, 200, "resume", "ok"},
 		{"POST /admin/resume HTTP/1.1\r\nHost: d\r\nContent-Length: 2\r\n\r\n{}", nil, 200, "resume", "ok"},
-		{call("GET", "/admin/quiesce"), nil, 405, "", "takes POST"},
-		{call("POST", "/admin/health"), nil, 405, "", "takes GET"},
-		{call("POST", "/admin/cordon/"), nil, 404, "", "no such call"},
-		{call("POST", "/admin/cordon/a/b"), nil, 404, "", "no such call"},
-		{call("GET", "/admin"), nil, 404, "", "no such call"},
+		{call("GET", "/admin/quiesce"), nil, 405, "", "accepts only POST"},
+		{call("POST", "/admin/health"), nil, 405, "", "accepts only GET"},
+		{call("POST", "/admin/cordon/"), nil, 404, "", "no such endpoint"},
+		{call("POST", "/admin/cordon/a/b"), nil, 404, "", "no such endpoint"},
+		{call("GET", "/admin"), nil, 404, "", "no such endpoint"},
 		{call("POST", "/admin/cordon/%zz"), nil, 400, "", "HTTP/1.1"},
-		{"nonsense\r\n\r\n", nil, 400, "", "no whole call"},
-		{"POST /admin/resume HTTP/1.1\r\nHost: d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", nil, 400, "", "no body"},
-		{"POST /admin/resume HTTP/1.1\r\nHost: d\r\nContent-Length: 99999\r\n\r\n", nil, 400, "", "no body"},
-		{"GET /admin/health HTTP/1.1\r\nX: " + strings.Repeat("x", 2*headMost) + "\r\n\r\n", nil, 400, "", "no whole call"},
+		{"nonsense\r\n\r\n", nil, 400, "", "no complete HTTP/1.1 request"},
+		{"POST /admin/resume HTTP/1.1\r\nHost: d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", nil, 400, "", "request bodies are not accepted"},
+		{"POST /admin/resume HTTP/1.1\r\nHost: d\r\nContent-Length: 99999\r\n\r\n", nil, 400, "", "request bodies are not accepted"},
+		{"GET /admin/health HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeadBytes) + "\r\n\r\n", nil, 400, "", "no complete HTTP/1.1 request"},
 	} {
-		n := &script{fails: c.fails}
+		n := &recordingNode{err: c.err}
 		addr := start(t, n)
 		status, header, body := send(t, addr, c.text)
-		if asked := strings.Join(n.calls, ", "); status != c.status || asked != c.asked || !strings.Contains(body, c.says) {
-			t.Errorf("%.60q: %d %q, asked %q; want %d %q, %q", c.text, status, body, asked, c.status, c.says, c.asked)
+		if asked := strings.Join(n.recorded, ", "); status != c.status || asked != c.asked || !strings.Contains(body, c.says) {
+			t.Errorf("%.60q: %d %q, node called with %q; want %d %q, %q", c.text, status, body, asked, c.status, c.says, c.asked)
 		}
 		if status == 405 && header.Get("Allow") == "" {
 			t.Errorf("%.60q: header %v", c.text, header)
@@ -128,10 +128,10 @@
 	}
 }
 
-// Guards the calls' time: 200 callers that hold a connection without a whole call keep
-// nobody out, and hold no more than the door's own descriptors.
-func TestSilentCallersMakeRoom(t *testing.T) {
-	n := &script{}
+// 200 connections without a complete request do not keep operators out or delay their requests, and occupy no more
+// than the server's own descriptors.
+func TestIncompleteRequestsAreDropped(t *testing.T) {
+	n := &recordingNode{}
 	addr := start(t, n)
 	for i := range 200 {
 		c, err := net.Dial("tcp", addr)
@@ -146,15 +146,15 @@
 	for i := range 20 {
 		began := time.Now()
 		if status, _, _ := send(t, addr, "GET /admin/health HTTP/1.1\r\nHost: d\r\n\r\n"); status != 200 {
-			t.Errorf("call %d: %d", i, status)
+			t.Errorf("request %d: status %d", i, status)
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("call %d took %v", i, took)
+			t.Errorf("request %d took %v", i, took)
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.calls) != 20 {
-		t.Errorf("%d calls had effect, want the 20 whole ones", len(n.calls))
+	if len(n.recorded) != 20 {
+		t.Errorf("%d requests took effect, want the 20 complete ones", len(n.recorded))
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -32,8 +32,8 @@
 	return l.(*net.TCPListener)
 }
 
-// held gives a copy of a socket's descriptor, as the platform hands it on.
-func held(t *testing.T, l *net.TCPListener) string {
+// duplicateFD returns a duplicate of a socket's descriptor, as the platform passes it on.
+func duplicateFD(t *testing.T, l *net.TCPListener) string {
 	t.Helper()
 	f, err := l.File()
 	if err != nil {
@@ -47,7 +47,7 @@
 	return fmt.Sprint(fd)
 }
 
-func TestBadDescriptors(t *testing.T) {
+func TestInvalidDescriptors(t *testing.T) {
 	l := listener(t)
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -66,35 +66,35 @@
 	}
 	defer f.Close()
 	for text, want := range map[string]string{
-		"three": "no descriptor's number", "": "no descriptor's number", "-1": "no descriptor's number", "1": "from 3 on",
-		"70000": "no open socket", fmt.Sprint(r.Fd()): "no open socket", fmt.Sprint(f.Fd()): "does not listen",
-		held(t, l): "it listens at " + l.Addr().String(),
+		"three": "not a descriptor number", "": "not a descriptor number", "-1": "not a descriptor number", "1": "of 3 or more",
+		"70000": "not an open socket", fmt.Sprint(r.Fd()): "not an open socket", fmt.Sprint(f.Fd()): "does not listen",
+		duplicateFD(t, l): "it listens at " + l.Addr().String(),
 	} {
 		at := "127.0.0.1:1"
-		if g, err := Inherit(text, at); err == nil || g != nil || !strings.HasPrefix(err.Error(), "$"+Variable) || !strings.Contains(err.Error(), want) {
+		if g, err := Inherit(text, at); err == nil || g != nil || !strings.HasPrefix(err.Error(), "$"+ListenFDVariable) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
 }
 
-// One process's shutting or closing its gate leaves the socket to the other: nobody who
-// connects is turned back.
-func TestGatesOfOneSocket(t *testing.T) {
+// When one process pauses or closes its listener, the other one goes on accepting from the shared socket: no
+// connection is refused.
+func TestPausableListenersShareSocket(t *testing.T) {
 	l := listener(t)
 	at := l.Addr().String()
-	var gates [2]*Gate
-	for i := range gates {
-		g, err := Inherit(held(t, l), at)
+	var listeners [2]*PausableListener
+	for i := range listeners {
+		g, err := Inherit(duplicateFD(t, l), at)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer g.Close()
-		gates[i] = g
+		listeners[i] = g
 	}
 	l.Close()
-	took := make(chan int)
+	accepted := make(chan int)
 	var ended [2]chan error
-	for i, g := range gates {
+	for i, g := range listeners {
 		ended[i] = make(chan error, 1)
 		go func() {
 			for {
@@ -104,7 +104,7 @@
 					return
 				}
 				c.Close()
-				took <- i
+				accepted <- i
 			}
 		}()
 	}
@@ -116,139 +116,139 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			if i := <-took; i == want {
+			if i := <-accepted; i == want {
 				return
-			} else if try > 0 { // one may have been on its way through as the gate shut
-				t.Errorf("gate %d accepted, want %d", i, want)
+			} else if try > 0 { // one may have been in Accept when the listener was paused
+				t.Errorf("listener %d accepted, want %d", i, want)
 				return
 			}
 		}
 	}
 	for range 20 {
-		gates[0].Set(false)
-		gates[0].Set(false)
+		listeners[0].SetOpen(false)
+		listeners[0].SetOpen(false)
 		connect(1)
-		for !gates[0].Parked() && !t.Failed() {
-			connect(1) // whoever was on his way through has come out by now
+		for !listeners[0].Paused() && !t.Failed() {
+			connect(1) // an Accept that was in progress has returned by now
 		}
 		connect(1)
-		gates[1].Set(false)
-		waiting, err := net.Dial("tcp", at) // nobody accepts: it waits
+		listeners[1].SetOpen(false)
+		waiting, err := net.Dial("tcp", at) // both are paused: it waits in the accept queue
 		if err != nil {
 			t.Fatal(err)
 		}
-		gates[0].Set(true)
-		<-took
+		listeners[0].SetOpen(true)
+		<-accepted
 		waiting.Close()
-		gates[1].Set(true)
+		listeners[1].SetOpen(true)
 	}
-	gates[0].Close()
+	listeners[0].Close()
 	if err := <-ended[0]; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 	connect(1)
-	gates[1].Set(false)
-	gates[1].Close()
+	listeners[1].SetOpen(false)
+	listeners[1].Close()
 	if err := <-ended[1]; !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 }
 
 func state(name string) State {
-	return State{Name: name, Hand: []cordon.Entry{{ID: "a", Out: true, Stamp: 3}}, Known: []string{"k"}, Drained: life.Drained{Quiesced: true, Changes: 2}}
+	return State{Name: name, ManualCordons: []cordon.Entry{{ID: "a", Out: true, Stamp: 3}}, Delisted: []string{"k"}, Quiesce: life.QuiesceState{Quiesced: true, Changes: 2}}
 }
 
-// pair links two processes; Run of the predecessor's side is the test's to call.
-func pair(t *testing.T) (heir, predecessor *Link, stop func()) {
+// pair links two processes; the test calls Run on both links.
+func pair(t *testing.T) (successor, predecessor *Link, stop func()) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	ctx, cancel := context.WithCancel(t.Context())
-	met, ended := make(chan *Link), make(chan error, 1)
-	left := make(chan struct{})
-	place, err := Take(path)
+	connected, ended := make(chan *Link), make(chan error, 1)
+	release := make(chan struct{})
+	listener, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		ended <- place.Serve(ctx, func() State { return state("n1") }, func(_ context.Context, l *Link) { met <- l; <-left }, func(err error) { t.Error(err) })
+		ended <- listener.Serve(ctx, func() State { return state("n1") }, func(_ context.Context, l *Link) { connected <- l; <-release }, func(err error) { t.Error(err) })
 	}()
-	if heir, err = Dial(path, state("n1")); err != nil || heir == nil {
-		t.Fatal(heir, err)
+	if successor, err = Dial(path, state("n1")); err != nil || successor == nil {
+		t.Fatal(successor, err)
 	}
-	return heir, <-met, func() {
+	return successor, <-connected, func() {
 		cancel()
-		close(left)
+		close(release)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-func TestProcessesTellEachOther(t *testing.T) {
-	heir, old, stop := pair(t)
+func TestLinkMessages(t *testing.T) {
+	successor, predecessor, stop := pair(t)
 	defer stop()
-	if len(heir.Peer().Hand) != 1 || old.Peer().Drained.Changes != 2 || heir.Peer().Known[0] != "k" {
-		t.Errorf("%+v, %+v", heir.Peer(), old.Peer())
+	if len(successor.Peer().ManualCordons) != 1 || predecessor.Peer().Quiesce.Changes != 2 || successor.Peer().Delisted[0] != "k" {
+		t.Errorf("%+v, %+v", successor.Peer(), predecessor.Peer())
 	}
-	heard := make(chan Message, 8)
+	received := make(chan Message, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	var ends [2]chan error
-	for i, l := range []*Link{heir, old} {
+	for i, l := range []*Link{successor, predecessor} {
 		ends[i] = make(chan error, 1)
-		go func() { ends[i] <- l.Run(ctx, func(m Message) error { heard <- m; return nil }) }()
+		go func() { ends[i] <- l.Run(ctx, func(m Message) error { received <- m; return nil }) }()
 	}
-	for _, l := range []*Link{heir, old} {
-		if err := l.Tell(ctx, Message{Entry: &cordon.Entry{ID: "b", Out: true, Stamp: 9}}); err != nil {
+	for _, l := range []*Link{successor, predecessor} {
+		if err := l.SendConfirmed(ctx, Message{Entry: &cordon.Entry{ID: "b", Out: true, Stamp: 9}}); err != nil {
 			t.Fatal(err)
 		}
-		if m := <-heard; m.Entry == nil || m.Entry.ID != "b" { // it had taken effect before Tell returned
+		if m := <-received; m.Entry == nil || m.Entry.ID != "b" { // it took effect before the call returned
 			t.Errorf("%+v", m)
 		}
 	}
-	if err := heir.Say(Message{Holds: &Holds{3, 4}}); err != nil || (<-heard).Holds.Servers != 4 {
+	if err := successor.Send(Message{Conns: &ConnCounts{3, 4}}); err != nil || (<-received).Conns.Servers != 4 {
 		t.Error(err)
 	}
-	// A later version may say more.
-	if _, err := heir.conn.Write([]byte(`{"later":{"x":[1]},"serving":true}` + "\n")); err != nil || !(<-heard).Serving {
+	// A newer version may send unknown fields.
+	if _, err := successor.conn.Write([]byte(`{"later":{"x":[1]},"serving":true}` + "\n")); err != nil || !(<-received).Serving {
 		t.Error(err)
 	}
 	cancel()
 	for _, e := range ends {
 		if err := <-e; err == nil {
-			t.Error("it ended without a reason")
+			t.Error("Run returned no error")
 		}
 	}
-	<-heir.Done()
-	if err := heir.Tell(t.Context(), Message{Serving: true}); !errors.Is(err, ErrGone) {
-		t.Errorf("to one that is gone: %v", err)
+	<-successor.Done()
+	if err := successor.SendConfirmed(t.Context(), Message{Serving: true}); !errors.Is(err, ErrPeerGone) {
+		t.Errorf("message to a process that has ended: %v", err)
 	}
 }
 
-// One that confirms nothing holds nobody up for longer than he waits, and is not sent ever
-// more.
-func TestNoConfirmation(t *testing.T) {
-	heir, old, stop := pair(t)
+// A peer that confirms nothing delays a caller no longer than the caller's context, and the number of unconfirmed
+// messages is bounded.
+func TestUnconfirmedMessages(t *testing.T) {
+	successor, predecessor, stop := pair(t)
 	defer stop()
-	defer heir.conn.Close()
-	defer old.conn.Close()
+	defer successor.conn.Close()
+	defer predecessor.conn.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if err := heir.Tell(ctx, Message{Serving: true}); !errors.Is(err, context.DeadlineExceeded) {
+	if err := successor.SendConfirmed(ctx, Message{Serving: true}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	for range waitingMost {
-		heir.waiting[uint64(1000+len(heir.waiting))] = nil
+	for range maxUnconfirmed {
+		successor.unconfirmed[uint64(1000+len(successor.unconfirmed))] = nil
 	}
-	if err := heir.Tell(t.Context(), Message{Serving: true}); err == nil || !strings.Contains(err.Error(), "confirms nothing") {
+	if err := successor.SendConfirmed(t.Context(), Message{Serving: true}); err == nil || !strings.Contains(err.Error(), "too many messages await confirmation") {
 		t.Errorf("beyond the bound: %v", err)
 	}
 }
 
-// What lies in $TMPDIR from before, or speaks otherwise, is said and left out.
-func TestLeftoversAndStrangers(t *testing.T) {
+// Stale files in $TMPDIR are ignored or replaced, and peers with an invalid handshake are rejected with an error.
+func TestStaleFilesAndInvalidPeers(t *testing.T) {
 	dir := t.TempDir()
 	if l, err := Dial(filepath.Join(dir, "none"), state("n1")); l != nil || err != nil {
-		t.Errorf("nothing there: %v, %v", l, err)
+		t.Errorf("no file: %v, %v", l, err)
 	}
 	dead := filepath.Join(dir, "dead")
 	l, err := unixsock.Listen(dead)
@@ -259,7 +259,7 @@
 	if l, err := Dial(dead, state("n1")); l != nil || err != nil {
 		t.Errorf("a socket nobody listens on: %v, %v", l, err)
 	}
-	if l, err = unixsock.Listen(dead); err != nil { // and it is taken over
+	if l, err = unixsock.Listen(dead); err != nil { // the stale socket is replaced
 		t.Fatal(err)
 	}
 	defer l.Close()
@@ -268,7 +268,7 @@
 	}
 	for text, want := range map[string]string{
 		`{"v":2,"state":{"name":"n1"}}`: "version 2", `{"v":1}`: "no state", `{"v":1,"state":{"name":"n2"}}`: `node "n2"`,
-		`{"v":1,"sta`: "a message of", "": "handover: ", strings.Repeat("x", messageMost+1): "too long",
+		`{"v":1,"sta`: "invalid message of", "": "handover: ", strings.Repeat("x", maxMessageSize+1): "too long",
 	} {
 		go func() {
 			c, err := l.Accept()
@@ -281,7 +281,7 @@
 			if text != "" {
 				io.WriteString(c, text+"\n")
 			}
-			if text == "" || len(text) > messageMost {
+			if text == "" || len(text) > maxMessageSize {
 				return
 			}
 			io.Copy(io.Discard, c)
@@ -295,7 +295,7 @@
 		t.Fatal(err)
 	}
 	if l, err := Dial(file, state("n1")); l != nil || err != nil {
-		t.Errorf("a file: %v, %v", l, err)
+		t.Errorf("a regular file: %v, %v", l, err)
 	}
 }
 
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	openWithin  = time.Second            // an heir's first message
-	heardWithin = 4 * time.Second        // a predecessor's: its own may not have ended yet
-	writeWithin = 500 * time.Millisecond // one that takes longer to read is as good as dead
-	dialWithin  = 300 * time.Millisecond
-	waitingMost = 64 // messages whose Ack is awaited
+	successorHelloTimeout   = time.Second            // for a successor's first message
+	predecessorHelloTimeout = 4 * time.Second        // for a predecessor's first message: its own predecessor may not have ended yet
+	writeTimeout            = 500 * time.Millisecond // a peer that does not read for longer is treated as dead
+	dialTimeout             = 300 * time.Millisecond
+	maxUnconfirmed          = 64 // messages that await their Ack
 )
 
-// Link is the connection to the other process. Make it with Dial, or have Serve make it.
+// Link is the connection to the other process. It is made by Dial or by Serve.
 type Link struct {
-	conn net.Conn
-	in   *bufio.Scanner
-	peer State // as it said first
-
-	mu      sync.Mutex // over writes too
-	seq     uint64
-	waiting map[uint64]chan struct{}
-	done    chan struct{}
+	conn    net.Conn
+	scanner *bufio.Scanner
+	peer    State // from its first message
+
+	mu          sync.Mutex // also serializes writes
+	seq         uint64
+	unconfirmed map[uint64]chan struct{}
+	done        chan struct{}
 }
 
-// Peer gives what the other process knew at first.
+// Peer returns the state that the other process sent in its first message.
 func (l *Link) Peer() State { return l.peer }
 
-// Done is closed once the other process is gone.
+// Done is closed once the connection to the other process has ended.
 func (l *Link) Done() <-chan struct{} { return l.done }
 
-// open exchanges the first messages.
-func open(conn net.Conn, own State, within time.Duration) (_ *Link, err error) {
-	l := &Link{conn: conn, in: bufio.NewScanner(conn), waiting: map[uint64]chan struct{}{}, done: make(chan struct{})}
-	l.in.Buffer(nil, messageMost)
+// handshake exchanges the first messages.
+func handshake(conn net.Conn, own State, within time.Duration) (_ *Link, err error) {
+	l := &Link{conn: conn, scanner: bufio.NewScanner(conn), unconfirmed: map[uint64]chan struct{}{}, done: make(chan struct{})}
+	l.scanner.Buffer(nil, maxMessageSize)
 	defer func() {
 		if err != nil {
 			conn.Close()
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := m.opening(own.Name); err != nil {
+	if err := m.checkHello(own.Name); err != nil {
 		return nil, err
 	}
 	_ = conn.SetDeadline(time.Time{})
@@ -70,17 +70,17 @@
 }
 
 func (l *Link) read() (Message, error) {
-	if !l.in.Scan() {
-		if err := l.in.Err(); err != nil {
+	if !l.scanner.Scan() {
+		if err := l.scanner.Err(); err != nil {
 			return Message{}, fmt.Errorf("handover: %w", err)
 		}
 		return Message{}, errors.New("handover: the other process has ended")
 	}
-	return decode(l.in.Bytes())
+	return decode(l.scanner.Bytes())
 }
 
-// Run hands on what the other process says until it ends or ctx does. handle is called for
-// one message at a time; what needs an Ack gets it when handle returns nil.
+// Run passes the other process's messages to handle, one at a time, until the connection or ctx ends. A message
+// with a Seq is acknowledged when handle returns nil.
 func (l *Link) Run(ctx context.Context, handle func(Message) error) error {
 	defer close(l.done)
 	defer l.conn.Close()
@@ -92,9 +92,9 @@
 		}
 		if m.Ack > 0 {
 			l.mu.Lock()
-			if w := l.waiting[m.Ack]; w != nil {
+			if w := l.unconfirmed[m.Ack]; w != nil {
 				close(w)
-				delete(l.waiting, m.Ack)
+				delete(l.unconfirmed, m.Ack)
 			}
 			l.mu.Unlock()
 			continue
@@ -103,27 +103,27 @@
 			return err
 		}
 		if m.Seq > 0 {
-			if err := l.Say(Message{Ack: m.Seq}); err != nil {
+			if err := l.Send(Message{Ack: m.Seq}); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// Say sends a message and does not wait for its effect.
-func (l *Link) Say(m Message) error {
+// Send sends a message without waiting for its effect.
+func (l *Link) Send(m Message) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.write(m)
 }
 
-// write needs the lock.
+// write sends a message. The caller holds mu.
 func (l *Link) write(m Message) error {
 	text, err := m.encode()
 	if err != nil {
 		return err
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := l.conn.Write(text); err != nil {
 		l.conn.Close()
 		return fmt.Errorf("handover: %w", err)
@@ -131,71 +131,72 @@
 	return nil
 }
 
-// ErrGone tells that the other process ended before it had confirmed.
-var ErrGone = errors.New("handover: the other process is gone")
+// ErrPeerGone means that the other process ended before it confirmed a message.
+var ErrPeerGone = errors.New("handover: the other process has ended before it confirmed")
 
-// Tell sends a message and waits until it has taken effect there.
-func (l *Link) Tell(ctx context.Context, m Message) error {
+// SendConfirmed sends a message and waits until it has taken effect in the other process.
+func (l *Link) SendConfirmed(ctx context.Context, m Message) error {
 	confirmed := make(chan struct{})
 	l.mu.Lock()
-	if len(l.waiting) >= waitingMost {
+	if len(l.unconfirmed) >= maxUnconfirmed {
 		l.mu.Unlock()
-		return errors.New("handover: the other process confirms nothing")
+		return errors.New("handover: too many messages await confirmation by the other process")
 	}
 	l.seq++
 	m.Seq = l.seq
-	l.waiting[m.Seq] = confirmed
+	l.unconfirmed[m.Seq] = confirmed
 	err := l.write(m)
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		delete(l.waiting, m.Seq)
+		delete(l.unconfirmed, m.Seq)
 	}()
 	if err != nil {
-		return ErrGone
+		return ErrPeerGone
 	}
 	select {
 	case <-confirmed:
 		return nil
 	case <-l.done:
-		return ErrGone
+		return ErrPeerGone
 	case <-ctx.Done():
 		return fmt.Errorf("handover: not confirmed by the other process: %w", ctx.Err())
 	}
 }
 
-// Dial looks for a process that serves this node already. Without one it gives nil and no
-// error: nothing is at path, or a socket that nobody listens on.
+// Dial connects to the process that already serves this node. If there is none (no file at path, or a socket that
+// nobody listens on) it returns nil and no error.
 func Dial(path string, own State) (*Link, error) {
-	conn, err := net.DialTimeout("unix", path, dialWithin)
+	conn, err := net.DialTimeout("unix", path, dialTimeout)
 	switch {
 	case err != nil && (errors.Is(err, fs.ErrNotExist) || refused(err)):
 		return nil, nil
 	case err != nil:
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return open(conn, own, heardWithin)
+	return handshake(conn, own, predecessorHelloTimeout)
 }
 
-// Place is where a process waits for an heir. Make it with Take; Serve or Close ends it.
-type Place struct{ listener *net.UnixListener }
+// Listener accepts connections of successors. It is made by Listen and ended by Serve or Close.
+type Listener struct{ listener *net.UnixListener }
 
-// Take takes path over from whoever had it. An heir that connects from then on waits for Serve.
-func Take(path string) (*Place, error) {
+// Listen takes path over from its previous owner. A successor that connects from then on waits for Serve.
+func Listen(path string) (*Listener, error) {
 	l, err := unixsock.Listen(path)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return &Place{l}, nil
+	return &Listener{l}, nil
 }
 
-// Close ends the wait.
-func (p *Place) Close() error { return p.listener.Close() }
+// Close closes the listener.
+func (p *Listener) Close() error { return p.listener.Close() }
 
-// Serve waits for an heir, one at a time, until ctx ends. state gives what the heir is told
-// first; met is called with each heir and returns once it is gone.
-func (p *Place) Serve(ctx context.Context, state func() State, met func(context.Context, *Link), failed func(error)) error {
+// Serve accepts successors, one at a time, until ctx ends. state returns the state sent in the first message;
+// connected is called with each successor's link and returns once the successor is gone; failed is called for each
+// failed handshake.
+func (p *Listener) Serve(ctx context.Context, state func() State, connected func(context.Context, *Link), failed func(error)) error {
 	l := p.listener
 	defer l.Close()
 	defer context.AfterFunc(ctx, func() { l.Close() })()
@@ -207,12 +208,12 @@
 			}
 			return fmt.Errorf("handover: %w", err)
 		}
-		link, err := open(conn, state(), openWithin)
+		link, err := handshake(conn, state(), successorHelloTimeout)
 		if err != nil {
 			failed(err)
 			continue
 		}
-		met(ctx, link)
+		connected(ctx, link)
 	}
 }
 
--- a/internal/handover/role.go
+++ b/internal/handover/role.go
@@ -1,70 +1,70 @@
-// Package handover lets two processes be one node while a new version takes over from an old
-// one. The platform holds the clients' listening socket, which both inherit; on a Unix socket
-// they tell each other what operators say and how far they are.
+// Package handover lets two processes act as one node while a new version takes over from an old one. The
+// platform holds the clients' listening socket, which both processes inherit; over a Unix socket they exchange
+// the operators' calls and the progress of the handover.
 //
-// Role is the state machine, without I/O; Inherit is the listening socket; Link is what the
-// processes say.
+// Role is the state machine, without I/O; Inherit takes over the listening socket; Link is the connection between
+// the processes.
 package handover
 
-// Role is what a process is to the other one. The zero value is a process that is alone.
+// Role is the part that a process plays in a handover. The zero value is a process that is alone.
 type Role uint8
 
-// The roles. An heir is the new process, which has a predecessor.
+// The roles. The successor is the new process, the predecessor the old one.
 const (
-	Alone    Role = iota
-	Attended      // an heir has come, and serves nobody yet
-	Giving        // the heir serves: nothing more is accepted here
-	Heir          // the predecessor serves: nothing is accepted here yet
-	Taking        // this process serves, and the predecessor ends what it has
+	Alone             Role = iota
+	AwaitingSuccessor      // a successor is connected, and does not serve yet
+	HandingOver            // the successor serves: this process accepts no more connections
+	Successor              // the predecessor serves: this process does not accept connections yet
+	TookOver               // this process serves, and the predecessor finishes its requests
 )
 
-// String words a role as operators see it.
+// String returns the role's name as it appears in the log.
 func (r Role) String() string {
 	return [...]string{"alone", "attended", "giving", "heir", "taking"}[r]
 }
 
-// Event is what happens to a role.
+// Event is an event that may change the role.
 type Event uint8
 
 // The events.
 const (
-	HeirCame   Event = iota // the other process connected
-	HeirServes              // it has told that it serves
-	FoundOther              // this process has connected to one that serves
-	Serves                  // this process serves, and the other one knows
-	OtherGone               // the other process has ended or was killed
+	EventSuccessorConnected Event = iota // a successor has connected
+	EventSuccessorServing                // the successor reports that it serves
+	EventPredecessorFound                // this process has connected to a predecessor
+	EventServing                         // this process serves, and the predecessor has been told
+	EventPeerGone                        // the other process has ended or was killed
 )
 
-// After gives the role after an event. One that can't be changes nothing.
-func (r Role) After(e Event) Role {
+// Next returns the role after an event. An event that is not possible in a role changes nothing.
+func (r Role) Next(e Event) Role {
 	switch {
-	case e == OtherGone:
-		return Alone // whoever is left serves, whatever had been agreed
-	case r == Alone && e == HeirCame:
-		return Attended
-	case r == Alone && e == FoundOther:
-		return Heir
-	case r == Attended && e == HeirServes:
-		return Giving
-	case r == Heir && e == Serves:
-		return Taking
+	case e == EventPeerGone:
+		return Alone // the remaining process serves, however far the handover had got
+	case r == Alone && e == EventSuccessorConnected:
+		return AwaitingSuccessor
+	case r == Alone && e == EventPredecessorFound:
+		return Successor
+	case r == AwaitingSuccessor && e == EventSuccessorServing:
+		return HandingOver
+	case r == Successor && e == EventServing:
+		return TookOver
 	}
 	return r
 }
 
-// Accepts tells whether clients are accepted. While roles agree exactly one process does.
-func (r Role) Accepts() bool { return r == Alone || r == Attended || r == Taking }
+// Accepts reports whether the process accepts clients. While the roles of both processes agree, exactly one does.
+func (r Role) Accepts() bool { return r == Alone || r == AwaitingSuccessor || r == TookOver }
 
-// Memory is the process's part of the node's memory.
-func (r Role) Memory() float64 { return r.part(0.75) }
+// MemoryShare is the process's share of the node's memory limit.
+func (r Role) MemoryShare() float64 { return r.share(0.75) }
 
-// Room is the process's part of a cold server's room and of quotas. One that accepts no more
+// LoadShare is the process's share of a cold server's capacity and of quotas. The process that no longer accepts
 // has few requests left to send.
-func (r Role) Room() float64 { return r.part(0.9) }
+func (r Role) LoadShare() float64 { return r.share(0.9) }
 
-// part gives a process that accepts so much while there is another one, and the other one the
-// rest.
-func (r Role) part(accepting float64) float64 {
+// share returns 1 for a process that is alone; of two processes, the one that accepts gets the given share and the
+// other one the rest.
+func (r Role) share(accepting float64) float64 {
 	switch {
 	case r == Alone:
 		return 1
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -1,7 +1,7 @@
-// Package kept keeps what a node has to know when it comes back with nobody to ask: the servers, what
-// operators said of them by hand, and what its module has learnt. It is one node's, in two
-// generations, so that a file that is spoilt leaves one of before; a second process of the node
-// during an upgrade reads it and writes only once the first is gone.
+// Package kept stores a node's state on disk, for a restart without discovery: the servers, the operators'
+// manual cordons and what the decision module has learnt. There are two generations, so that a corrupt file
+// leaves the previous one. During an upgrade a second process of the node reads the files, and writes them
+// only once the first process has ended.
 package kept
 
 import (
@@ -21,13 +21,13 @@
 )
 
 const (
-	// Form is the form of what is written. A file of another one is put aside.
-	Form = 1
-	// ServersMost bounds the servers of a file.
-	ServersMost = 100_000
+	// Form is the version of the file format. A file of another version is moved aside.
+	FormatVersion = 1
+	// MaxServers is the maximum number of servers in a file.
+	MaxServers = 100_000
 )
 
-// Server is a line of discovery's list, in its own words.
+// Server is an entry of discovery's list, with discovery's values.
 type Server struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -39,100 +39,99 @@
 	BootMs   int64   `json:"boot_ms,omitempty"`
 }
 
-// View is what a node knew at a time.
+// View is a snapshot of a node's state.
 type View struct {
-	Form      int              `json:"form"`
-	Sequence  uint64           `json:"sequence"` // of its saves; the higher one is the later
-	Node      string           `json:"node"`     // whose it is, for those who read the files without owning them
-	Saved     confidence.Stamp `json:"saved"`
-	Confirmed confidence.Stamp `json:"confirmed"` // when discovery was heard last
-	By        string           `json:"by"`        // whose word the servers are
-	Rev       int64            `json:"rev"`       // discovery's
-	Servers   []Server         `json:"servers"`
-	Hand      []cordon.Entry   `json:"hand,omitempty"`
-	Held      bool             `json:"held,omitempty"` // an operator has it stay as it is, but for calls by hand
-	Memory    *policy.Memory   `json:"memory,omitempty"`
-	Fleet     *cordon.Word     `json:"fleet,omitempty"` // the fleet's latest
+	FormatVersion int                  `json:"form"`
+	Sequence      uint64               `json:"sequence"` // number of the save; the higher one is the later
+	Node          string               `json:"node"`     // the owner, checked also by processes that do not hold the lock
+	Saved         confidence.Timestamp `json:"saved"`
+	Confirmed     confidence.Timestamp `json:"confirmed"` // when discovery last answered
+	By            string               `json:"by"`        // source of the servers
+	Rev           int64                `json:"rev"`       // discovery's revision
+	Servers       []Server             `json:"servers"`
+	Hand          []cordon.Entry       `json:"hand,omitempty"` // manual cordons
+	Held          bool                 `json:"held,omitempty"` // frozen by an operator: only manual cordons are updated
+	Memory        *policy.Memory       `json:"memory,omitempty"`
+	Fleet         *cordon.Word         `json:"fleet,omitempty"` // latest fleet bans
 }
 
-// check finds what makes a view unfit for use.
+// check validates a snapshot that was read for node.
 func (v *View) check(node string) error {
 	switch {
 	case v.Node != "" && v.Node != node:
 		return fmt.Errorf("it is the record of %q, not of %q", v.Node, node)
-	case v.Form != Form:
-		return fmt.Errorf("form %d, this program reads form %d", v.Form, Form)
-	case len(v.Servers) > ServersMost:
-		return fmt.Errorf("%d servers, at most %d are kept", len(v.Servers), ServersMost)
+	case v.FormatVersion != FormatVersion:
+		return fmt.Errorf("format version %d, this program reads version %d", v.FormatVersion, FormatVersion)
+	case len(v.Servers) > MaxServers:
+		return fmt.Errorf("%d servers, at most %d are stored", len(v.Servers), MaxServers)
 	}
 	seen := make(map[string]bool, len(v.Servers))
 	for _, s := range v.Servers {
 		if s.UID == "" || s.Endpoint == "" || seen[s.UID] {
-			return fmt.Errorf("server %q at %q: nameless, without an address or there twice", s.UID, s.Endpoint)
+			return fmt.Errorf("server %q at %q: empty uid, no address or duplicate", s.UID, s.Endpoint)
 		}
 		seen[s.UID] = true
 	}
 	return nil
 }
 
-// Store is a node's two files, PATH.a and PATH.b. Its methods may be called at once.
+// Store is a node's two files, PATH.a and PATH.b. It is safe for concurrent use.
 type Store struct {
 	fs         record.FS
 	path, node string
 
-	mu   sync.Mutex
-	lock *os.File       // nil: another process of the node writes
-	logs [2]*record.Log // nil: it can't be written
-	next int            // which one the next save replaces
-	seq  uint64
+	mu       sync.Mutex
+	lock     *os.File       // nil while another process of the node holds the lock
+	logs     [2]*record.Log // nil if the file can't be written
+	nextFile int            // index of the file that the next save replaces
+	sequence uint64
 }
 
 var suffixes = [2]string{".a", ".b"}
 
-// Open reads what was kept for a node: the later of two generations that can be read, nil if there
-// is none. said words what is wrong with the files, for the operator; nothing that is wrong keeps a
-// node from starting. A file that can't be read is kept aside.
-func Open(fsys record.FS, path, node string) (s *Store, v *View, said []string) {
+// Open reads the latest readable snapshot of a node, nil if there is none. problems describes what is wrong with
+// the files, for the operator; no problem keeps a node from starting. An unreadable file is moved aside.
+func Open(fsys record.FS, path, node string) (s *Store, v *View, problems []string) {
 	s = &Store{fs: fsys, path: path, node: node}
-	if err := s.own(); err != nil {
-		said = append(said, err.Error())
+	if err := s.acquireLock(); err != nil {
+		problems = append(problems, err.Error())
 	}
 	var best *View
 	for n := range suffixes {
-		got, err := s.read(n)
+		got, err := s.readGeneration(n)
 		if err != nil {
-			said = append(said, err.Error())
+			problems = append(problems, err.Error())
 		}
 		if got != nil && (best == nil || got.Sequence > best.Sequence) {
-			best, s.next, s.seq = got, 1-n, got.Sequence
+			best, s.nextFile, s.sequence = got, 1-n, got.Sequence
 		}
 	}
-	return s, best, said
+	return s, best, problems
 }
 
-// own takes the lock, if no other process of the node has it.
-func (s *Store) own() error {
+// acquireLock takes the lock, unless another process of the node holds it.
+func (s *Store) acquireLock() error {
 	if s.lock != nil {
 		return nil
 	}
 	f, err := os.OpenFile(s.path+".lock", os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return fmt.Errorf("kept: nothing is written: %w", err)
+		return fmt.Errorf("kept: state is not saved: %w", err)
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil // it writes, and this process does once it is gone
+			return nil // the other process writes; this one takes over once it has ended
 		}
-		return fmt.Errorf("kept: nothing is written: %s.lock: %w", s.path, err)
+		return fmt.Errorf("kept: state is not saved: %s.lock: %w", s.path, err)
 	}
 	s.lock = f
 	return nil
 }
 
-// read reads one generation; the owner also makes it ready to be written.
-func (s *Store) read(n int) (v *View, err error) {
-	take := func(text json.RawMessage) error {
+// readGeneration reads one generation; if this process holds the lock it also opens the file for writing.
+func (s *Store) readGeneration(n int) (v *View, err error) {
+	decode := func(text json.RawMessage) error {
 		if len(text) == 0 || string(text) == "null" {
 			return nil
 		}
@@ -151,15 +150,15 @@
 		if _, err := s.fs.ReadFile(path); errors.Is(err, os.ErrNotExist) {
 			return nil, nil
 		}
-		if err := record.Read(s.fs, path, take); err != nil {
+		if err := record.Read(s.fs, path, decode); err != nil {
 			return nil, fmt.Errorf("kept: %w", err)
 		}
 		return v, nil
 	}
-	log, found, err := record.Open(s.fs, path, s.node, take)
-	if err != nil { // the disk may not be written, and read all the same
+	log, found, err := record.Open(s.fs, path, s.node, decode)
+	if err != nil { // the file may be readable though it is not writable
 		v = nil
-		if record.Read(s.fs, path, take) != nil {
+		if record.Read(s.fs, path, decode) != nil {
 			v = nil
 		}
 		return v, fmt.Errorf("kept: %w", err)
@@ -167,78 +166,78 @@
 	s.logs[n] = log
 	switch {
 	case found.Aside != "":
-		return nil, fmt.Errorf("kept: %s can't be used (%s) and is put aside as %s", path, found.Why, found.Aside)
+		return nil, fmt.Errorf("kept: %s can't be used (%s) and was moved to %s", path, found.Why, found.Aside)
 	case found.Torn > 0:
-		return v, fmt.Errorf("kept: %s can't be used as a whole: its last %d bytes were cut", path, found.Torn)
+		return v, fmt.Errorf("kept: %s is incomplete: its last %d bytes were cut off", path, found.Torn)
 	}
 	return v, nil
 }
 
-// ErrNotOwner means that another process of the node writes.
-var ErrNotOwner = errors.New("kept: another process of this node writes")
+// ErrNotOwner means that another process of the node holds the lock.
+var ErrNotOwner = errors.New("kept: another process of this node holds the lock")
 
-// Save writes a view in the place of the older generation. The later one stands until it is whole on
-// the disk.
+// Save writes a snapshot in place of the older generation. The newer generation stays intact until the write is
+// complete on disk.
 func (s *Store) Save(v View) error {
-	if len(v.Servers) > ServersMost {
-		return fmt.Errorf("kept: %d servers, at most %d are kept", len(v.Servers), ServersMost)
+	if len(v.Servers) > MaxServers {
+		return fmt.Errorf("kept: %d servers, at most %d are stored", len(v.Servers), MaxServers)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lock == nil {
-		if err := s.own(); err != nil {
+		if err := s.acquireLock(); err != nil {
 			return err
 		}
 		if s.lock == nil {
 			return ErrNotOwner
 		}
-		// The one before has written since.
+		// The previous lock holder may have written since these files were read.
 		for n := range suffixes {
-			got, err := s.read(n)
+			got, err := s.readGeneration(n)
 			if err != nil && s.logs[n] == nil {
 				return err
 			}
-			if got != nil && got.Sequence >= s.seq {
-				s.next, s.seq = 1-n, got.Sequence
+			if got != nil && got.Sequence >= s.sequence {
+				s.nextFile, s.sequence = 1-n, got.Sequence
 			}
 		}
 	}
-	log := s.logs[s.next]
-	if log == nil { // it could not be read at the start
-		got, err := s.read(s.next)
-		if s.logs[s.next] == nil {
+	log := s.logs[s.nextFile]
+	if log == nil { // opening it failed earlier
+		got, err := s.readGeneration(s.nextFile)
+		if s.logs[s.nextFile] == nil {
 			return err
 		}
-		log = s.logs[s.next]
+		log = s.logs[s.nextFile]
 		if got != nil {
-			s.seq = max(s.seq, got.Sequence)
+			s.sequence = max(s.sequence, got.Sequence)
 		}
 	}
-	v.Form, v.Sequence, v.Node = Form, s.seq+1, s.node
+	v.FormatVersion, v.Sequence, v.Node = FormatVersion, s.sequence+1, s.node
 	if err := log.Rewrite(v); err != nil {
 		return fmt.Errorf("kept: %w", err)
 	}
-	s.next, s.seq = 1-s.next, v.Sequence
+	s.nextFile, s.sequence = 1-s.nextFile, v.Sequence
 	return nil
 }
 
-// Close gives the lock back.
+// Close releases the lock.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lock != nil {
-		_ = s.lock.Close() // the lock goes with it
+		_ = s.lock.Close() // releases the lock
 		s.lock = nil
 	}
 	for n, log := range s.logs {
 		if log != nil {
-			_ = log.Close() // each save was on the disk by its end
+			_ = log.Close() // each save was synced to disk
 			s.logs[n] = nil
 		}
 	}
 }
 
-// BootID gives the id of the machine's start; "" where the system does not tell.
+// BootID returns the machine's boot ID, or "" if it is not available.
 func BootID() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/internal/kept/kept_test.go
+++ b/internal/kept/kept_test.go
@@ -17,7 +17,7 @@
 )
 
 func view(rev int64, servers int) View {
-	v := View{Rev: rev, By: "discovery", Saved: confidence.Stamp{Wall: time.Unix(1000+rev, 0).UTC(), Boot: "b"}, Hand: []cordon.Entry{{ID: "s1", Out: true, Stamp: 3}}}
+	v := View{Rev: rev, By: "discovery", Saved: confidence.Timestamp{Wall: time.Unix(1000+rev, 0).UTC(), Boot: "b"}, Hand: []cordon.Entry{{ID: "s1", Out: true, Stamp: 3}}}
 	for n := range servers {
 		v.Servers = append(v.Servers, Server{UID: fmt.Sprint("s", n), Endpoint: "127.0.0.1:1", State: "in_service", BootMs: int64(n)})
 	}
@@ -31,8 +31,8 @@
 	return s, v, said
 }
 
-// Two generations: whatever a spoilt later one was cut to or had flipped, the one before is there, a
-// word says what was wrong, and the next save is whole again.
+// Two generations: with the later file truncated or corrupted at any byte, the previous one is read, one problem is
+// reported, and the next save is complete again.
 func TestGenerations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "k")
 	s, v, said := open(t, path)
@@ -50,8 +50,8 @@
 		t.Fatal(err)
 	}
 	for at := 0; at < len(whole); at += 1 + at/40 {
-		for how, spoilt := range map[string][]byte{"cut": whole[:at], "flipped": flip(whole, at)} {
-			if err := os.WriteFile(path+".a", spoilt, 0o600); err != nil {
+		for how, damaged := range map[string][]byte{"cut": whole[:at], "flipped": flip(whole, at)} {
+			if err := os.WriteFile(path+".a", damaged, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			s, v, said := Open(record.OS{}, path, "n1")
@@ -63,9 +63,9 @@
 			}
 			s.Close()
 			if _, v, _ = Open(record.OS{}, path, "n1"); v == nil || v.Rev != 9 || v.Sequence != 3 {
-				t.Fatalf("%s at %d: behind it %+v", how, at, v)
+				t.Fatalf("%s at %d: read after the save: %+v", how, at, v)
 			}
-			if err := os.Remove(path + ".lock"); err != nil { // and the lock of the one above with it
+			if err := os.Remove(path + ".lock"); err != nil { // so that the store above no longer holds the lock
 				t.Fatal(err)
 			}
 		}
@@ -78,18 +78,18 @@
 	return out
 }
 
-// A second process of the node reads, and writes only behind the first one's end, with a later sequence.
-func TestOneOwner(t *testing.T) {
+// A second process of the node reads, and writes only after the first one has ended, with a higher sequence number.
+func TestOneWriter(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "k")
 	first, _, _ := open(t, path)
 	if err := first.Save(view(1, 2)); err != nil {
 		t.Fatal(err)
 	}
-	heir, v, said := open(t, path)
+	second, v, said := open(t, path)
 	if v == nil || v.Rev != 1 || len(said) > 0 {
 		t.Fatalf("%+v, %v", v, said)
 	}
-	if err := heir.Save(view(5, 2)); !errors.Is(err, ErrNotOwner) {
+	if err := second.Save(view(5, 2)); !errors.Is(err, ErrNotOwner) {
 		t.Fatal(err)
 	}
 	for rev := range int64(4) {
@@ -98,19 +98,20 @@
 		}
 	}
 	first.Close()
-	if err := heir.Save(view(7, 2)); err != nil {
+	if err := second.Save(view(7, 2)); err != nil {
 		t.Fatal(err)
 	}
-	heir.Close()
+	second.Close()
 	if _, v, said = open(t, path); v == nil || v.Rev != 7 || v.Sequence != 6 || len(said) > 0 {
 		t.Errorf("%+v, %v", v, said)
 	}
 }
 
-// What belongs to another node, is of a newer form, can't be right or is no file is told, and never used.
+// A file of another node, of a newer format, with invalid contents or that is not a regular file is reported and
+// never used.
 func TestUnusable(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(path string) error
+		setUp func(path string) error
 		want  string
 	}{
 		"another node's": {func(path string) error {
@@ -118,14 +119,14 @@
 			defer s.Close()
 			return s.Save(view(1, 1))
 		}, `the record of "n2"`},
-		"a folder":  {func(path string) error { return os.Mkdir(path+".a", 0o700) }, "directory"},
-		"a newer":   {raw(`{"form":2,"sequence":1}`), "form 2"},
-		"twice":     {raw(`{"form":1,"servers":[{"uid":"a","endpoint":"x:1"},{"uid":"a","endpoint":"x:2"}]}`), "there twice"},
-		"no JSON":   {raw(`{"form":"x"}`), "can't be used"},
-		"no folder": {func(path string) error { return os.RemoveAll(filepath.Dir(path)) }, "nothing is written"},
+		"a directory":      {func(path string) error { return os.Mkdir(path+".a", 0o700) }, "directory"},
+		"newer format":     {writeEntry(`{"form":2,"sequence":1}`), "format version 2"},
+		"duplicate server": {writeEntry(`{"form":1,"servers":[{"uid":"a","endpoint":"x:1"},{"uid":"a","endpoint":"x:2"}]}`), "duplicate"},
+		"invalid JSON":     {writeEntry(`{"form":"x"}`), "can't be used"},
+		"no directory":     {func(path string) error { return os.RemoveAll(filepath.Dir(path)) }, "state is not saved"},
 	} {
 		path := filepath.Join(t.TempDir(), "k", "k")
-		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), c.spoil(path)); err != nil {
+		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), c.setUp(path)); err != nil {
 			t.Fatal(err)
 		}
 		s, v, said := open(t, path)
@@ -135,16 +136,16 @@
 		s.Close()
 	}
 	s, _, _ := open(t, filepath.Join(t.TempDir(), "k"))
-	if err := s.Save(view(1, ServersMost+1)); err == nil {
-		t.Error("one server too many is kept")
+	if err := s.Save(view(1, MaxServers+1)); err == nil {
+		t.Error("a snapshot with one server too many was saved")
 	}
-	if err := s.Save(view(1, ServersMost)); err != nil {
+	if err := s.Save(view(1, MaxServers)); err != nil {
 		t.Error(err)
 	}
 }
 
-// raw writes an entry as it stands.
-func raw(text string) func(path string) error {
+// writeEntry returns a function that writes text as the only entry of the first generation.
+func writeEntry(text string) func(path string) error {
 	return func(path string) error {
 		l, _, err := record.Open(record.OS{}, path+".a", "n1", nil)
 		if err != nil {
@@ -185,7 +186,7 @@
 			for b.Loop() {
 				s, v, _ := Open(record.OS{}, path, "n1")
 				if v == nil {
-					b.Fatal("nothing")
+					b.Fatal("no snapshot was read")
 				}
 				s.Close()
 			}
@@ -193,15 +194,15 @@
 	}
 }
 
-// failing is a disk on which the n-th write, sync, truncation, creation or rename fails, and all behind it.
+// failing is a file system on which the n-th write, sync, creation or rename and all later ones fail.
 type failing struct {
 	record.OS
-	err  error
-	left int
+	err       error
+	remaining int
 }
 
-func (f *failing) fails() error {
-	if f.left--; f.left < 0 {
+func (f *failing) step() error {
+	if f.remaining--; f.remaining < 0 {
 		return f.err
 	}
 	return nil
@@ -215,24 +216,24 @@
 }
 
 func (f *failing) Create(name string) (record.File, error) {
-	if err := f.fails(); err != nil {
+	if err := f.step(); err != nil {
 		return nil, err
 	}
 	return f.open(f.OS.Create(name))
 }
 
 func (f *failing) Append(name string) (record.File, error) {
-	if err := f.fails(); err != nil {
+	if err := f.step(); err != nil {
 		return nil, err
 	}
 	return f.open(f.OS.Append(name))
 }
 
 func (f *failing) Rename(from, to string) error {
-	return errors.Join(f.fails(), f.OS.Rename(from, to))
+	return errors.Join(f.step(), f.OS.Rename(from, to))
 }
 
-func (f *failing) SyncDir(name string) error { return errors.Join(f.fails(), f.OS.SyncDir(name)) }
+func (f *failing) SyncDir(name string) error { return errors.Join(f.step(), f.OS.SyncDir(name)) }
 
 type failingFile struct {
 	record.File
@@ -240,19 +241,19 @@
 }
 
 func (f failingFile) Write(b []byte) (int, error) {
-	if err := f.disk.fails(); err != nil {
-		n, _ := f.File.Write(b[:len(b)/2]) // part of it is there
+	if err := f.disk.step(); err != nil {
+		n, _ := f.File.Write(b[:len(b)/2]) // a partial write
 		return n, err
 	}
 	return f.File.Write(b)
 }
 
-func (f failingFile) Sync() error { return errors.Join(f.disk.fails(), f.File.Sync()) }
+func (f failingFile) Sync() error { return errors.Join(f.disk.step(), f.File.Sync()) }
 
-// A disk that fails at any step of a start or a save, full, read-only or at an fsync, leaves the node what it
-// knew: the start goes on and says so, the save tells, and what was whole on the disk before is read at the
-// next start, or what was saved if that was acknowledged.
-func TestDisksThatFail(t *testing.T) {
+// A disk error (full, read-only or I/O) at any step of opening or saving loses no state: opening continues and
+// reports the problem, the save returns an error, and the next start reads the previous snapshot, or the saved one
+// if the save was acknowledged.
+func TestDiskErrors(t *testing.T) {
 	for _, why := range []error{unix.ENOSPC, unix.EROFS, unix.EIO} {
 		for n := 0; ; n++ {
 			path := filepath.Join(t.TempDir(), "k")
@@ -263,24 +264,24 @@
 				}
 			}
 			s.Close()
-			disk := &failing{err: why, left: n}
+			disk := &failing{err: why, remaining: n}
 			s, v, said := Open(disk, path, "n1")
 			if v == nil || v.Rev != 2 {
-				t.Fatalf("%v at step %d: begins with %+v, %v", why, n, v, said)
+				t.Fatalf("%v at step %d: opened with %+v, %v", why, n, v, said)
 			}
-			begun := disk.left >= 0
+			opened := disk.remaining >= 0
 			acknowledged := s.Save(view(3, 3))
-			failed := disk.left < 0
-			if failed && begun && acknowledged == nil || !begun && len(said) == 0 && acknowledged == nil {
-				t.Errorf("%v at step %d: nothing is told: %v, %v", why, n, said, acknowledged)
+			failed := disk.remaining < 0
+			if failed && opened && acknowledged == nil || !opened && len(said) == 0 && acknowledged == nil {
+				t.Errorf("%v at step %d: the error is not reported: %v, %v", why, n, said, acknowledged)
 			}
 			s.Close()
 			s, v, said = open(t, path)
 			if want := int64(2); v == nil || v.Rev < want || acknowledged == nil && v.Rev != 3 || len(v.Servers) != 3 {
-				t.Errorf("%v at step %d, save %v: behind it %+v, %v", why, n, acknowledged, v, said)
+				t.Errorf("%v at step %d, save returned %v: reopened with %+v, %v", why, n, acknowledged, v, said)
 			}
 			if err := s.Save(view(9, 1)); err != nil {
-				t.Errorf("%v at step %d: the disk is well again: %v", why, n, err)
+				t.Errorf("%v at step %d: save after the disk has recovered: %v", why, n, err)
 			}
 			s.Close()
 			if !failed {
@@ -290,9 +291,8 @@
 	}
 }
 
-// A process that may not write, as another one of its name does or the disk forbids it, does not go by
-// another node's file either.
-func TestFilesOfOthersWithoutOwningThem(t *testing.T) {
+// A process that does not hold the lock does not use another node's files either.
+func TestForeignFilesWithoutLock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "k")
 	other, _, _ := open(t, path)
 	s, _, _ := Open(record.OS{}, path+"2", "n2")
@@ -309,7 +309,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, v, said := open(t, path); v != nil || len(said) == 0 { // n1's first process lives
+	if _, v, said := open(t, path); v != nil || len(said) == 0 { // n1's first process still holds the lock
 		t.Errorf("%+v, %v", v, said)
 	}
 }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -1,5 +1,5 @@
-// Package life states where a node is in its life. It is the one place for it: /up, the
-// operators' door, signals and the control socket all read it here.
+// Package life holds a node's lifecycle state. It is the single source of that state for /up, the
+// operator API, signal handling and the control socket.
 package life
 
 import (
@@ -7,88 +7,87 @@
 	"time"
 )
 
-// State is where a node is in its life.
+// State is a node's lifecycle state.
 type State uint8
 
-// The states. A node that was told to end stays so.
+// The states. Ending is final.
 const (
 	Starting State = iota // no list of servers is in place yet
 	Serving
-	Quiesced // drained by hand; it goes back to work when told to
-	Ending
+	Quiesced // drained by an operator until resumed
+	Ending   // told to shut down
 )
 
-// String words a state as operators see it.
+// String returns the state's name as shown to operators.
 func (s State) String() string {
 	return [...]string{"starting", "ready", "quiesced", "draining"}[s]
 }
 
-// A node that is quiesced takes what still comes. Fronts that follow /up ask every 0.1 s and
-// send new connections for 0.2 s more; a client whose connection ended before would come back.
+// A quiesced node goes on accepting. Load balancers in front of it poll /up every 0.1 s and send new
+// connections for 0.2 s more; a client whose connection was closed earlier would only reconnect to this node.
 const (
-	closeAfter = 400 * time.Millisecond  // from the call on: answers close their connections
-	leaveAfter = 1600 * time.Millisecond // idle connections end
+	closeAnswersAfter = 400 * time.Millisecond  // after the call to quiesce: each answer closes its connection
+	closeIdleAfter    = 1600 * time.Millisecond // after the call to quiesce: idle connections are closed
 )
 
-// Life is a node's. The zero value is one that starts; it is safe for concurrent use.
+// Life is the lifecycle of one node. The zero value is Starting; it is safe for concurrent use.
 type Life struct {
-	mu       sync.Mutex
-	ready    bool
-	ending   bool
-	quiesced time.Time // zero: it is not
-	changes  uint64    // calls to quiesce and to resume, here or merged
+	mu         sync.Mutex
+	ready      bool
+	ending     bool
+	quiescedAt time.Time // zero: not quiesced
+	changes    uint64    // number of calls to quiesce and resume, made here or merged
 }
 
-// Ready tells that the first list is in place.
+// Ready records that the first list of servers is in place.
 func (l *Life) Ready() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready = true
 }
 
-// End tells that the node was told to end.
+// End records that the node was told to shut down.
 func (l *Life) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ending = true
 }
 
-// Quiesce drains the node from now on. Again it changes nothing.
-func (l *Life) Quiesce(now time.Time) Drained {
+// Quiesce drains the node from now on. A repeated call does not restart the drain.
+func (l *Life) Quiesce(now time.Time) QuiesceState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes++
-	if l.quiesced.IsZero() {
-		l.quiesced = now
+	if l.quiescedAt.IsZero() {
+		l.quiescedAt = now
 	}
-	return Drained{true, l.changes}
+	return QuiesceState{true, l.changes}
 }
 
-// Resume puts the node back to work.
-func (l *Life) Resume() Drained {
+// Resume ends a quiesce.
+func (l *Life) Resume() QuiesceState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes++
-	l.quiesced = time.Time{}
-	return Drained{false, l.changes}
+	l.quiescedAt = time.Time{}
+	return QuiesceState{false, l.changes}
 }
 
-// Drained is what the operators said last, as it passes between two processes that are one
-// node.
-type Drained struct {
+// QuiesceState is the latest quiesce or resume call. Two processes of one node exchange it during a handover.
+type QuiesceState struct {
 	Quiesced bool   `json:"quiesced"`
-	Changes  uint64 `json:"changes"` // the higher one is the later
+	Changes  uint64 `json:"changes"` // sequence number: the higher one is the later
 }
 
-// Drained gives what the operators said last.
-func (l *Life) Drained() Drained {
+// QuiesceState returns the latest quiesce or resume call.
+func (l *Life) QuiesceState() QuiesceState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Drained{!l.quiesced.IsZero(), l.changes}
+	return QuiesceState{!l.quiescedAt.IsZero(), l.changes}
 }
 
-// Merge takes what the other process was told, if that is later.
-func (l *Life) Merge(now time.Time, d Drained) {
+// Merge applies a call that the other process received, if it is later than the latest one here.
+func (l *Life) Merge(now time.Time, d QuiesceState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.Changes <= l.changes {
@@ -97,13 +96,13 @@
 	l.changes = d.Changes
 	switch {
 	case !d.Quiesced:
-		l.quiesced = time.Time{}
-	case l.quiesced.IsZero():
-		l.quiesced = now
+		l.quiescedAt = time.Time{}
+	case l.quiescedAt.IsZero():
+		l.quiescedAt = now
 	}
 }
 
-// State gives the state.
+// State returns the current state.
 func (l *Life) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,32 +111,32 @@
 		return Ending
 	case !l.ready:
 		return Starting
-	case !l.quiesced.IsZero():
+	case !l.quiescedAt.IsZero():
 		return Quiesced
 	}
 	return Serving
 }
 
-// Up tells whether new connections are welcome. A node that was told to end takes them for a
-// while, as fronts go on sending them, unless tellEnd has it say no at once.
-func (l *Life) Up(tellEnd bool) bool {
+// Up reports whether /up answers that new connections are accepted. While the node shuts down it stays true,
+// since clients go on connecting for a while, unless failOnEnd makes it false at once.
+func (l *Life) Up(failOnEnd bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ready && l.quiesced.IsZero() && !(l.ending && tellEnd)
+	return l.ready && l.quiescedAt.IsZero() && !(l.ending && failOnEnd)
 }
 
-// Closes tells that answers close their connections because the node is quiesced.
-func (l *Life) Closes(now time.Time) bool { return l.quiescedFor(now) >= closeAfter }
+// Closes reports whether answers close their connections because the node is quiesced.
+func (l *Life) Closes(now time.Time) bool { return l.quiescedFor(now) >= closeAnswersAfter }
 
-// Leaves tells that idle connections end because the node is quiesced.
-func (l *Life) Leaves(now time.Time) bool { return l.quiescedFor(now) >= leaveAfter }
+// Leaves reports whether idle connections are closed because the node is quiesced.
+func (l *Life) Leaves(now time.Time) bool { return l.quiescedFor(now) >= closeIdleAfter }
 
-// quiescedFor is below zero if the node is not.
+// quiescedFor returns how long the node has been quiesced, or a negative duration if it is not.
 func (l *Life) quiescedFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.quiesced.IsZero() {
+	if l.quiescedAt.IsZero() {
 		return -1
 	}
-	return now.Sub(l.quiesced)
+	return now.Sub(l.quiescedAt)
 }
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -9,35 +9,35 @@
 func TestStates(t *testing.T) {
 	at := time.Unix(100, 0)
 	var l Life
-	step := func(what string, do func(), want State, closes, leaves bool) {
+	step := func(name string, do func(), want State, closes, leaves bool) {
 		t.Helper()
 		do()
 		if got := l.State(); got != want || l.Closes(at) != closes || l.Leaves(at) != leaves {
-			t.Errorf("%s: %v, closes %v, leaves %v; want %v, %v, %v", what, got, l.Closes(at), l.Leaves(at), want, closes, leaves)
+			t.Errorf("%s: %v, closes %v, leaves %v; want %v, %v, %v", name, got, l.Closes(at), l.Leaves(at), want, closes, leaves)
 		}
 	}
-	step("new", func() {}, Starting, false, false)
-	step("resume with no quiesce", func() { l.Resume() }, Starting, false, false)
-	step("quiesced ahead of the list", func() { l.Quiesce(at) }, Starting, false, false)
+	step("initial state", func() {}, Starting, false, false)
+	step("resume without quiesce", func() { l.Resume() }, Starting, false, false)
+	step("quiesce before the first list", func() { l.Quiesce(at) }, Starting, false, false)
 	step("ready", l.Ready, Quiesced, false, false)
-	step("before the front has seen it", func() { at = at.Add(closeAfter - 1) }, Quiesced, false, false)
-	step("then", func() { at = at.Add(1) }, Quiesced, true, false)
-	step("quiesced again", func() { l.Quiesce(at) }, Quiesced, true, false)
-	step("later", func() { at = at.Add(leaveAfter) }, Quiesced, true, true)
-	step("back", func() { l.Resume() }, Serving, false, false)
-	step("twice", func() { l.Resume() }, Serving, false, false)
-	step("once more", func() { l.Quiesce(at) }, Quiesced, false, false)
+	step("just before answers close connections", func() { at = at.Add(closeAnswersAfter - 1) }, Quiesced, false, false)
+	step("answers close connections", func() { at = at.Add(1) }, Quiesced, true, false)
+	step("repeated quiesce", func() { l.Quiesce(at) }, Quiesced, true, false)
+	step("idle connections are closed", func() { at = at.Add(closeIdleAfter) }, Quiesced, true, true)
+	step("resume", func() { l.Resume() }, Serving, false, false)
+	step("repeated resume", func() { l.Resume() }, Serving, false, false)
+	step("second quiesce", func() { l.Quiesce(at) }, Quiesced, false, false)
 	step("told to end", l.End, Ending, false, false)
-	step("resume does not undo that", func() { l.Resume() }, Ending, false, false)
+	step("resume while ending", func() { l.Resume() }, Ending, false, false)
 }
 
-// Two that tell each other of each call agree on the last one, in whatever order they hear.
-func TestMergeAgrees(t *testing.T) {
+// Two processes that tell each other of each call agree on the last one, even if an older call arrives again.
+func TestMergeConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		at := time.Unix(100, 0)
 		var one, other Life
-		var last Drained
+		var last QuiesceState
 		for range 1 + rng.IntN(12) {
 			a, b := &one, &other
 			if rng.IntN(2) == 0 {
@@ -50,12 +50,12 @@
 			}
 			b.Merge(at, last)
 			if rng.IntN(3) == 0 {
-				a.Merge(at, b.Drained())
-				b.Merge(at, Drained{!last.Quiesced, last.Changes - 1}) // an old word
+				a.Merge(at, b.QuiesceState())
+				b.Merge(at, QuiesceState{!last.Quiesced, last.Changes - 1}) // an older call
 			}
 		}
-		if one.Drained() != last || other.Drained() != last {
-			t.Fatalf("seed %d: %v and %v, want %v", seed, one.Drained(), other.Drained(), last)
+		if one.QuiesceState() != last || other.QuiesceState() != last {
+			t.Fatalf("seed %d: %v and %v, want %v", seed, one.QuiesceState(), other.QuiesceState(), last)
 		}
 	}
 }
--- a/internal/life/termination.go
+++ b/internal/life/termination.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// What a platform grants a process between SIGTERM and SIGKILL: the longest deadline of a request, though
-// no more than killMost of it counts, and killGrace more.
+// The platform sends SIGKILL killGrace after the longest request deadline has passed since SIGTERM; of that
+// deadline at most maxCountedDeadline counts.
 const (
-	killMost  = 3 * time.Second
-	killGrace = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	killGrace          = 700 * time.Millisecond
 )
 
-// AcceptFor is how long new connections go on coming to a process that was told to end: up to 0.4 s.
-const AcceptFor = 450 * time.Millisecond
+// AcceptWindow is how long a process that was told to end keeps accepting: new connections arrive for up to 0.4 s.
+const AcceptWindow = 450 * time.Millisecond
 
-// How a process that was told to end divides its time. Clients go on using the connections that stay open,
-// and on a tier of one can go nowhere else, so it serves until shortly before the kill.
+// How a process that was told to end divides its time. Clients go on using open connections, and with a single
+// node in the tier they have nowhere else to go, so the process serves until shortly before SIGKILL.
 const (
-	closeAhead   = 50 * time.Millisecond  // of the kill: all connections are closed
-	answersAhead = 100 * time.Millisecond // of the kill: answers are due
-	idleAhead    = 220 * time.Millisecond // of the kill: connections without a request end
-	behindAhead  = 320 * time.Millisecond // of the kill: answers end their connections, which nothing can cross
+	closeAllLead    = 50 * time.Millisecond  // before SIGKILL: all connections are closed
+	answersDueLead  = 100 * time.Millisecond // before SIGKILL: answers are due
+	closeIdleLead   = 220 * time.Millisecond // before SIGKILL: connections without a request are closed
+	closeAnswerLead = 320 * time.Millisecond // before SIGKILL: answers close their connections, which no request can race with
 )
 
-// Termination is the timetable of a process that was told to end. All times count from SIGTERM; each one
-// but Accept is later than the one above it.
+// Termination is the shutdown timetable of a process. All times count from SIGTERM; each one but Accept
+// is later than the one above it.
 type Termination struct {
-	Accept  time.Duration // new connections come until then
-	Behind  time.Duration // answers close their connections from then on
-	Idle    time.Duration // connections without a request are closed then
-	Answers time.Duration // whatever was taken has its answer by then
-	Close   time.Duration // whatever is open still, as it never became whole or its client does not read, is closed
-	Kill    time.Duration // SIGKILL comes no sooner
+	Accept           time.Duration // end of the time in which new connections arrive
+	CloseAfterAnswer time.Duration // from then on answers close their connections
+	CloseIdle        time.Duration // connections without a request are closed
+	AnswersDue       time.Duration // every accepted request has been answered
+	CloseAll         time.Duration // remaining connections (incomplete requests, clients that do not read) are closed
+	Kill             time.Duration // earliest time of SIGKILL
 }
 
-// Terminate makes the timetable for a process whose requests wait for longest at most.
-func Terminate(longest time.Duration) Termination {
-	kill := min(longest, killMost) + killGrace
+// PlanTermination returns the timetable for a process whose longest request deadline is longest.
+func PlanTermination(longest time.Duration) Termination {
+	kill := min(longest, maxCountedDeadline) + killGrace
 	return Termination{
-		Accept: AcceptFor, Behind: kill - behindAhead, Idle: kill - idleAhead, Answers: kill - answersAhead,
-		Close: kill - closeAhead, Kill: kill,
+		Accept: AcceptWindow, CloseAfterAnswer: kill - closeAnswerLead, CloseIdle: kill - closeIdleLead, AnswersDue: kill - answersDueLead,
+		CloseAll: kill - closeAllLead, Kill: kill,
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -12,13 +12,13 @@
 	"otterstep/internal/wire"
 )
 
-// Config is what a node is told at its start.
+// Config is a node's configuration.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	Operator  string // where the operators' door listens; "" for none
-	Temp      string // where a process meets the one that takes over from it; see succession
+	Operator  string // listen address of the operator API; "" for none
+	Temp      string // directory of the handover socket and file; see handoverManager
 	Seed      uint64
 	MemoryMB  int
 	Sockets   int
@@ -26,13 +26,14 @@
 	Site      wire.Site
 }
 
-// OperatorVariable names the operators' door where the configuration's key operator doesn't.
+// OperatorVariable is the environment variable with the operator API's listen address. The configuration's key
+// operator takes precedence.
 const OperatorVariable = "PROXY_OPERATOR"
 
-// checkOperator wants an address to listen on: a host that is an IP address, and a port.
+// checkOperator validates a listen address: an IP address and a port.
 func checkOperator(addr string) error {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return fmt.Errorf("%q: %w; give the IP address and port that the operators' door is to listen on", addr, err)
+		return fmt.Errorf("%q: %w; expected the IP address and port on which the operators' door listens", addr, err)
 	}
 	return nil
 }
@@ -79,11 +80,11 @@
 	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return bad("seed", err)
 	}
-	if c.Sockets < leastSockets {
-		return bad("limits.sockets", fmt.Errorf("%d, at least %d are needed", c.Sockets, leastSockets))
+	if c.Sockets < minSockets {
+		return bad("limits.sockets", fmt.Errorf("%d, the minimum is %d", c.Sockets, minSockets))
 	}
 	if len(file.Settings) == 0 {
-		return bad("settings", errors.New("none given"))
+		return bad("settings", errors.New("missing"))
 	}
 	if c.Site, err = wire.ParseSite(file.Settings); err != nil {
 		return bad("settings", err)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -10,30 +10,30 @@
 	"otterstep/internal/life"
 )
 
-// drainEvery is how often a node that ends looks at its connections.
-const drainEvery = 20 * time.Millisecond
+// drainPollInterval is how often a draining node checks its connections.
+const drainPollInterval = 20 * time.Millisecond
 
-// drain serves on and closes clients' connections by the timetable, counted from when the node was told.
-// accepts tells whether new ones still come. A connection on which a request has begun stays until the request
-// is answered, or until answers are due: none is closed over bytes that were read.
-func drain(ctx context.Context, told time.Time, plan life.Termination, accepts func() bool, f *front, g *clients, server *http.Server) error {
-	until := func(at time.Duration, done func() bool) {
-		for time.Since(told) < at && !done() {
-			time.Sleep(min(drainEvery, at-time.Since(told)))
+// drain goes on serving and closes clients' connections by the timetable, which counts from terminatedAt.
+// accepts reports whether new connections are still accepted. A connection on which a request has begun stays open
+// until the request is answered or answers are due: none is closed after a part of a request was read.
+func drain(ctx context.Context, terminatedAt time.Time, timetable life.Termination, accepts func() bool, f *front, g *clients, server *http.Server) error {
+	waitUntil := func(at time.Duration, done func() bool) {
+		for time.Since(terminatedAt) < at && !done() {
+			time.Sleep(min(drainPollInterval, at-time.Since(terminatedAt)))
 		}
 	}
-	until(plan.Behind, func() bool { return !accepts() && g.empty() })
+	waitUntil(timetable.CloseAfterAnswer, func() bool { return !accepts() && g.empty() })
 	f.draining.Store(true)
-	until(plan.Idle, g.empty)
-	until(plan.Answers, func() bool {
+	waitUntil(timetable.CloseIdle, g.empty)
+	waitUntil(timetable.AnswersDue, func() bool {
 		g.leave()
 		return g.empty()
 	})
-	limit, cancel := context.WithDeadline(ctx, told.Add(plan.Close))
+	shutdownCtx, cancel := context.WithDeadline(ctx, terminatedAt.Add(timetable.CloseAll))
 	defer cancel()
-	if err := server.Shutdown(limit); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	if err := server.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shut down: %w", err)
 	}
-	_ = server.Close() // what Shutdown has left over has had its time
+	_ = server.Close() // closes the connections that outlasted Shutdown
 	return nil
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -18,7 +18,7 @@
 	"otterstep/internal/operator"
 )
 
-// clientConn is a client's connection on the level of bytes.
+// clientConn is a client's raw connection.
 type clientConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -42,7 +42,7 @@
 	}
 }
 
-// answer reads one whole answer; its status is 0 where the connection ends without one.
+// answer reads one complete answer; the status is 0 if the connection ends without one.
 func (c *clientConn) answer(t *testing.T) (code int, body string, closes bool) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(patience))
@@ -57,7 +57,7 @@
 	return resp.StatusCode, string(text), resp.Close
 }
 
-// requestText is a client's request as it stands on the wire.
+// requestText returns a client's request as sent on the wire.
 func requestText(t *testing.T, addr, class, left string) string {
 	t.Helper()
 	var b strings.Builder
@@ -67,31 +67,31 @@
 	return b.String()
 }
 
-// startLong starts a node whose classes have deadlines of 5 s, longer than counts at a kill.
-func startLong(t *testing.T, d *registry) (addr string, stop func() error) {
+// startNodeWithLongDeadlines starts a node whose classes have deadlines of 5 s, more than the 3 s that count for the time of SIGKILL.
+func startNodeWithLongDeadlines(t *testing.T, d *registry) (addr string, stop func() error) {
 	t.Helper()
 	return startNodeConfigured(t, d, operator.File{}, Reloads{}, quiet(), func(c *Config) {
 		c.Site = siteOf(t, strings.ReplaceAll(settings, "3000", "5000"))
 	})
 }
 
-// Guards rule 1 at the kill, which comes 3.7 s after SIGTERM however long clients would wait: whatever was
-// read has its whole answer by then, be it from before the signal, from right behind it or from late in the
-// end; and nothing is accepted any more. Real time, as the kill is counted in it: 3.6 s.
-func TestEndIsAheadOfTheKill(t *testing.T) {
+// Guards rule 1 against SIGKILL, which comes 3.7 s after SIGTERM however far deadlines are away: every request that was
+// read has its complete answer by then, whether it came before SIGTERM, right after it or shortly before the end. The
+// test takes 3.6 s of real time.
+func TestShutdownCompletesBeforeKill(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 64)
 	silent := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		came <- struct{}{}
-		c.Read(make([]byte, 1)) // until the node gives up
+		c.Read(make([]byte, 1)) // until the node closes the connection
 		return false
 	})
-	addr, stop := startLong(t, newRegistry(t, listed(silent, "s1")))
+	addr, stop := startNodeWithLongDeadlines(t, newRegistry(t, listed(silent, "s1")))
 	const kill = 3700 * time.Millisecond
 	early, late := connect(t, addr), connect(t, addr)
 	early.send(t, requestText(t, addr, "book", "5"))
 	<-came
-	late.send(t, requestText(t, addr, "read", "0.01")) // the connection rests from then on
+	late.send(t, requestText(t, addr, "read", "0.01")) // the connection is idle from then on
 	if code, text, _ := late.answer(t); code == 0 {
 		t.Fatal(text)
 	}
@@ -102,33 +102,33 @@
 		late.send(t, requestText(t, addr, []string{"read", "push", "book"}[n%3], "0.3"))
 		code, text, closes := late.answer(t)
 		if code == 0 {
-			t.Fatalf("request %d, %v after the signal: no whole answer: %s", n, time.Since(told), text)
+			t.Fatalf("request %d, %v after the signal: no complete answer: %s", n, time.Since(told), text)
 		}
 		if closes {
 			break
 		}
 	}
 	if code, text, _ := early.answer(t); code == 0 {
-		t.Errorf("taken before the signal, and no whole answer: %s", text)
+		t.Errorf("request sent before the signal: no complete answer: %s", text)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(told); took > kill {
-		t.Errorf("the node ended %v after the signal, the kill comes after %v", took, kill)
+		t.Errorf("the node ended %v after SIGTERM, SIGKILL comes after %v", took, kill)
 	}
 }
 
-// Whatever arrives round a node's end: what was read whole has a whole answer ahead of the kill, parts that came on
-// both sides of the signal too, also while a third of the servers hang and behind a SIGHUP. What rests or never
-// becomes whole is ended, and never by a reset. Deadlines of 400 ms make it a kill after 1.1 s of real time.
-func TestWhatArrivesRoundTheEnd(t *testing.T) {
+// Requests that arrive around SIGTERM: every complete request, also one whose parts came before and after the signal,
+// has a complete answer before SIGKILL, while a third of the servers hang and after a SIGHUP. Idle connections and those
+// with an incomplete request are closed without a reset. With deadlines of 400 ms SIGKILL comes after 1.1 s of real time.
+func TestRequestsAroundShutdown(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
-	heldFirst := make(chan struct{}, 16)
+	firstHeld := make(chan struct{}, 16)
 	server := func(_ int64, r *http.Request, c net.Conn) bool {
 		if strings.HasSuffix(r.RequestURI, "hold") {
-			heldFirst <- struct{}{}
+			firstHeld <- struct{}{}
 			<-hold
 		}
 		io.WriteString(c, ok("x"))
@@ -148,24 +148,24 @@
 	push, late := requestText(t, addr, "push", "0.4"), requestText(t, addr, "push", "0.4")
 	half := len(push) / 2
 	body := strings.Index(late, "\r\n\r\n") + 6
-	pipelined, torn, bodiless, resting, unfinished := connect(t, addr), connect(t, addr), connect(t, addr), connect(t, addr), connect(t, addr)
-	resting.send(t, read(""))
-	if code, text, _ := resting.answer(t); code == 0 {
+	pipelined, partial, partialBody, idleConn, incomplete := connect(t, addr), connect(t, addr), connect(t, addr), connect(t, addr), connect(t, addr)
+	idleConn.send(t, read(""))
+	if code, text, _ := idleConn.answer(t); code == 0 {
 		t.Fatal(text)
 	}
-	for len(heldFirst) == 0 { // one that was given to the server that hangs is refused, and asked again
+	for len(firstHeld) == 0 { // a request that was sent to the hanging server is refused; repeat it
 		pipelined.send(t, read("hold")+read(""))
 		select {
-		case <-heldFirst:
-			heldFirst <- struct{}{}
+		case <-firstHeld:
+			firstHeld <- struct{}{}
 		case <-time.After(time.Second):
 			t.Log(pipelined.answer(t))
 			t.Log(pipelined.answer(t))
 		}
 	}
-	torn.send(t, push[:half])
-	bodiless.send(t, late[:body])
-	unfinished.send(t, "GET /read/1 HTTP/1.1\r\nHost: a")
+	partial.send(t, push[:half])
+	partialBody.send(t, late[:body])
+	incomplete.send(t, "GET /read/1 HTTP/1.1\r\nHost: a")
 
 	told := time.Now()
 	ended := make(chan error, 1)
@@ -174,48 +174,48 @@
 	waitFor(t, "draining", func() bool { return strings.Contains(log.String(), "draining") })
 	fresh := connect(t, addr)
 	fresh.send(t, read(""))
-	torn.send(t, push[half:])
-	bodiless.send(t, late[body:])
-	spoilt := connect(t, addr)
-	spoilt.send(t, "GET /nope/1 HTTP/1.1\r\nHost: a\r\n\r\n")
-	if code, text, closes := spoilt.answer(t); code != http.StatusBadRequest || !closes {
-		t.Errorf("a bad request in the end: answered %d %s, closes %v", code, text, closes)
+	partial.send(t, push[half:])
+	partialBody.send(t, late[body:])
+	invalid := connect(t, addr)
+	invalid.send(t, "GET /nope/1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	if code, text, closes := invalid.answer(t); code != http.StatusBadRequest || !closes {
+		t.Errorf("bad request while draining: answered %d %s, closes %v", code, text, closes)
 	}
 	close(hold)
 	for name, c := range map[string]*clientConn{
-		"connected behind the signal": fresh, "in two parts": torn, "its body behind the signal": bodiless,
+		"connected after the signal": fresh, "in two parts": partial, "body after the signal": partialBody,
 		"held before the signal": pipelined, "the second of two": pipelined,
 	} {
 		if code, text, _ := c.answer(t); code == 0 {
-			t.Errorf("%s: no whole answer: %s", name, text)
+			t.Errorf("%s: no complete answer: %s", name, text)
 		}
 	}
-	for name, c := range map[string]*clientConn{"resting": resting, "never whole": unfinished} {
+	for name, c := range map[string]*clientConn{"idle": idleConn, "incomplete request": incomplete} {
 		c.SetReadDeadline(time.Now().Add(patience))
 		if n, err := c.in.Read(make([]byte, 1)); n > 0 || !errors.Is(err, io.EOF) {
-			t.Errorf("%s: read %d bytes, %v; want a plain end", name, n, err)
+			t.Errorf("%s: read %d bytes, %v; want EOF", name, n, err)
 		}
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(told); took > kill {
-		t.Errorf("ended %v after the signal, the kill comes after %v", took, kill)
+		t.Errorf("ended %v after SIGTERM, SIGKILL comes after %v", took, kill)
 	}
 	if n := strings.Count(log.String(), "reload failed"); n != 1 {
-		t.Errorf("%d lines on the SIGHUP ahead of the end, want 1:\n%s", n, log.String())
+		t.Errorf("%d log lines about the SIGHUP before SIGTERM, want 1:\n%s", n, log.String())
 	}
 }
 
-// Half a request's head has been read when the node begins to close what rests, on a new connection and on one that was
-// used before: neither is closed over it, and both are answered whole once the rest has come. The rest is sent only
-// when a connection that rested has been closed, so that the closing has begun; the timetable leaves it any time.
-func TestHalfAHeadOutlivesTheClosing(t *testing.T) {
+// Half of a request's head has been read, on a new connection and on a reused one, when the node starts to close idle
+// connections: neither connection is closed, and both requests are answered completely once the rest has arrived. The
+// rest is sent only after an idle connection has been closed; the timetable sets no limit on that.
+func TestPartialHeadSurvivesIdleClose(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, says(ok("x"), true))
 	b := startFront(t, testUpstream(t, 8), 1, s.addr)
-	fresh, used, resting := connect(t, b.addr), connect(t, b.addr), connect(t, b.addr)
-	for _, c := range []*clientConn{used, resting} {
+	fresh, used, idleConn := connect(t, b.addr), connect(t, b.addr), connect(t, b.addr)
+	for _, c := range []*clientConn{used, idleConn} {
 		c.send(t, requestText(t, b.addr, "read", "59"))
 		if code, text, _ := c.answer(t); code != http.StatusOK {
 			t.Fatal(code, text)
@@ -225,7 +225,7 @@
 	for c := range text {
 		c.send(t, text[c][:30])
 	}
-	waitFor(t, "two heads that have begun", func() bool {
+	waitFor(t, "two partially read heads", func() bool {
 		g := b.front.clients
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -239,17 +239,17 @@
 	})
 	ended := make(chan error, 1)
 	go func() {
-		ended <- drain(context.Background(), time.Now(), life.Termination{Answers: patience, Close: patience, Kill: patience},
+		ended <- drain(context.Background(), time.Now(), life.Termination{AnswersDue: patience, CloseAll: patience, Kill: patience},
 			func() bool { return false }, b.front, b.front.clients, b.server)
 	}()
-	resting.SetReadDeadline(time.Now().Add(patience))
-	if _, err := resting.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("the resting connection: %v, want an end", err)
+	idleConn.SetReadDeadline(time.Now().Add(patience))
+	if _, err := idleConn.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Fatalf("the idle connection: %v, want EOF", err)
 	}
 	for c := range text {
 		c.send(t, text[c][30:])
 		if code, body, closes := c.answer(t); code != http.StatusOK || !closes {
-			t.Errorf("answered %d %s, closes %v; want 200 and the end behind it", code, body, closes)
+			t.Errorf("answered %d %s, closes %v; want 200 and the connection closed", code, body, closes)
 		}
 	}
 	if err := <-ended; err != nil {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -13,91 +13,90 @@
 	"otterstep/internal/handover"
 )
 
-// fleetWord is what the node has been told on behalf of the fleet. Until it was told, for sure, it holds back
-// from serving, up to a stated wait.
-type fleetWord struct {
-	wait time.Duration
-	ops  *operations
-	log  *slog.Logger
-	told chan struct{} // closed with the first sure word, or when waiting is over
+// fleetBans receives the fleet's bans over the control socket. Until it has received confirmed bans, or a configured
+// time has passed, the node does not serve.
+type fleetBans struct {
+	wait     time.Duration
+	ops      *operations
+	log      *slog.Logger
+	released chan struct{} // closed by the first confirmed bans, or when the wait is over
 
-	mu      sync.Mutex
-	since   time.Time
-	version uint64
-	sure    bool
-	over    bool // told is closed
+	mu       sync.Mutex
+	since    time.Time // when this version was received
+	version  uint64
+	sure     bool
+	waitOver bool // released is closed
 }
 
-func newFleetWord(wait time.Duration, ops *operations, log *slog.Logger) *fleetWord {
-	return &fleetWord{wait: wait, ops: ops, log: log, told: make(chan struct{})}
+func newFleetBans(wait time.Duration, ops *operations, log *slog.Logger) *fleetBans {
+	return &fleetBans{wait: wait, ops: ops, log: log, released: make(chan struct{})}
 }
 
-// await holds the node back until it was told, or the wait is over.
-func (f *fleetWord) await(ctx context.Context) {
+// await blocks until confirmed bans were received or the wait is over.
+func (f *fleetBans) await(ctx context.Context) {
 	f.log.Info("waits for the fleet's word", "most", f.wait)
 	limit := time.NewTimer(f.wait)
 	defer limit.Stop()
 	select {
-	case <-f.told:
+	case <-f.released:
 		return
 	case <-ctx.Done():
 	case <-limit.C:
-		f.log.Warn("the fleet has told this node nothing for sure; it serves by what it knows", "waited", f.wait, "version", f.ops.word().Version)
+		f.log.Warn("the fleet has told this node nothing for sure; it serves by what it knows", "waited", f.wait, "version", f.ops.fleetBans().Version)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.end()
+	f.release()
 }
 
-// end needs mu.
-func (f *fleetWord) end() {
-	if !f.over {
-		f.over = true
-		close(f.told)
+// release ends the wait. The caller holds mu.
+func (f *fleetBans) release() {
+	if !f.waitOver {
+		f.waitOver = true
+		close(f.released)
 	}
 }
 
-// tell takes a word in. It is in force, with the other process of the node too, and on the disk when tell
-// returns.
-func (f *fleetWord) tell(ctx context.Context, w control.Word) (control.Fleet, error) {
-	before := f.ops.word().Version
-	switch err := f.ops.take(ctx, w.Word); {
-	case errors.Is(err, cordon.ErrOld):
+// tell applies bans. When it returns, they are in force in both processes of the node, and on disk.
+func (f *fleetBans) tell(ctx context.Context, w control.Word) (control.Fleet, error) {
+	before := f.ops.fleetBans().Version
+	switch err := f.ops.applyFleet(ctx, w.Word); {
+	case errors.Is(err, cordon.ErrOutdated):
 		return control.Fleet{}, fmt.Errorf("%w: %w", control.ErrOldWord, err)
 	case err != nil:
 		return control.Fleet{}, err
 	}
 	f.mu.Lock()
-	again := f.version == w.Version && !f.since.IsZero()
+	repeated := f.version == w.Version && !f.since.IsZero()
 	f.mu.Unlock()
-	if !again {
-		if before == w.Version { // as it was kept, or nothing yet: what is new is that it was told
+	if !repeated {
+		if before == w.Version { // the saved version, or version 0: applyFleet has logged nothing
 			f.log.Info("the fleet's word", "version", w.Version, "token", w.Token, "out", len(w.Bans), "as", "before")
 		}
-		if err := f.ops.spread(ctx, handover.Message{Word: &w.Word}); err != nil {
+		if err := f.ops.propagate(ctx, handover.Message{FleetBans: &w.Word}); err != nil {
 			return control.Fleet{}, err
 		}
 	}
 	f.mu.Lock()
-	if !again {
+	if !repeated {
 		f.version, f.since = w.Version, time.Now()
 	}
 	if f.sure = w.Sure; w.Sure {
-		f.end()
+		f.release()
 	}
 	f.mu.Unlock()
 	return *f.inspect(), nil
 }
 
-// inspect tells operators of it.
-func (f *fleetWord) inspect() *control.Fleet {
-	w := f.ops.word()
-	missing, byHand, listed := f.ops.standing()
+// inspect returns the status for the control socket.
+func (f *fleetBans) inspect() *control.Fleet {
+	w := f.ops.fleetBans()
+	missing, byHand, listed := f.ops.fleetStatus()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	is := &control.Fleet{Version: w.Version, Token: w.Token, Since: f.since, Sure: f.sure, Bans: len(w.Bans), Listed: listed, Missing: missing, Hand: byHand}
-	if !f.over {
-		is.Waits = fmt.Sprintf("for the fleet's word, up to %v", f.wait)
+	status := &control.Fleet{Version: w.Version, Token: w.Token, Since: f.since, Sure: f.sure, Bans: len(w.Bans), Listed: listed, Missing: missing, Hand: byHand}
+	if !f.waitOver {
+		status.Waits = fmt.Sprintf("for the fleet's word, up to %v", f.wait)
 	}
-	return is
+	return status
 }
--- a/internal/node/inspect.go
+++ b/internal/node/inspect.go
@@ -18,18 +18,18 @@
 	"otterstep/internal/web"
 )
 
-// inspector answers the control socket with what the node's parts know.
+// inspector serves the control socket.
 type inspector struct {
-	cfg     Config
-	listen  string
-	loop    *core.Loop
-	clients *clients
-	sip     *sip.Front // nil where it is off
-	webs    *web.Fronts
-	comes   *returning // nil where nothing is kept
-	fleet   *fleetWord // nil where the fleet's word is not taken
-	state   func() life.State
-	started time.Time
+	cfg       Config
+	listen    string
+	loop      *core.Loop
+	clients   *clients
+	sip       *sip.Front // nil if it is off
+	webFronts *web.Fronts
+	saver     *stateSaver // nil if no state is saved
+	fleet     *fleetBans  // nil if fleet bans are not accepted
+	state     func() life.State
+	started   time.Time
 
 	mu        sync.Mutex
 	reloads   int
@@ -37,10 +37,10 @@
 }
 
 func newInspector(cfg Config, listen string, l *core.Loop, g *clients, s *sip.Front, webs *web.Fronts) *inspector {
-	return &inspector{cfg: cfg, listen: listen, loop: l, clients: g, sip: s, webs: webs, started: l.Clock().Start()}
+	return &inspector{cfg: cfg, listen: listen, loop: l, clients: g, sip: s, webFronts: webs, started: l.Clock().Start()}
 }
 
-// reloaded notes how a reload ended.
+// reloaded records the result of a reload.
 func (i *inspector) reloaded(err error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -53,23 +53,23 @@
 	return control.Serve(ctx, path, i, log)
 }
 
-// Keep implements control.Node.
-func (i *inspector) Keep(k control.Keep) error {
-	if i.comes == nil {
+// ApplyStateCommand implements control.Node.
+func (i *inspector) ApplyStateCommand(k control.Keep) error {
+	if i.saver == nil {
 		return control.ErrNothingKept
 	}
-	return i.comes.keep(k)
+	return i.saver.command(k)
 }
 
-// Tell implements control.Node.
-func (i *inspector) Tell(ctx context.Context, w control.Word) (control.Fleet, error) {
+// ApplyFleetBans implements control.Node.
+func (i *inspector) ApplyFleetBans(ctx context.Context, w control.Word) (control.Fleet, error) {
 	if i.fleet == nil {
 		return control.Fleet{}, control.ErrNoFleet
 	}
 	return i.fleet.tell(ctx, w)
 }
 
-// Inspect implements control.Node: it puts together what the loop and the other parts know.
+// Inspect implements control.Node: it combines the status of the loop and of the node's other parts.
 func (i *inspector) Inspect(ctx context.Context) (control.Inspection, error) {
 	state := i.state().String()
 	view, err := i.loop.Inspect(ctx)
@@ -83,8 +83,8 @@
 		Memory:      memory(i.cfg.MemoryMB), Servers: serversOf(view, i.loop.Clock()),
 		Counts: countsOf(view, func(class int) string { return i.cfg.Site.Classes[class] }),
 	}
-	if i.comes != nil {
-		a.Return = i.comes.inspect()
+	if i.saver != nil {
+		a.Return = i.saver.inspect()
 	}
 	if i.fleet != nil {
 		a.Fleet = i.fleet.inspect()
@@ -94,7 +94,7 @@
 			return control.Inspection{}, err
 		}
 	}
-	views, err := i.webs.Inspect(ctx)
+	views, err := i.webFronts.Inspect(ctx)
 	if err != nil {
 		return control.Inspection{}, err
 	}
@@ -135,7 +135,7 @@
 		for kind := range core.Kinds {
 			by[kind.String()] = n[kind]
 		}
-		by["late"] = view.Late[class] // of those served
+		by["late"] = view.Late[class] // included in those served
 		all[name(class)] = by
 	}
 	return all
@@ -155,17 +155,17 @@
 	}, nil
 }
 
-// descriptors counts the process's own; -1 where the system does not tell.
+// descriptors returns the number of the process's open file descriptors, or -1 if it is not available.
 func descriptors() int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return -1
 	}
-	return len(entries) - 1 // one of them reads the folder
+	return len(entries) - 1 // one of them is the directory being read
 }
 
 func memory(limitMB int) control.Memory {
-	// Unlike runtime.ReadMemStats this does not stop the world.
+	// Unlike runtime.ReadMemStats, this does not stop the world.
 	samples := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}, {Name: "/memory/classes/total:bytes"}}
 	metrics.Read(samples)
 	return control.Memory{Heap: samples[0].Value.Uint64(), Total: samples[1].Value.Uint64(), Limit: uint64(limitMB) << 20}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is the real node: it drives the decision module of package policy
-// with what happens on sockets, and decides nothing itself.
+// Package node is the production node: it feeds the decision module of package policy with events from the
+// network and carries out its decisions.
 package node
 
 import (
@@ -21,33 +21,32 @@
 )
 
 const (
-	// The descriptors that are neither clients' nor servers' connections:
-	// standard streams, listener, poller, discovery; and the operators' door, if there is one.
-	otherSockets = 16
-	doorSockets  = door.Connections + 2
-	leastSockets = 64
+	// File descriptors reserved for other uses than connections of clients and servers: standard streams,
+	// listener, poller, discovery; and the operator API, if it is on.
+	reservedDescriptors = 16
+	operatorDescriptors = door.MaxConnections + 2
+	minSockets          = 64
 
-	writeSpare = 50 * time.Millisecond // for a request to be written, behind its connect
+	writeReserve = 50 * time.Millisecond // for writing a request once its connection is established
 
-	headTimeout  = 2500 * time.Millisecond // a client may take 2 s over a head; bodies have a rate, see patient
-	writeTimeout = 60 * time.Second        // from the head on, with a slow body: over any deadline
-	idleTimeout  = 30 * time.Second        // some ask once and never close
+	headTimeout  = 2500 * time.Millisecond // clients may take 2 s to send a head; bodies have a minimum rate, see patient
+	writeTimeout = 60 * time.Second        // from the head on, including a slow body: longer than any deadline
+	idleTimeout  = 30 * time.Second        // some clients send one request and never close
 	maxHeader    = 16 << 10
 )
 
-// Run serves until ctx ends, then drains: it goes on accepting for a while,
-// answers all that it took and returns nil. A signal of reloads makes it take over
-// what can change while it runs.
+// Run serves until ctx ends, then drains: it goes on accepting for a while, answers every request that it
+// accepted and returns nil. A signal of reloads makes it apply the settings that can change at run time.
 func Run(ctx context.Context, cfg Config, op operator.File, reloads Reloads, log *slog.Logger) error {
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(memoryLimit(cfg.MemoryMB))
 	}
-	gate, err := inherited(cfg)
+	inherited, err := inheritedListener(cfg)
 	if err != nil {
 		return err
 	}
-	var listener net.Listener = gate
-	if gate == nil {
+	var listener net.Listener = inherited
+	if inherited == nil {
 		if listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
@@ -55,8 +54,8 @@
 	return serve(ctx, cfg, op, listener, reloads, log)
 }
 
-// both has two parts told of the list, if there is a second one.
-func both(first, second func(all bool, targets []target)) func(all bool, targets []target) {
+// notifyBoth returns a function that passes list updates to first and, unless nil, to second.
+func notifyBoth(first, second func(all bool, targets []target)) func(all bool, targets []target) {
 	if second == nil {
 		return first
 	}
@@ -66,22 +65,22 @@
 	}
 }
 
-// repeatWindow is how long after an attempt a further one may be chosen, so that its last byte has gone out
-// while servers still drop repeats: its connection may take all of connect to come up.
+// repeatWindow returns how long after an attempt a further one may be started so that its last byte is sent within
+// the servers' deduplication window, even if connecting takes the full connect timeout.
 func repeatWindow(window, connect time.Duration) time.Duration {
-	return max(0, window-connect-writeSpare)
+	return max(0, window-connect-writeReserve)
 }
 
-// memoryLimit is the collector's, in bytes.
+// memoryLimit returns the garbage collector's memory limit, in bytes.
 func memoryLimit(mb int) int64 { return int64(mb) << 20 * 3 / 4 }
 
-// bodyLimit bounds clients' larger bodies together, in bytes.
+// bodyLimit returns the limit on the total size of buffered large request bodies, in bytes.
 func bodyLimit(mb int) int64 { return int64(mb) << 20 / 4 }
 
-// split gives servers and clients their descriptors. A request in work takes one at each side
-// and a second copy one more at the servers'; clients also have idle connections, and some
-// that say nothing.
-func split(descriptors int) (servers, clients int) {
+// splitDescriptors divides the descriptors between connections to servers and to clients. An active request takes
+// one on each side and a second copy one more on the servers' side; clients also have idle connections, and
+// connections on which they never send a request.
+func splitDescriptors(descriptors int) (servers, clients int) {
 	servers = descriptors * 9 / 20
 	return servers, descriptors - servers
 }
@@ -89,28 +88,28 @@
 func serve(ctx context.Context, cfg Config, op operator.File, listener net.Listener, reloads Reloads, log *slog.Logger) error {
 	defer listener.Close()
 	c := core.NewClock()
-	set := cfg.Site.Settings
-	set.Classes = slices.Clone(set.Classes)
-	for i := range set.Classes {
-		set.Classes[i].Parked = true // an answer that passes is no load once it has begun
-		set.Classes[i].Window = repeatWindow(set.Classes[i].Window, cfg.Site.ConnectTimeout)
+	policySettings := cfg.Site.Settings
+	policySettings.Classes = slices.Clone(policySettings.Classes)
+	for i := range policySettings.Classes {
+		policySettings.Classes[i].Parked = true // an answer that is passed through is no load once it has begun
+		policySettings.Classes[i].Window = repeatWindow(policySettings.Classes[i].Window, cfg.Site.ConnectTimeout)
 	}
-	carrying := cfg.Sockets - otherSockets
+	connDescriptors := cfg.Sockets - reservedDescriptors
 	if cfg.Operator != "" {
-		carrying -= doorSockets
+		connDescriptors -= operatorDescriptors
 	}
-	// A request in work takes a descriptor at each side, and a second copy one more.
-	set.Limits.MaxOpen = carrying / 3
-	servers, forClients := split(carrying)
-	clients := newClients(forClients)
-	up := newUpstream(cfg.Site.ConnIdle, cfg.Site.ConnectTimeout, servers)
-	disco := newDiscovery(cfg.Discovery, cfg.Site, c, log)
-	l, err := core.New(core.Options{Settings: set, Seed: cfg.Seed, Clock: c, Watch: disco.watch, Drop: up.pool.Drop})
+	// An active request takes a descriptor on each side, and a second copy one more.
+	policySettings.Limits.MaxOpen = connDescriptors / 3
+	serverDescriptors, clientDescriptors := splitDescriptors(connDescriptors)
+	clients := newClients(clientDescriptors)
+	up := newUpstream(cfg.Site.ConnIdle, cfg.Site.ConnectTimeout, serverDescriptors)
+	discoveryClient := newDiscovery(cfg.Discovery, cfg.Site, c, log)
+	l, err := core.New(core.Options{Settings: policySettings, Seed: cfg.Seed, Clock: c, Watch: discoveryClient.watch, Drop: up.pool.Drop})
 	if err != nil {
 		return err
 	}
 	var state life.Life
-	disco.members = l.Members // waits until it is in place, so that /up does not run ahead of it
+	discoveryClient.members = l.Members // returns once the list is in place, so that /up does not report ready before
 	bodies := int64(64 << 20)
 	if cfg.MemoryMB > 0 {
 		bodies = bodyLimit(cfg.MemoryMB)
@@ -120,79 +119,79 @@
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	ops := newOperations(&state, l, log)
-	var comes *returning // nil where nothing is kept
+	var saver *stateSaver // nil if no state is saved
 	if op.Kept.File != "" {
-		comes = newReturning(op.Kept.File, op.Kept.Every.Duration, cfg.Name, l, ops, disco, log)
-		defer comes.close()
-		disco.listed = comes.listed
+		saver = newStateSaver(op.Kept.File, op.Kept.Every.Duration, cfg.Name, l, ops, discoveryClient, log)
+		defer saver.close()
+		discoveryClient.listed = saver.listed
 	}
-	var fleet *fleetWord // nil where the fleet's word is not taken
+	var fleet *fleetBans // nil if fleet bans are not accepted
 	if wait := op.Fleet.Wait.Duration; wait > 0 {
-		fleet = newFleetWord(wait, ops, log)
-		disco.listed = both(ops.listed, disco.listed)
+		fleet = newFleetBans(wait, ops, log)
+		discoveryClient.listed = notifyBoth(ops.listed, discoveryClient.listed)
 	}
 	if cfg.Operator != "" {
-		entrance, err := net.Listen("tcp", cfg.Operator)
+		operatorListener, err := net.Listen("tcp", cfg.Operator)
 		if err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
-		log.Info("operators' door", "listen", entrance.Addr().String())
+		log.Info("operators' door", "listen", operatorListener.Addr().String())
 		if fleet == nil {
-			disco.listed = both(ops.listed, disco.listed)
+			discoveryClient.listed = notifyBoth(ops.listed, discoveryClient.listed)
 		}
-		answered := make(chan struct{})
-		d := door.New(entrance, ops, log)
+		operatorDone := make(chan struct{})
+		d := door.New(operatorListener, ops, log)
 		go func() {
-			defer close(answered)
+			defer close(operatorDone)
 			d.Run(background)
 		}()
-		defer func() { stop(); <-answered }()
+		defer func() { stop(); <-operatorDone }()
 	}
-	var calls *sip.Front
+	var sipFront *sip.Front
 	if op.SIP.On() {
-		if calls, err = sip.New(op.SIP, cfg.Seed, c, log); err != nil {
+		if sipFront, err = sip.New(op.SIP, cfg.Seed, c, log); err != nil {
 			return err
 		}
-		if disco.model = op.SIP.Model; disco.model != "" {
-			disco.apart = calls.Members
+		if discoveryClient.model = op.SIP.Model; discoveryClient.model != "" {
+			discoveryClient.apart = sipFront.Members
 		}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			calls.Run(background)
+			sipFront.Run(background)
 		}()
 		defer func() { stop(); <-ended }()
 	}
-	webs, err := web.Start(background, op.Web, cfg.Seed, c, log)
+	webFronts, err := web.Start(background, op.Web, cfg.Seed, c, log)
 	if err != nil {
 		return err
 	}
-	defer func() { stop(); webs.Wait() }()
+	defer func() { stop(); webFronts.Wait() }()
 	go l.Run(background)
-	var heirs *succession // nil where the node has a listening socket of its own
-	if gate, ok := listener.(*handover.Gate); ok {
-		heirs = &succession{cfg: cfg, gate: gate, ops: ops, clients: clients, pool: up, front: f, log: log}
-		heirs.begin(background, cfg.Temp)
+	var handovers *handoverManager // nil if the node opened its own listening socket
+	if pausable, ok := listener.(*handover.PausableListener); ok {
+		handovers = &handoverManager{cfg: cfg, listener: pausable, ops: ops, clients: clients, pool: up, front: f, log: log}
+		handovers.begin(background, cfg.Temp)
 	}
-	disco.first = func() {
-		if heirs != nil {
-			heirs.ready(background)
+	discoveryClient.first = func() {
+		if handovers != nil {
+			handovers.ready(background)
 		}
 		state.Ready()
 		log.Info("ready", "node", cfg.Name, "listen", listener.Addr().String())
 	}
 	go func() {
-		if fleet != nil { // nothing is listed before, so that nothing is sent anywhere
+		if fleet != nil { // no server is listed before, so no request is sent
 			fleet.await(background)
 		}
-		if comes == nil || !comes.begin(background, cfg.Known) {
-			disco.begin(cfg.Known)
+		if saver == nil || !saver.begin(background, cfg.Known) {
+			discoveryClient.begin(cfg.Known)
 		}
-		disco.run(background)
+		discoveryClient.run(background)
 	}()
-	watcher := newInspector(cfg, listener.Addr().String(), l, clients, calls, webs)
-	watcher.comes, watcher.fleet = comes, fleet
-	go reloads.follow(background, cfg, func(addr string) { disco.move(background, addr) }, watcher.reloaded, log)
+	inspect := newInspector(cfg, listener.Addr().String(), l, clients, sipFront, webFronts)
+	inspect.saver, inspect.fleet = saver, fleet
+	go reloads.follow(background, cfg, func(addr string) { discoveryClient.move(background, addr) }, inspect.reloaded, log)
 	go func() {
 		for every := time.Tick(time.Second); background.Err() == nil; <-every {
 			up.pool.Sweep()
@@ -202,14 +201,14 @@
 	go clients.run(background, &state)
 
 	if path := op.Control.Socket; path != "" {
-		controlled := make(chan struct{})
+		controlDone := make(chan struct{})
 		go func() {
-			defer close(controlled)
-			if err := watcher.serve(background, path, state.State, log); err != nil {
-				log.Error("the node serves without it", "err", err)
+			defer close(controlDone)
+			if err := inspect.serve(background, path, state.State, log); err != nil {
+				log.Error("no control socket, the node serves without it", "err", err)
 			}
 		}()
-		defer func() { stop(); <-controlled }()
+		defer func() { stop(); <-controlDone }()
 	}
 	server := f.server(log)
 	ended := make(chan error, 1)
@@ -220,41 +219,41 @@
 	case <-ctx.Done():
 	}
 
-	told := time.Now()
+	terminatedAt := time.Now()
 	state.End()
 	log.Info("draining")
-	callsDone := make(chan struct{})
+	sipDone := make(chan struct{})
 	go func() {
-		defer close(callsDone)
-		if calls != nil {
-			calls.Drain(background)
+		defer close(sipDone)
+		if sipFront != nil {
+			sipFront.Drain(background)
 		}
 	}()
-	websDone := make(chan struct{})
+	webDone := make(chan struct{})
 	go func() {
-		defer close(websDone)
-		webs.Drain(background)
+		defer close(webDone)
+		webFronts.Drain(background)
 	}()
 	longest := time.Duration(0)
-	for _, class := range set.Classes {
+	for _, class := range policySettings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	plan := life.Terminate(longest)
-	l.EndIn(plan.Answers - time.Since(told))
+	timetable := life.PlanTermination(longest)
+	l.EndIn(timetable.AnswersDue - time.Since(terminatedAt))
 	accepts := func() bool {
-		if heirs != nil {
-			return heirs.accepts(time.Since(told))
+		if handovers != nil {
+			return handovers.accepts(time.Since(terminatedAt))
 		}
-		return time.Since(told) < plan.Accept
+		return time.Since(terminatedAt) < timetable.Accept
 	}
-	if err := drain(background, told, plan, accepts, f, clients, server); err != nil {
+	if err := drain(background, terminatedAt, timetable, accepts, f, clients, server); err != nil {
 		return err
 	}
-	if comes != nil {
-		comes.end(background)
+	if saver != nil {
+		saver.saveFinal(background)
 	}
-	<-callsDone
-	<-websDone
+	<-sipDone
+	<-webDone
 	log.Info("stopped")
 	return nil
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -39,12 +39,12 @@
 	mu      sync.Mutex
 	rev     int64
 	all     map[string]target
-	changed map[string]int64 // uid: version of the last change
+	changed map[string]int64 // revision of the last change by UID
 	news    chan struct{}    // closed and replaced at each change
 	down    bool
-	failed  int
-	asked   bool  // the settings say that nodes have to ask
-	watched int64 // the version that the latest watch is from
+	failed  int   // requests answered with 503
+	asked   bool  // the settings make nodes poll instead of watching
+	watched int64 // revision that the latest watch started from
 }
 
 func newRegistry(t *testing.T, targets ...target) *registry {
@@ -99,10 +99,10 @@
 	json.NewEncoder(w).Encode(list)
 }
 
-// told waits until the node has taken in all there is: it watches from there.
+// told waits until the node has applied the latest revision, which shows in that it watches from there.
 func (d *registry) told(t *testing.T) {
 	t.Helper()
-	waitFor(t, "watch from the latest version", func() bool {
+	waitFor(t, "watch from the latest revision", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return d.watched == d.rev
@@ -122,18 +122,18 @@
 	return site
 }
 
-// startNode runs a node until the test ends; stop drains it.
+// startNode runs a node until the end of the test; stop drains it.
 func startNode(t *testing.T, d *registry, known ...target) (addr string, stop func() error) {
 	t.Helper()
-	return startNodeWith(t, d, Reloads{}, known...)
+	return startNodeWithReloads(t, d, Reloads{}, known...)
 }
 
-func startNodeWith(t *testing.T, d *registry, reloads Reloads, known ...target) (addr string, stop func() error) {
+func startNodeWithReloads(t *testing.T, d *registry, reloads Reloads, known ...target) (addr string, stop func() error) {
 	t.Helper()
-	return startNodeAs(t, d, operator.File{}, reloads, known...)
+	return startNodeWithOperatorFile(t, d, operator.File{}, reloads, known...)
 }
 
-func startNodeAs(t *testing.T, d *registry, op operator.File, reloads Reloads, known ...target) (addr string, stop func() error) {
+func startNodeWithOperatorFile(t *testing.T, d *registry, op operator.File, reloads Reloads, known ...target) (addr string, stop func() error) {
 	t.Helper()
 	return startNodeConfigured(t, d, op, reloads, quiet(), func(*Config) {}, known...)
 }
@@ -153,7 +153,7 @@
 	}
 	cfg := Config{
 		Name: "n0", Listen: l.Addr().String(), Discovery: d.Listener.Addr().String(), Seed: 1,
-		Sockets: leastSockets, Known: hostList{Rev: 1, All: true, Targets: known}, Site: site,
+		Sockets: minSockets, Known: hostList{Rev: 1, All: true, Targets: known}, Site: site,
 	}
 	change(&cfg)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -161,10 +161,10 @@
 	go func() { ended <- serve(ctx, cfg, op, l, reloads, log) }()
 	stop = sync.OnceValue(func() error { cancel(); return <-ended })
 	t.Cleanup(func() {
-		http.DefaultClient.CloseIdleConnections() // the drain need not wait for them
+		http.DefaultClient.CloseIdleConnections() // so that the drain does not wait for them
 		stop()
 	})
-	waitFor(t, "node that is up", func() bool {
+	waitFor(t, "ready node", func() bool {
 		resp, err := http.Get("http://" + l.Addr().String() + "/up")
 		if err != nil {
 			return false
@@ -175,9 +175,9 @@
 	return l.Addr().String(), stop
 }
 
-var lastID atomic.Int64 // of clients' requests: each has its own
+var lastID atomic.Int64 // makes request IDs unique
 
-// clientRequest makes a client's request of a class, as PROTOCOL words it.
+// clientRequest returns a client's request of a class, in the form of the platform's PROTOCOL document.
 func clientRequest(t *testing.T, addr, class, left string) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
@@ -199,7 +199,7 @@
 	return r
 }
 
-// do gives the answer's status, header and body.
+// do sends a request and returns the answer's status, header and body.
 func do(t *testing.T, r *http.Request) (int, http.Header, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
@@ -214,7 +214,7 @@
 	return resp.StatusCode, resp.Header, string(body)
 }
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
@@ -237,18 +237,18 @@
 			t.Errorf("%s: answered %d %q", class, code, body)
 		}
 		if line := <-got; line != want {
-			t.Errorf("%s: server got %q, want %q", class, line, want)
+			t.Errorf("%s: server received %q, want %q", class, line, want)
 		}
 	}
 }
 
-func TestMalformedRequestsAreTurnedDownAtOnce(t *testing.T) {
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
 	for name, c := range map[string]struct {
-		class string
-		spoil func(r *http.Request)
-		code  int
+		class  string
+		modify func(r *http.Request)
+		code   int
 	}{
 		"unknown class":    {"read", func(r *http.Request) { r.Header.Set("X-Service-Class", "nope") }, 400},
 		"unknown account":  {"read", func(r *http.Request) { r.Header.Set("X-Account", "nobody") }, 400},
@@ -274,18 +274,18 @@
 		}, 413},
 	} {
 		r := clientRequest(t, addr, c.class, "2.5")
-		c.spoil(r)
+		c.modify(r)
 		if code, _, _ := do(t, r); code != c.code {
 			t.Errorf("%s: answered %d, want %d", name, code, c.code)
 		}
 	}
 	if n := s.requests.Load(); n != 0 {
-		t.Errorf("%d requests went on, want 0", n)
+		t.Errorf("%d requests reached the server, want 0", n)
 	}
 }
 
-// Guards against work and connections that are kept for a client who has left.
-func TestClientGoneEndsTheAttempt(t *testing.T) {
+// Guards against attempts and connections that go on after the client has disconnected.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	came, closed := make(chan struct{}), make(chan struct{})
 	s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		close(came)
@@ -306,15 +306,15 @@
 		t.Fatal("the attempt's connection stays open")
 	}
 	if time.Since(began) > 2900*time.Millisecond {
-		t.Skip("too slow a machine to tell leaving from the deadline")
+		t.Skip("the machine is too slow to tell the disconnect from the deadline")
 	}
 	if n := s.requests.Load(); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
 }
 
-// A server that stays silent: the client has its final answer when its time is
-// up, and only a class that may be repeated is told to try again.
+// If the server does not answer, the client gets its final answer at its deadline; only classes that may be retried
+// get a 503.
 func TestDeadlineWithASilentServer(t *testing.T) {
 	for class, want := range map[string]int{"read": 503, "push": 503, "book": 502} {
 		closed := make(chan struct{}, 8)
@@ -330,17 +330,17 @@
 			t.Errorf("%s: answered %d, want %d", class, code, want)
 		}
 		if took := time.Since(began); took < 200*time.Millisecond {
-			t.Errorf("%s: answered after %v, before the time was up", class, took)
+			t.Errorf("%s: answered after %v, before the deadline", class, took)
 		}
 		select {
 		case <-closed:
 		case <-time.After(patience):
-			t.Errorf("%s: the attempt goes on", class)
+			t.Errorf("%s: the attempt is not cancelled", class)
 		}
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	addr, _ := startNode(t, newRegistry(t)) // no server at all
 	began := time.Now()
 	code, header, _ := do(t, clientRequest(t, addr, "push", "2.9"))
@@ -353,35 +353,35 @@
 	}
 }
 
-// Guards rule 3: no request goes to a server once its drain was told.
-func TestDrainIsLearned(t *testing.T) {
+// Guards rule 3: no request goes to a server after discovery has reported that it drains.
+func TestDrainFromDiscovery(t *testing.T) {
 	s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	d := newRegistry(t, listed(s1, "s1"), listed(s2, "s2"))
 	addr, _ := startNode(t, d)
-	_, _, liked := do(t, clientRequest(t, addr, "read", "2.5"))
-	drains, other := s1, "2"
+	_, _, preferred := do(t, clientRequest(t, addr, "read", "2.5"))
+	draining, other := s1, "2"
 	gone := listed(s1, "s1")
-	if liked == "2" {
-		drains, other = s2, "1"
+	if preferred == "2" {
+		draining, other = s2, "1"
 		gone = listed(s2, "s2")
 	}
 	gone.State = "terminating"
 	d.change(gone)
 	d.told(t)
-	before := drains.requests.Load()
+	before := draining.requests.Load()
 	for range 20 {
 		if code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != other {
 			t.Errorf("answered %d %q, want 200 from the other server", code, body)
 		}
 	}
-	if n := drains.requests.Load(); n != before {
+	if n := draining.requests.Load(); n != before {
 		t.Errorf("%d requests to the draining server", n-before)
 	}
 }
 
-// Where lists are pushed the node watches on its own; where they are asked for,
-// the module hears of the failure and says when to call again.
-func TestWatchBreaksAndComesBack(t *testing.T) {
+// Where lists are pushed, the node renews the watch itself; where they are polled, the decision module is told of the
+// failure and decides when to ask again.
+func TestWatchRecovers(t *testing.T) {
 	for name, asked := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
 			s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
@@ -390,13 +390,13 @@
 			addr, _ := startNode(t, d)
 			d.told(t)
 			d.set(func() { d.down = true })
-			waitFor(t, "further call while discovery is down", func() bool {
+			waitFor(t, "further request while discovery is down", func() bool {
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				return d.failed >= 2
 			})
 			if code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "1" {
-				t.Errorf("answered %d %q while discovery is down, want the old list to hold", code, body)
+				t.Errorf("answered %d %q while discovery is down, want 200 from the old list", code, body)
 			}
 			gone := listed(s1, "s1")
 			gone.State = "terminated"
@@ -411,7 +411,7 @@
 	}
 }
 
-// With discovery down from the start the known list has to do.
+// With discovery down from the start, the node uses the list in its configuration.
 func TestKnownListServesWhileDiscoveryIsDown(t *testing.T) {
 	s := newServer(t, says(ok("1"), true))
 	d := newRegistry(t)
@@ -422,7 +422,7 @@
 	}
 }
 
-// A failed first attempt is retried elsewhere only where the class allows it.
+// A failed first attempt is retried at another server only if the class allows it.
 func TestResetIsRetriedOnlyWhereAllowed(t *testing.T) {
 	for class, want := range map[string]struct {
 		code   int
@@ -446,9 +446,8 @@
 	}
 }
 
-// Guards rule 1 at the end, and service until then: a client that goes on using its
-// connection is answered each time, until an answer closes it; what was taken before
-// is answered too, and Run returns nil.
+// Guards rule 1 during a drain: a client that goes on using its connection is answered each time, until an answer
+// closes the connection; a request accepted before is answered too, and Run returns nil.
 func TestDrainServesOpenConnections(t *testing.T) {
 	came, release := make(chan struct{}), make(chan struct{})
 	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
@@ -460,15 +459,15 @@
 		return true
 	})
 	addr, stop := startNode(t, newRegistry(t, listed(s, "s1"), listed(s, "s2")))
-	taken := make(chan int, 1)
+	earlier := make(chan int, 1)
 	go func() {
 		resp, err := http.DefaultClient.Do(clientRequest(t, addr, "book", "2.9"))
 		if err != nil {
-			taken <- 0
+			earlier <- 0
 			return
 		}
 		resp.Body.Close()
-		taken <- resp.StatusCode
+		earlier <- resp.StatusCode
 	}()
 	<-came
 	c, err := net.Dial("tcp", addr)
@@ -497,8 +496,8 @@
 		closes = resp.Close
 		time.Sleep(5 * time.Millisecond)
 	}
-	if code := <-taken; code != http.StatusOK {
-		t.Errorf("answered %d, want 200 for what was taken before", code)
+	if code := <-earlier; code != http.StatusOK {
+		t.Errorf("answered %d, want 200 for the request accepted before the drain", code)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -509,7 +508,7 @@
 	}
 }
 
-// testCore runs a core without a node round it.
+// testCore runs a core loop without a node.
 func testCore(t *testing.T) (*core.Loop, *upstream) {
 	t.Helper()
 	up := testUpstream(t, 8)
@@ -521,7 +520,7 @@
 	return l, up
 }
 
-// idle gives a core that nobody runs.
+// idle returns a core loop that is not running.
 func idle(t *testing.T) *core.Loop {
 	t.Helper()
 	l, err := core.New(core.Options{Settings: siteOf(t, settings).Settings, Seed: 1, Clock: core.NewClock()})
@@ -531,10 +530,9 @@
 	return l
 }
 
-// Where the operator's file says so, /up tells of a drain while the node still accepts,
-// so that clients that follow it have left before connections end; elsewhere it stays
-// as the platform has it.
-func TestUpTellsOfADrainIfAsked(t *testing.T) {
+// With tell_up in the operator's file, /up reports a drain while the node still accepts, so that clients that poll it
+// leave before connections are closed; without it /up goes on answering 200, as the platform expects.
+func TestUpReportsDrainIfConfigured(t *testing.T) {
 	for _, tell := range []bool{true, false} {
 		came, hold := make(chan struct{}), make(chan struct{})
 		s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
@@ -545,7 +543,7 @@
 		})
 		var op operator.File
 		op.Drain.TellUp = tell
-		addr, stop := startNodeAs(t, newRegistry(t, listed(s, "s1")), op, Reloads{})
+		addr, stop := startNodeWithOperatorFile(t, newRegistry(t, listed(s, "s1")), op, Reloads{})
 		answered := make(chan int, 1)
 		r := clientRequest(t, addr, "book", "2.9")
 		go func() {
@@ -561,20 +559,20 @@
 		stopped := make(chan error, 1)
 		go func() { stopped <- stop() }()
 		told := false
-		for until := time.Now().Add(life.AcceptFor); time.Now().Before(until) && !told; {
+		for until := time.Now().Add(life.AcceptWindow); time.Now().Before(until) && !told; {
 			resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(httptest.NewRequest(http.MethodGet, "http://"+addr+"/up", nil))
 			if err != nil {
-				t.Fatalf("tell %v: the node has ceased to accept: %v", tell, err)
+				t.Fatalf("tell_up %v: the node no longer accepts: %v", tell, err)
 			}
 			resp.Body.Close()
 			told = resp.StatusCode == http.StatusServiceUnavailable
 		}
 		if told != tell {
-			t.Errorf("tell %v: /up told of the drain: %v", tell, told)
+			t.Errorf("tell_up %v: /up reported the drain: %v", tell, told)
 		}
 		close(hold)
 		if code := <-answered; code != http.StatusOK {
-			t.Errorf("tell %v: the request in work was answered %d", tell, code)
+			t.Errorf("tell_up %v: the request in progress was answered %d", tell, code)
 		}
 		if err := <-stopped; err != nil {
 			t.Error(err)
@@ -582,11 +580,11 @@
 	}
 }
 
-// Guards rule 1 against the kill at the end of a drain: what comes late has its
-// answer before, however long its client would wait.
-func TestDrainCutsDeadlines(t *testing.T) {
+// Guards rule 1 against SIGKILL at the end of a drain: a late request is answered before, however far its deadline
+// is away.
+func TestDrainLimitsDeadlines(t *testing.T) {
 	s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
-		c.Read(make([]byte, 1)) // silent until the node gives up
+		c.Read(make([]byte, 1)) // sends nothing until the node closes the connection
 		return false
 	})
 	l, up := testCore(t)
@@ -598,24 +596,23 @@
 	select {
 	case a := <-done:
 		if a.Kind == core.Served {
-			t.Error("served, though the server is silent")
+			t.Error("served, though the server sent nothing")
 		}
 	case <-time.After(patience):
 		t.Error("no answer")
 	}
 }
 
-// dialClient opens a connection of its own; ask sends a request on it and gives
-// the answer's status.
+// dialClient opens a new connection; ask sends a request on it and returns the answer's status.
 func dialClient(t *testing.T, addr string) (c net.Conn, ask func() (int, error)) {
 	t.Helper()
-	own := connect(t, addr)
-	return own, func() (int, error) {
-		if err := clientRequest(t, addr, "read", "2.9").Write(own); err != nil {
+	conn := connect(t, addr)
+	return conn, func() (int, error) {
+		if err := clientRequest(t, addr, "read", "2.9").Write(conn); err != nil {
 			return 0, err
 		}
-		own.SetReadDeadline(time.Now().Add(patience))
-		resp, err := http.ReadResponse(own.in, nil)
+		conn.SetReadDeadline(time.Now().Add(patience))
+		resp, err := http.ReadResponse(conn.in, nil)
 		if err != nil {
 			return 0, err
 		}
@@ -624,11 +621,10 @@
 	}
 }
 
-const mostClients = 24 // of a node with leastSockets
+const mostClients = 24 // of a node with the minimum of descriptors
 
-// Guards rule 1 at the limit on descriptors: a connection that is left in the
-// kernel's queue has its request taken and never answered. Seen on an overload
-// day with 256 descriptors: 12,640 requests lost.
+// Guards rule 1 at the descriptor limit: if a connection is left in the kernel's accept queue, the kernel accepts its
+// request but nobody answers it. Seen under overload with 256 descriptors: 12,640 requests lost.
 func TestClientBeyondTheCapIsRefusedAtOnce(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -647,9 +643,9 @@
 	})
 }
 
-// Guards against closing connections that are about to be used: while few
-// descriptors are left, they end behind an answer, where no request can cross.
-func TestCrowdedConnectionsCloseBehindTheirAnswer(t *testing.T) {
+// Guards against closing connections that are about to be used: while few descriptors are left, connections are
+// closed with an answer, when no request can be in flight.
+func TestCrowdedConnectionsCloseAfterAnswer(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
 	var first func() (int, error)
@@ -663,20 +659,20 @@
 		}
 	}
 	if code, err := first(); code != http.StatusOK {
-		t.Errorf("the first connection answers %d, %v; want it open", code, err)
+		t.Errorf("the first connection answers %d, %v; want it to be still open", code, err)
 	}
 }
 
 func TestKeyOfAPath(t *testing.T) {
 	if key("") != 0 || key("a/") != 0 {
-		t.Error("no last part, yet a key")
+		t.Error("a path without a last segment has a key")
 	}
 	if a, b := key("x/7"), key("7"); a != b || a == 0 || a == key("8") {
-		t.Error("keys must follow from the last part")
+		t.Error("the key must depend on the last segment only")
 	}
 }
 
-func TestUnknownStateGetsNoNewWork(t *testing.T) {
+func TestUnknownStateGetsNoNewRequests(t *testing.T) {
 	for word, want := range map[string]policy.State{
 		"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Gone, "resting": policy.Draining,
 	} {
@@ -686,9 +682,9 @@
 	}
 }
 
-// Guards against clients that go on using a draining node's connections until
-// they are cut: answers close them from SIGTERM on.
-func TestDrainingFrontClosesBehindAnswers(t *testing.T) {
+// Guards against clients that use a draining node's connections until they are cut off: once draining is set, each
+// answer closes its connection.
+func TestDrainingFrontClosesAfterAnswers(t *testing.T) {
 	var state life.Life
 	state.Ready()
 	f := newFront(idle(t), nil, wire.Site{}, newClients(8), 0, &state, false)
