--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -19,19 +19,19 @@
 	"otterstep/policy"
 )
 
-// startOperated runs a node with an operators' door; tell makes one call there.
-func startOperated(t *testing.T, d *registry, known ...target) (addr string, tell func(method, path string) (int, string), stop func() error) {
+// startWithOperatorAPI runs a node with an operator API; tell sends it one request.
+func startWithOperatorAPI(t *testing.T, d *registry, known ...target) (addr string, tell func(method, path string) (int, string), stop func() error) {
 	t.Helper()
-	return startOperatedAs(t, d, operator.File{}, known...)
+	return startWithOperatorAPIAs(t, d, operator.File{}, known...)
 }
 
-func startOperatedAs(t *testing.T, d *registry, op operator.File, known ...target) (addr string, tell func(method, path string) (int, string), stop func() error) {
+func startWithOperatorAPIAs(t *testing.T, d *registry, op operator.File, known ...target) (addr string, tell func(method, path string) (int, string), stop func() error) {
 	t.Helper()
 	log := &lines{}
 	addr, stop = startNodeConfigured(t, d, op, Reloads{}, slog.New(slog.NewTextHandler(log, nil)), func(c *Config) {
 		c.Operator, c.Sockets = "127.0.0.1:0", 128
 	}, known...)
-	at := log.door()
+	at := log.operatorAddr()
 	return addr, func(method, path string) (int, string) {
 		t.Helper()
 		r, err := http.NewRequest(method, "http://"+at+path, nil)
@@ -48,13 +48,13 @@
 	}, stop
 }
 
-// Guards the rule on drains for servers out by hand: nothing reaches one from the yes until
-// the call back, whatever the list says meanwhile.
-func TestServerOutByHand(t *testing.T) {
+// Guards the drain rule for manually cordoned servers: from the confirmation until the uncordon no request reaches
+// such a server, whatever discovery lists meanwhile.
+func TestManuallyCordonedServer(t *testing.T) {
 	t.Parallel()
 	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	d := newRegistry(t, listed(one, "s/1"), listed(two, "s2"))
-	addr, tell, _ := startOperated(t, d)
+	addr, tell, _ := startWithOperatorAPI(t, d)
 	by := func() map[string]int {
 		got := map[string]int{}
 		for range 40 {
@@ -82,7 +82,7 @@
 			t.Errorf("%s: %d %q", c.path, code, text)
 		}
 	}
-	// The list says that it serves, that it restarted, that it is gone and that it is back.
+	// The list reports that it restarted, that it is gone and that it is back.
 	e := listed(one, "s/1")
 	e.BootMs = time.Now().UnixMilli()
 	gone := e
@@ -91,27 +91,27 @@
 		d.change(change)
 		d.told(t)
 		if got := by(); got["1"] > 0 {
-			t.Fatalf("while out, listed as %s: %v", change.State, got)
+			t.Fatalf("while cordoned, listed as %s: %v", change.State, got)
 		}
 	}
 	if code, text := tell("POST", "/admin/uncordon/s%2F1"); code != 200 {
-		t.Errorf("back: %d %q", code, text)
+		t.Errorf("uncordon: %d %q", code, text)
 	}
-	waitFor(t, "server in use again", func() bool { return by()["1"] > 0 })
+	waitFor(t, "use of s/1 after the uncordon", func() bool { return by()["1"] > 0 })
 	d.change(gone)
 	d.told(t)
 	if code, _ := tell("POST", "/admin/cordon/s%2F1"); code != 200 {
-		t.Errorf("listed once and gone: %d", code)
+		t.Errorf("cordon of a server that has left the list: %d", code)
 	}
 }
 
-// Quiesced, /up says no at once; answers close their connections once fronts have seen that,
-// idle ones end, and nothing is turned back. The second call brings all of it back.
+// After a quiesce /up fails at once; answers close their connections once load balancers have had time to see that,
+// idle connections are closed, and no request is refused. A resume undoes all of it.
 func TestQuiesceAndResume(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, says(ok("1"), true))
 	d := newRegistry(t, listed(s, "s1"))
-	addr, tell, stop := startOperated(t, d)
+	addr, tell, stop := startWithOperatorAPI(t, d)
 	up := func() int {
 		resp, err := http.Get("http://" + addr + "/up")
 		if err != nil {
@@ -152,7 +152,7 @@
 		t.Errorf("health while quiesced: %d", code)
 	}
 	began := time.Now()
-	waitFor(t, "answers that close", func() bool {
+	waitFor(t, "answer that closes its connection", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -160,13 +160,13 @@
 		defer c.Close()
 		resp := ask(c)
 		if resp.StatusCode != 200 {
-			t.Errorf("quiesced, a request is answered %s", resp.Status)
+			t.Errorf("request while quiesced: answered %s", resp.Status)
 		}
 		return resp.Close
 	})
 	idle.SetReadDeadline(began.Add(3900 * time.Millisecond))
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end within 4 s", err)
+		t.Errorf("the idle connection: %v, want EOF within 4 s", err)
 	}
 	for range 2 {
 		if code, text := tell("POST", "/admin/resume"); code != 200 || up() != 200 {
@@ -179,9 +179,9 @@
 	}
 	defer c.Close()
 	if resp := ask(c); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("back at work: %s, closes %v", resp.Status, resp.Close)
+		t.Errorf("after resume: %s, closes %v", resp.Status, resp.Close)
 	}
-	// Told to end while quiesced, the node ends.
+	// A quiesced node still shuts down.
 	if code, _ := tell("POST", "/admin/quiesce"); code != 200 {
 		t.Errorf("quiesce: %d", code)
 	}
@@ -191,7 +191,7 @@
 	}
 }
 
-// An address where nothing can listen stops the start, and says which.
+// An operator address that is in use is a start-up error that names the setting.
 func TestOperatorAddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -204,9 +204,9 @@
 	}
 }
 
-// What is under way when the node is quiesced goes on to its end, however long it takes: an
-// answer that streams, and a body that is half sent. Its connection closes behind it.
-func TestQuiesceLeavesWhatIsUnderWay(t *testing.T) {
+// A quiesce does not interrupt requests in progress, however long they take: an answer that is being streamed, and a
+// request body that is half sent. The connection is closed after the answer.
+func TestQuiesceKeepsRequestsInProgress(t *testing.T) {
 	t.Parallel()
 	goOn := make(chan struct{})
 	const size = 200 << 10
@@ -221,7 +221,7 @@
 		io.WriteString(c, ok("posted"))
 		return true
 	})
-	addr, tell, _ := startOperated(t, newRegistry(t, listed(s, "s1")))
+	addr, tell, _ := startWithOperatorAPI(t, newRegistry(t, listed(s, "s1")))
 	streaming, err := http.DefaultClient.Do(clientRequest(t, addr, "read", "2.9"))
 	if err != nil {
 		t.Fatal(err)
@@ -242,25 +242,26 @@
 	}
 	defer idle.Close()
 	idle.SetReadDeadline(time.Now().Add(patience))
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // idle connections end: the node is well into its drain
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // idle connections are closed: the late phase of the quiesce
 		t.Fatal(err)
 	}
 	io.WriteString(posting, "67890")
 	resp, err := http.ReadResponse(bufio.NewReader(posting), nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("the body that was half sent: %v, %v", resp, err)
+		t.Errorf("the request with the half-sent body: %v, %v", resp, err)
 	}
 	close(goOn)
 	if text, err := io.ReadAll(streaming.Body); err != nil || len(text) != size {
-		t.Errorf("the answer that streamed: %d bytes, %v", len(text), err)
+		t.Errorf("the streamed answer: %d bytes, %v", len(text), err)
 	}
 }
 
-// busyLoop gives operations at a server s1 that is out, at a loop that hears nothing more until it is freed.
+// busyLoop returns operations with a server s1, to which out has been applied, and a core loop that is blocked until
+// free is called. serving returns the number of servers in use.
 func busyLoop(t *testing.T, out func(*operations) error) (o *operations, serving func() int, free func()) {
-	gate := make(chan struct{}) // the loop is busy with the dropped server's connections until then
+	unblock := make(chan struct{}) // blocks the loop in Drop until it is closed
 	l, err := core.New(core.Options{
-		Settings: siteOf(t, settings).Settings, Seed: 1, Clock: core.NewClock(), Watch: func() {}, Drop: func(core.Server) { <-gate },
+		Settings: siteOf(t, settings).Settings, Seed: 1, Clock: core.NewClock(), Watch: func() {}, Drop: func(core.Server) { <-unblock },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -272,7 +273,7 @@
 	if err := out(o); err != nil {
 		t.Fatal(err)
 	}
-	for range 256 { // all that the loop's queue holds
+	for range 256 { // fills the loop's queue
 		l.Share(1)
 	}
 	return o, func() int {
@@ -281,41 +282,41 @@
 			t.Fatal(err)
 		}
 		return len(v.Servers)
-	}, func() { close(gate) }
+	}, func() { close(unblock) }
 }
 
-// A call back that failed half-way, as the loop was too busy, takes effect when it is repeated.
-func TestRepeatedCallBackTakesEffect(t *testing.T) {
+// An uncordon that failed because the loop was busy takes effect when it is repeated.
+func TestRepeatedUncordonTakesEffect(t *testing.T) {
 	o, serving, free := busyLoop(t, func(o *operations) error { return o.Cordon(t.Context(), "s1", true) })
 	busy, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := o.Cordon(busy, "s1", false); err == nil {
-		t.Fatal("a busy loop takes a call back")
+		t.Fatal("the uncordon succeeded though the loop is blocked")
 	}
 	free()
 	if err := o.Cordon(t.Context(), "s1", false); err != nil {
 		t.Fatal(err)
 	}
 	if n := serving(); n != 1 {
-		t.Errorf("%d servers serve; the call back had no effect", n)
+		t.Errorf("%d servers in use, want 1: the uncordon had no effect", n)
 	}
 }
 
-// So does a word of the fleet's that is told again, though nothing in it is new by then.
-func TestRepeatedWordTakesEffect(t *testing.T) {
+// Fleet bans that failed because the loop was busy take effect when they are sent again, though the version is the same.
+func TestRepeatedFleetBansTakeEffect(t *testing.T) {
 	o, serving, free := busyLoop(t, func(o *operations) error {
-		return o.take(t.Context(), cordon.Word{Version: 1, Bans: []cordon.Ban{{ID: "s1"}}})
+		return o.applyFleet(t.Context(), cordon.Word{Version: 1, Bans: []cordon.Ban{{ID: "s1"}}})
 	})
 	busy, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := o.take(busy, cordon.Word{Version: 2}); err == nil {
-		t.Fatal("a busy loop takes a word")
+	if err := o.applyFleet(busy, cordon.Word{Version: 2}); err == nil {
+		t.Fatal("the bans were applied though the loop is blocked")
 	}
 	free()
-	if err := o.take(t.Context(), cordon.Word{Version: 2}); err != nil {
+	if err := o.applyFleet(t.Context(), cordon.Word{Version: 2}); err != nil {
 		t.Fatal(err)
 	}
 	if n := serving(); n != 1 {
-		t.Errorf("%d servers serve; the end of the ban had no effect", n)
+		t.Errorf("%d servers in use, want 1: the end of the ban had no effect", n)
 	}
 }
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -9,21 +9,21 @@
 	"otterstep/policy"
 )
 
-// A node that starts says that it is ready as soon as the first call for the list has ended, however it ends, on a clock
-// of the test's own: well within the 10 s that nine in ten restarted processes have.
-func TestReadyWhateverBecomesOfTheFirstCall(t *testing.T) {
+// A starting node becomes ready as soon as the first request for the list has ended, whatever its result; the test
+// controls the request's timeout. This is well within the 10 s in which 90 % of restarted processes have to be ready.
+func TestReadyAfterFirstDiscoveryRequest(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"pushed", "on_request"} {
-		for name, become := range map[string]func(h *hushed, c *call){
-			"silent": func(h *hushed, _ *call) { (*h.limit.Load())() },
-			"silent half-way": func(h *hushed, c *call) {
+		for name, finish := range map[string]func(h *hushed, c *call){
+			"no answer": func(h *hushed, _ *call) { (*h.limit.Load())() },
+			"incomplete answer": func(h *hushed, c *call) {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{")
 				(*h.limit.Load())()
 			},
-			"broken off":  func(_ *hushed, c *call) { c.Close() },
-			"turned away": func(_ *hushed, c *call) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
-			"no list":     func(_ *hushed, c *call) { c.say("[]") },
-			"a list":      func(_ *hushed, c *call) { c.say(answer(1, true)) },
+			"connection closed": func(_ *hushed, c *call) { c.Close() },
+			"status 503":        func(_ *hushed, c *call) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
+			"invalid list":      func(_ *hushed, c *call) { c.say("[]") },
+			"valid list":        func(_ *hushed, c *call) { c.say(answer(1, true)) },
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
 				t.Parallel()
@@ -32,13 +32,13 @@
 				f.want(t, policy.ListCached, 0)
 				c := h.next(t)
 				if took := <-h.took; took > 6*time.Second {
-					t.Errorf("the first call may take %v", took)
+					t.Errorf("the first request has a timeout of %v, want at most 6 s", took)
 				}
-				become(h, c)
+				finish(h, c)
 				select {
 				case <-f.ready:
 				case <-time.After(patience):
-					t.Fatal("never ready")
+					t.Fatal("the node did not become ready")
 				}
 			})
 		}
@@ -52,7 +52,7 @@
 			select {
 			case <-follow(t, l.Addr().String(), mode, hostList{}).ready:
 			case <-time.After(patience):
-				t.Fatal("never ready")
+				t.Fatal("the node did not become ready")
 			}
 		})
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,14 +7,14 @@
 	"reflect"
 )
 
-// Reloads says where a running node finds a new configuration, and when.
+// Reloads is the source of configuration reloads: the file, and the signals at which it is read.
 type Reloads struct {
 	Path    string
 	Signals <-chan os.Signal
 }
 
-// follow reads the file at each signal and hands discovery's address on. A file
-// that would not do at a start changes nothing. done is told how each reload ended.
+// follow reads the file at each signal and passes a changed discovery address to move. An invalid file changes
+// nothing. done is called with the result of each reload.
 func (r Reloads) follow(ctx context.Context, current Config, move func(addr string), done func(error), log *slog.Logger) {
 	for {
 		select {
@@ -24,7 +24,7 @@
 		}
 		next, err := LoadConfig(r.Path)
 		if err != nil {
-			log.Error("reload failed, the configuration stays", "err", err)
+			log.Error("reload failed, keeping the current configuration", "err", err)
 			done(err)
 			continue
 		}
@@ -35,7 +35,7 @@
 			"settings": reflect.DeepEqual(next.Site, current.Site),
 		} {
 			if !same {
-				log.Warn("reload: a change that takes a restart is left out", "what", what)
+				log.Warn("reload: ignoring a change that requires a restart", "what", what)
 			}
 		}
 		log.Info("reloaded", "discovery", next.Discovery)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,12 +15,12 @@
 	"testing"
 )
 
-// writeConfig puts a configuration with some discovery into the file.
+// writeConfig writes a configuration with the given discovery address to the file.
 func writeConfig(t *testing.T, path, discovery string) {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
-		"limits": map[string]any{"sockets": leastSockets}, "settings": json.RawMessage(settings),
+		"limits": map[string]any{"sockets": minSockets}, "settings": json.RawMessage(settings),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -30,18 +30,17 @@
 	}
 }
 
-// Guards rules 1 and 3 when the configuration changes under load: the watch at the
-// old address is broken off though it would go on, the list of the new one replaces
-// the old, and no request suffers. A file that is no good changes nothing.
-func TestReloadMovesDiscoveryUnderLoad(t *testing.T) {
+// Guards rules 1 and 3 when the discovery address changes under load: the running watch at the old address is
+// cancelled, the list of the new discovery replaces the old one, and no request fails. An invalid file changes nothing.
+func TestReloadChangesDiscoveryUnderLoad(t *testing.T) {
 	s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	old, next := newRegistry(t, listed(s1, "s1")), newRegistry(t, listed(s2, "s2"))
 	for range 5 {
-		old.change(listed(s1, "s1")) // a version that the other has never had
+		old.change(listed(s1, "s1")) // a revision that the other discovery has never had
 	}
 	hangups := make(chan os.Signal, 1)
 	path := filepath.Join(t.TempDir(), "config.json")
-	addr, _ := startNodeWith(t, old, Reloads{path, hangups})
+	addr, _ := startNodeWithReloads(t, old, Reloads{path, hangups})
 	old.told(t)
 
 	stop, answers := make(chan struct{}), sync.WaitGroup{}
@@ -71,9 +70,9 @@
 		t.Fatal(err)
 	}
 	hangups <- syscall.SIGHUP
-	waitFor(t, "signal taken", func() bool { return len(hangups) == 0 })
+	waitFor(t, "receipt of the signal", func() bool { return len(hangups) == 0 })
 	old.change(listed(s1, "s1"))
-	old.told(t) // the bad file left the watch in place
+	old.told(t) // the invalid file left the watch in place
 
 	writeConfig(t, path, next.Listener.Addr().String())
 	hangups <- syscall.SIGHUP
@@ -91,7 +90,7 @@
 	}
 }
 
-func TestReloadSaysWhatTakesARestart(t *testing.T) {
+func TestReloadReportsIgnoredChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, "127.0.0.1:2")
 	current, err := LoadConfig(path)
@@ -108,13 +107,13 @@
 		Reloads{path, hangups}.follow(ctx, current, func(addr string) { moved <- addr }, func(error) {}, slog.New(slog.NewTextHandler(&text, nil)))
 	}()
 	hangups <- syscall.SIGHUP
-	hangups <- syscall.SIGHUP // the same again moves nothing
+	hangups <- syscall.SIGHUP // an unchanged address causes no second move
 	stop()
 	<-ended
 	if len(moved) != 1 || <-moved != "127.0.0.1:2" {
 		t.Error("want one move, to the new address")
 	}
 	if !bytes.Contains(text.Bytes(), []byte("what=listen")) || bytes.Contains(text.Bytes(), []byte("what=settings")) {
-		t.Errorf("log %s, want the listen address named and nothing else", fmt.Sprint(&text))
+		t.Errorf("log %s, want listen named and settings not", fmt.Sprint(&text))
 	}
 }
--- a/internal/node/returning.go
+++ b/internal/node/returning.go
@@ -17,110 +17,111 @@
 )
 
 const (
-	// keepFrom is how long a node has to have served before it keeps anything but calls by hand: one that
-	// dies again and again at its start wears out no disk and spoils no file.
-	keepFrom = 5 * time.Second
-	// keepApart is the least time between two saves that changes of the list bring about.
-	keepApart = time.Second
+	// minUptime is how long a node has to run before it saves anything but manual cordons: a node in a crash
+	// loop neither wears out the disk nor overwrites good state.
+	minUptime = 5 * time.Second
+	// minSaveInterval is the minimum time between two saves caused by changes of the list.
+	minSaveInterval = time.Second
 )
 
-// returning keeps what this node needs when it comes back with nobody to ask, and brings it back.
-type returning struct {
-	every time.Duration
-	loop  *core.Loop
-	ops   *operations
-	disco *discovery
-	log   *slog.Logger
-	began time.Time
+// stateSaver saves the state that this node needs to restart without discovery, and restores it.
+type stateSaver struct {
+	interval  time.Duration
+	loop      *core.Loop
+	ops       *operations
+	discovery *discovery
+	log       *slog.Logger
+	startedAt time.Time
 
-	saving sync.Mutex // held over a save: the later call's word is the later one on the disk
+	saving sync.Mutex // held during a save, so that the later state is the later one on disk
 	store  *kept.Store
 
-	mu        sync.Mutex
-	was       *kept.View // what was found; nil: nothing
-	age       confidence.Age
-	said      []string // what was wrong with it
-	used      bool
-	servers   map[string]target // as discovery has them, or as kept until it was heard
-	rev       int64
-	confirmed confidence.Stamp
-	heard     bool
-	held      bool // by an operator: only calls by hand are written
-	doubted   int
-	changed   bool // since the latest save
-	saved     time.Time
-	failure   error // of the latest save
+	mu             sync.Mutex
+	current        *kept.View // state found at the start or last saved; nil if there is none
+	age            confidence.Age
+	problems       []string // problems with the files
+	used           bool
+	servers        map[string]target // from discovery, or the saved ones until it has answered
+	rev            int64
+	confirmed      confidence.Timestamp
+	discoveryHeard bool // discovery has answered
+	frozen         bool // frozen by an operator: only manual cordons are written
+	unconfirmed    int  // servers in use that discovery has not confirmed
+	changed        bool // since the latest save
+	saved          time.Time
+	failure        error // of the latest save
 }
 
-// newReturning opens what was kept.
-func newReturning(path string, every time.Duration, node string, l *core.Loop, ops *operations, disco *discovery, log *slog.Logger) *returning {
-	r := &returning{every: every, loop: l, ops: ops, disco: disco, log: log, began: time.Now(), servers: map[string]target{}}
-	r.store, r.was, r.said = kept.Open(record.OS{}, path, node)
-	if r.was != nil {
-		r.age, r.held = confidence.Between(r.was.Confirmed, stamp()), r.was.Held
+// newStateSaver opens the saved state.
+func newStateSaver(path string, every time.Duration, node string, l *core.Loop, ops *operations, discoveryClient *discovery, log *slog.Logger) *stateSaver {
+	r := &stateSaver{interval: every, loop: l, ops: ops, discovery: discoveryClient, log: log, startedAt: time.Now(), servers: map[string]target{}}
+	r.store, r.current, r.problems = kept.Open(record.OS{}, path, node)
+	if r.current != nil {
+		r.age, r.frozen = confidence.AgeBetween(r.current.Confirmed, currentStamp()), r.current.Held
 	}
-	ops.save = r.hand
+	ops.save = r.saveNow
 	return r
 }
 
-func stamp() confidence.Stamp {
-	return confidence.Stamp{Wall: time.Now(), Boot: kept.BootID(), SinceBoot: boottime.System{}.Now()}
+func currentStamp() confidence.Timestamp {
+	return confidence.Timestamp{Wall: time.Now(), Boot: kept.BootID(), SinceBoot: boottime.System{}.Now()}
 }
 
-// begin puts what was kept in place, ahead of the first request; false if the node has to go by known.
-func (r *returning) begin(ctx context.Context, known hostList) bool {
+// begin restores the saved state before the first request. It returns false if the node has to use the configured
+// list, known, instead.
+func (r *stateSaver) begin(ctx context.Context, known hostList) bool {
 	defer func() { go r.run(ctx) }()
-	r.disco.heard = r.hear
-	for _, s := range r.said {
+	r.discovery.heard = r.discoveryAnswered
+	for _, s := range r.problems {
 		r.log.Error("what was kept can't be used as a whole", "why", s)
 	}
-	v := r.was
+	v := r.current
 	if v == nil {
 		r.log.Info("nothing is kept from before")
 		return false
 	}
-	if len(v.Hand) > 0 { // a ban by hand never fades
+	if len(v.Hand) > 0 { // manual cordons do not expire
 		r.ops.merge(nil, v.Hand)
 	}
-	if v.Fleet != nil { // nor does one of the fleet's, until a later word
-		if err := r.ops.take(ctx, *v.Fleet); err != nil {
-			r.log.Error("the fleet's word that was kept is of no use", "err", err)
+	if v.Fleet != nil { // fleet bans hold until a later version arrives
+		if err := r.ops.applyFleet(ctx, *v.Fleet); err != nil {
+			r.log.Error("the fleet's word that was saved can't be used", "err", err)
 		}
 	}
-	var use []target
+	var usable []target
 	for _, s := range v.Servers {
 		line := confidence.Line{UID: s.UID, Endpoint: s.Endpoint, BootMs: s.BootMs}
 		t := target{UID: s.UID, Endpoint: s.Endpoint, AZ: s.Zone, PodGroup: s.Group, State: s.State, Model: s.Model, CapacityHint: s.Capacity, BootMs: s.BootMs}
 		if confidence.Judge(line, r.age, false, nil, nil) == confidence.Unconfirmed && t.check() == nil {
-			use = append(use, t)
+			usable = append(usable, t)
 		}
 	}
 	newer := known.All && len(known.Targets) > 0 && known.Rev >= v.Rev
-	r.log.Info("what was kept", "servers", len(v.Servers), "used", len(use), "age", r.age.For.Round(time.Second), "age_known", r.age.Sure, "rev", v.Rev, "by_hand", len(v.Hand), "given_list_newer", newer)
-	if newer || len(use) == 0 {
-		r.remember(ctx, v, nil)
+	r.log.Info("what was kept", "servers", len(v.Servers), "used", len(usable), "age", r.age.For.Round(time.Second), "age_known", r.age.Sure, "rev", v.Rev, "by_hand", len(v.Hand), "given_list_newer", newer)
+	if newer || len(usable) == 0 {
+		r.restoreMemory(ctx, v, nil)
 		return false
 	}
 	r.mu.Lock()
-	r.used, r.doubted = true, len(use)
+	r.used, r.unconfirmed = true, len(usable)
 	r.mu.Unlock()
-	r.disco.recall(use)
-	r.remember(ctx, v, use)
+	r.discovery.recall(usable)
+	r.restoreMemory(ctx, v, usable)
 	return true
 }
 
-// remember has the module recall what it had learnt, as far as that counts by now.
-func (r *returning) remember(ctx context.Context, v *kept.View, use []target) {
+// restoreMemory restores what the decision module had learnt, decayed by its age.
+func (r *stateSaver) restoreMemory(ctx context.Context, v *kept.View, usable []target) {
 	if v.Memory == nil {
 		return
 	}
 	fresh, err := r.loop.Learnt(ctx)
 	if err != nil {
-		return // it has stopped
+		return // the loop has stopped
 	}
 	now, clock := r.loop.Clock().Now(), r.loop.Clock()
-	ages := make(map[policy.ServerID]time.Duration, len(use))
-	for _, t := range use {
+	ages := make(map[policy.ServerID]time.Duration, len(usable))
+	for _, t := range usable {
 		if started := clock.FromUnixMs(t.BootMs); started > 0 {
 			ages[serverID(t.UID)] = max(1, now-started)
 		} else {
@@ -128,19 +129,19 @@
 		}
 	}
 	if err := r.loop.Recall(ctx, confidence.Fade(*v.Memory, fresh, r.age, ages)); err != nil {
-		r.log.Error("what was learnt before is of no use; this process learns anew", "err", err)
+		r.log.Error("the saved learnt state can't be used; this process starts without it", "err", err)
 	}
 }
 
-// hear is told that discovery has answered.
-func (r *returning) hear(rev int64) {
+// discoveryAnswered records an answer of discovery.
+func (r *stateSaver) discoveryAnswered(rev int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rev, r.confirmed, r.heard, r.doubted = rev, stamp(), true, 0
+	r.rev, r.confirmed, r.discoveryHeard, r.unconfirmed = rev, currentStamp(), true, 0
 }
 
-// listed follows the list.
-func (r *returning) listed(all bool, targets []target) {
+// listed records a list update.
+func (r *stateSaver) listed(all bool, targets []target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if all {
@@ -156,9 +157,9 @@
 	r.changed = true
 }
 
-// run saves by change and by age.
-func (r *returning) run(ctx context.Context) {
-	every := time.NewTicker(keepApart)
+// run saves after changes and at regular intervals.
+func (r *stateSaver) run(ctx context.Context) {
+	every := time.NewTicker(minSaveInterval)
 	defer every.Stop()
 	for {
 		select {
@@ -167,7 +168,7 @@
 		case <-every.C:
 		}
 		r.mu.Lock()
-		due := r.heard && !r.held && time.Since(r.began) >= keepFrom && (r.changed || time.Since(r.saved) >= r.every)
+		due := r.discoveryHeard && !r.frozen && time.Since(r.startedAt) >= minUptime && (r.changed || time.Since(r.saved) >= r.interval)
 		r.mu.Unlock()
 		if due {
 			r.save(ctx)
@@ -175,40 +176,40 @@
 	}
 }
 
-// hand saves at once: whoever called by hand hears yes once it is on the disk.
-func (r *returning) hand() { r.save(context.Background()) }
+// saveNow saves at once: an operator's call is confirmed only after it is on disk.
+func (r *stateSaver) saveNow() { r.save(context.Background()) }
 
-// save writes what is known now. Until discovery has been heard, servers and their age are as they
-// were kept: a node that dies before has not made them any younger.
-func (r *returning) save(ctx context.Context) {
+// save writes the current state. Until discovery has answered, the servers and their confirmation time are written
+// unchanged, so that restarts without discovery do not make them look newer.
+func (r *stateSaver) save(ctx context.Context) {
 	r.saving.Lock()
 	defer r.saving.Unlock()
 	r.write(ctx)
 }
 
-// keep does what an operator says with what is kept, and returns once that is on the disk. A node that goes
-// by what is forgotten goes on until discovery is heard, or it is restarted.
-func (r *returning) keep(k control.Keep) error {
+// command carries out an operator's command on the saved state, and returns once the change is on disk. After
+// KeepForget a node that started with the saved servers goes on using them until discovery answers or it is restarted.
+func (r *stateSaver) command(k control.Keep) error {
 	r.saving.Lock()
 	defer r.saving.Unlock()
 	r.mu.Lock()
-	before, heldBefore, heardBefore := r.was, r.held, r.heard
+	previous, wasFrozen, wasHeard := r.current, r.frozen, r.discoveryHeard
 	if k.Do == control.KeepForget {
-		r.was, r.heard = nil, false // until the next answer, or save
+		r.current, r.discoveryHeard = nil, false // so that the writes below save only manual cordons and fleet bans
 	} else {
-		r.held = k.Do == control.KeepHold
+		r.frozen = k.Do == control.KeepHold
 	}
 	r.mu.Unlock()
-	times := 1
+	writes := 1
 	if k.Do == control.KeepForget {
-		times = 2 // the generation before as well
+		writes = 2 // overwrite both generations
 	}
 	var err error
-	for range times {
+	for range writes {
 		r.write(context.Background())
 		r.mu.Lock()
 		if err = r.failure; err != nil {
-			r.was, r.held = before, heldBefore
+			r.current, r.frozen = previous, wasFrozen
 		}
 		r.mu.Unlock()
 		if err != nil {
@@ -217,23 +218,23 @@
 	}
 	r.mu.Lock()
 	if k.Do == control.KeepForget {
-		r.heard = r.heard || heardBefore
+		r.discoveryHeard = r.discoveryHeard || wasHeard
 	}
 	r.mu.Unlock()
-	r.log.Info("told what becomes of what is kept", "do", k.Do, "err", err)
+	r.log.Info("command on saved state", "do", k.Do, "err", err)
 	return err
 }
 
-// write does a save; saving is held.
-func (r *returning) write(ctx context.Context) {
-	hand, _ := r.ops.said()
+// write does a save. The caller holds saving.
+func (r *stateSaver) write(ctx context.Context) {
+	cordons, _ := r.ops.calls()
 	r.mu.Lock()
 	var v kept.View
-	if r.was != nil {
-		v = *r.was
+	if r.current != nil {
+		v = *r.current
 	}
-	v.Held = r.held
-	heard := r.heard && !r.held
+	v.Held = r.frozen
+	heard := r.discoveryHeard && !r.frozen
 	if heard {
 		v.Rev, v.By, v.Confirmed = r.rev, "discovery", r.confirmed
 		v.Servers = make([]kept.Server, 0, len(r.servers))
@@ -245,54 +246,54 @@
 	}
 	r.changed = false
 	r.mu.Unlock()
-	v.Hand, v.Saved = hand, stamp()
-	if w := r.ops.word(); w.Version > 0 {
+	v.Hand, v.Saved = cordons, currentStamp()
+	if w := r.ops.fleetBans(); w.Version > 0 {
 		v.Fleet = &w
 	}
 	if heard {
 		mem, err := r.loop.Learnt(ctx)
 		if err != nil {
-			return // it has stopped
+			return // the loop has stopped
 		}
 		v.Memory = &mem
 	}
 	err := r.store.Save(v)
 	if errors.Is(err, kept.ErrNotOwner) {
-		err = nil // the other process of this node writes
+		err = nil // the other process of this node writes the state
 	}
 	r.mu.Lock()
-	again := err != nil && r.failure != nil
+	repeated := err != nil && r.failure != nil
 	r.saved, r.failure = time.Now(), err
-	if err == nil && v.Saved != (confidence.Stamp{}) {
-		r.was = &v
+	if err == nil && v.Saved != (confidence.Timestamp{}) {
+		r.current = &v
 	}
 	r.mu.Unlock()
-	if err != nil && !again {
-		r.log.Error("what this node knows is not kept for its way back", "err", err)
+	if err != nil && !repeated {
+		r.log.Error("saving the node's state failed", "err", err)
 	}
 }
 
-// end writes what is known when the node has answered all that it took.
-func (r *returning) end(ctx context.Context) {
+// saveFinal saves the state at shutdown, after all requests have been answered.
+func (r *stateSaver) saveFinal(ctx context.Context) {
 	r.mu.Lock()
-	due := r.heard && !r.held && time.Since(r.began) >= keepFrom
+	due := r.discoveryHeard && !r.frozen && time.Since(r.startedAt) >= minUptime
 	r.mu.Unlock()
 	if due {
 		r.save(ctx)
 	}
 }
 
-// close lets another process of the node write.
-func (r *returning) close() { r.store.Close() }
+// close releases the state files, so that another process of the node can write them.
+func (r *stateSaver) close() { r.store.Close() }
 
-// inspect tells operators of the way back.
-func (r *returning) inspect() *control.Return {
+// inspect returns the status for the control socket.
+func (r *stateSaver) inspect() *control.Return {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := &control.Return{Heard: r.heard, Used: r.used, Said: r.said, Held: r.held, Doubted: r.doubted}
-	if r.was != nil {
-		v.Hand = len(r.was.Hand)
-		v.Servers, v.Rev, v.Saved = len(r.was.Servers), r.was.Rev, r.was.Saved.Wall
+	v := &control.Return{Heard: r.discoveryHeard, Used: r.used, Said: r.problems, Held: r.frozen, Doubted: r.unconfirmed}
+	if r.current != nil {
+		v.Hand = len(r.current.Hand)
+		v.Servers, v.Rev, v.Saved = len(r.current.Servers), r.current.Rev, r.current.Saved.Wall
 		v.AgeMs, v.AgeKnown = r.age.For.Milliseconds(), r.age.Sure
 	}
 	if r.failure != nil {
--- a/internal/node/returning_test.go
+++ b/internal/node/returning_test.go
@@ -10,16 +10,16 @@
 	"otterstep/internal/operator"
 )
 
-// A ban told just before the node is killed holds when it comes back with discovery away, and so does
-// the list; what discovery then says is above both. What is on the disk at the yes is all that the second
-// node gets.
-func TestBansAndListsOutliveANode(t *testing.T) {
+// A cordon made just before a node is killed, and the list, hold when it restarts while discovery is down; once
+// discovery answers, its list takes precedence over the saved one. The second node gets only the files that were on
+// disk when the call was confirmed.
+func TestCordonsAndListSurviveRestart(t *testing.T) {
 	t.Parallel()
 	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	d := newRegistry(t, listed(one, "s1"), listed(two, "s2"))
 	var op operator.File
 	op.Kept.File, op.Kept.Every.Duration = filepath.Join(t.TempDir(), "kept"), time.Second
-	_, tell, stop := startOperatedAs(t, d, op)
+	_, tell, stop := startWithOperatorAPIAs(t, d, op)
 	d.told(t)
 	if code, text := tell("POST", "/admin/cordon/s1"); code != http.StatusOK {
 		t.Fatalf("%d %s", code, text)
@@ -36,18 +36,18 @@
 		}
 	}
 
-	if err := stop(); err != nil { // else its watch is taken for the second node's
+	if err := stop(); err != nil { // otherwise its watch could be mistaken for the second node's
 		t.Fatal(err)
 	}
 	d.set(func() { d.down = true })
-	addr, tell, _ := startOperatedAs(t, d, next)
+	addr, tell, _ := startWithOperatorAPIAs(t, d, next)
 	by := func() map[string]int {
 		got := map[string]int{}
 		for range 20 {
 			switch code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code {
 			case http.StatusOK:
 				got[body]++
-			case http.StatusServiceUnavailable: // more than a server that is doubted, or cold, is sent
+			case http.StatusServiceUnavailable: // more requests than an unconfirmed or cold server is sent
 				got["refused"]++
 			default:
 				t.Errorf("answered %d", code)
@@ -56,10 +56,10 @@
 		return got
 	}
 	if got := by(); got["2"] == 0 || got["1"] > 0 {
-		t.Errorf("with discovery away: %v", got)
+		t.Errorf("while discovery is down: %v", got)
 	}
 	three := newServer(t, says(ok("3"), true))
-	d.set(func() { // s2 is another machine by now, and s1 has started anew
+	d.set(func() { // s2 has moved to another address, and s1 has restarted
 		d.down, d.rev = false, 7
 		moved, anew := listed(three, "s2"), listed(one, "s1")
 		anew.BootMs = time.Now().UnixMilli()
@@ -67,10 +67,10 @@
 	})
 	d.told(t)
 	if got := by(); got["3"] == 0 || got["1"]+got["2"] > 0 {
-		t.Errorf("as discovery says: %v", got)
+		t.Errorf("after discovery has answered: %v", got)
 	}
 	if code, text := tell("POST", "/admin/uncordon/s1"); code != http.StatusOK {
 		t.Fatalf("%d %s", code, text)
 	}
-	waitFor(t, "the server is in use again", func() bool { return by()["1"] > 0 })
+	waitFor(t, "use of s1 after the uncordon", func() bool { return by()["1"] > 0 })
 }
--- a/internal/node/sip_test.go
+++ b/internal/node/sip_test.go
@@ -13,10 +13,10 @@
 	"otterstep/internal/standin/sipua"
 )
 
-// With [sip] in the operator's file the node carries calls to the servers of its model
-// in discovery's list, and requests to the others; neither pool sees the other's
-// servers, inspect shows both, and a drain refuses new calls and keeps the old ones.
-func TestCallsBesideRequests(t *testing.T) {
+// With [sip] in the operator's file the node sends SIP calls to the servers of the configured model in discovery's
+// list, and HTTP requests to the others. Neither pool contains the other's servers, inspect shows both, and new calls to
+// a draining server are refused while existing dialogs go on.
+func TestSIPCallsAndRequests(t *testing.T) {
 	const limit = 10 * time.Second
 	desk, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: 50 * time.Millisecond}, sipua.Answer)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, stop := startNodeAs(t, d, op, Reloads{})
+	addr, stop := startNodeWithOperatorFile(t, d, op, Reloads{})
 	v, err := control.Inspect(t.Context(), socket)
 	if err != nil || v.SIP == nil || len(v.SIP.Servers) != 1 || v.SIP.Servers[0].Endpoint != desk.Addr() ||
 		len(v.Servers) != 1 || v.Servers[0].Endpoint == desk.Addr() {
@@ -58,7 +58,7 @@
 		t.Errorf("GET: %d", code)
 	}
 
-	// Told that the server drains, the node begins nothing new there.
+	// Once discovery reports that the server drains, the node starts no new calls there.
 	entry.State = "terminating"
 	d.change(entry)
 	for end := time.Now().Add(500 * time.Millisecond); ; {
@@ -66,11 +66,11 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("500 ms after it was told: %+v, %v", v.SIP, err)
+			t.Fatalf("500 ms after the change: %+v, %v", v.SIP, err)
 		}
 	}
 	if code := caller.Send(sipua.Request{Method: "INVITE"}).Final(limit); code != 503 {
-		t.Errorf("a call with the only server draining: %d", code)
+		t.Errorf("INVITE while the only server drains: %d", code)
 	}
 	if n := desk.Count("INVITE", ""); n != 1 {
 		t.Errorf("%d INVITEs", n)
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -22,66 +22,66 @@
 )
 
 const (
-	holdsEvery   = 10 * time.Millisecond // how often a process that gives lets go, and tells what it has left
-	givingIdle   = 4                     // connections to servers that it keeps beside those in use
-	confirmed    = time.Second           // the predecessor may take to confirm that it gives
-	leastCarried = 8                     // descriptors for clients or servers, whatever the other process holds
+	reportInterval  = 10 * time.Millisecond // how often the predecessor closes idle connections and reports how many are left
+	handingOverIdle = 4                     // idle connections to servers that the predecessor keeps
+	confirmTimeout  = time.Second           // time for the predecessor to confirm that it has stopped accepting
+	minDescriptors  = 8                     // minimum of descriptors for clients and for servers, whatever the other process uses
 )
 
-// succession makes this process and another one, from which it takes over or to which it
-// hands over, one node. A node that opens its own listening socket has none.
-type succession struct {
-	cfg     Config
-	gate    *handover.Gate
-	ops     *operations
-	clients *clients
-	pool    *upstream
-	front   *front
-	log     *slog.Logger
-	path    string      // of the Unix socket
-	kept    *record.Log // what operators said, for a process that finds no other one; nil: it can't be kept
+// handoverManager lets this process and another one, from which it takes over or to which it hands over, act as one
+// node. A node that opened its own listening socket has none.
+type handoverManager struct {
+	cfg      Config
+	listener *handover.PausableListener
+	ops      *operations
+	clients  *clients
+	pool     *upstream
+	front    *front
+	log      *slog.Logger
+	path     string      // path of the Unix socket
+	calls    *record.Log // the operators' calls, for a process that finds no running one; nil if the file can't be opened
 
-	ending atomic.Bool // nothing is accepted here any more, whatever the role
+	ending atomic.Bool // connections are no longer accepted, whatever the role
 
-	mu    sync.Mutex
-	role  handover.Role
-	link  *handover.Link // nil while the process is alone
-	holds handover.Holds // of the other one
+	mu        sync.Mutex
+	role      handover.Role
+	link      *handover.Link      // nil while the process is alone
+	peerConns handover.ConnCounts // connections of the other process
 }
 
-// begin finds out what was there before: what operators said is in force ahead of the first
-// request. No error keeps the node from serving.
-func (s *succession) begin(ctx context.Context, dir string) {
-	s.ops.passOn = s.tell
-	s.ops.keep = s.keep
+// begin loads the operators' calls from the file and from a running process, so that they are in force before the
+// first request. No error keeps the node from serving.
+func (s *handoverManager) begin(ctx context.Context, dir string) {
+	s.ops.forward = s.sendConfirmed
+	s.ops.persist = s.persist
 	if dir == "" {
-		s.log.Warn("no handover: $TMPDIR is not set, so that processes can't meet")
+		s.log.Warn("no handover: $TMPDIR is not set, so processes can't find each other")
 		return
 	}
 	base := filepath.Join(dir, "otterstep-"+url.PathEscape(s.cfg.Name))
-	if len(base)+len(".sock"+unixsock.Fresh) > unixsock.PathMost {
-		s.log.Warn("no handover: $TMPDIR is too long for a Unix socket", "path", base, "most", unixsock.PathMost)
+	if len(base)+len(".sock"+unixsock.TempSuffix) > unixsock.MaxPathLen {
+		s.log.Warn("no handover: $TMPDIR is too long for a Unix socket", "path", base, "most", unixsock.MaxPathLen)
 		return
 	}
 	s.path = base + ".sock"
-	s.recall(base + ".hand")
-	defer s.keep() // a damaged file was put aside, and the other process may know more
+	s.loadCalls(base + ".hand")
+	defer s.persist() // a damaged file was moved aside, and the other process may have sent more
 	link, err := handover.Dial(s.path, s.state())
 	if err != nil {
-		s.log.Error("the process that serves can't be asked; it and this one act apart", "err", err)
+		s.log.Error("no handover: can't connect to the serving process; both act independently", "err", err)
 		return
 	}
 	if link == nil {
 		return
 	}
-	if !s.meet(ctx, link, handover.FoundOther) {
+	if !s.attach(ctx, link, handover.EventPredecessorFound) {
 		return
 	}
-	s.log.Info("taking over", "left_out", len(link.Peer().Hand))
+	s.log.Info("taking over", "left_out", len(link.Peer().ManualCordons))
 }
 
-// recall reads what operators said to processes before.
-func (s *succession) recall(path string) {
+// loadCalls reads the operators' calls that earlier processes stored.
+func (s *handoverManager) loadCalls(path string) {
 	log, found, err := record.Open(record.OS{}, path, s.cfg.Name, func(e json.RawMessage) error {
 		var st handover.State
 		if err := json.Unmarshal(e, &st); err != nil {
@@ -91,164 +91,165 @@
 		return nil
 	})
 	if err != nil {
-		s.log.Error("what operators said can't be kept for the next process", "err", err)
+		s.log.Error("operators' calls can't be stored for the next process", "err", err)
 		return
 	}
 	if found.Aside != "" {
-		s.log.Error("what operators said before can't be read: look through it, servers may have been left out by hand",
+		s.log.Error("stored operators' calls can't be read: check the file, servers may have been cordoned",
 			"kept", found.Aside, "why", found.Why)
 	}
-	s.kept = log
+	s.calls = log
 }
 
-// state is what operators have said so far.
-func (s *succession) state() handover.State {
-	hand, known := s.ops.said()
-	st := handover.State{Name: s.cfg.Name, Hand: hand, Known: known, Drained: s.ops.life.Drained()}
-	if w := s.ops.word(); w.Version > 0 {
-		st.Word = &w
+// state returns the operators' latest calls and the fleet's bans.
+func (s *handoverManager) state() handover.State {
+	cordons, delisted := s.ops.calls()
+	st := handover.State{Name: s.cfg.Name, ManualCordons: cordons, Delisted: delisted, Quiesce: s.ops.life.QuiesceState()}
+	if w := s.ops.fleetBans(); w.Version > 0 {
+		st.FleetBans = &w
 	}
 	return st
 }
 
-// keep puts it on the disk. Nothing depends on it while the process lives.
-func (s *succession) keep() {
+// persist writes the state to disk, for a later process.
+func (s *handoverManager) persist() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.kept == nil {
+	if s.calls == nil {
 		return
 	}
-	if err := s.kept.Rewrite(s.state()); err != nil {
-		s.log.Error("what operators said is not kept for a process that meets no other one", "err", err)
+	if err := s.calls.Rewrite(s.state()); err != nil {
+		s.log.Error("operators' calls were not stored for a later process", "err", err)
 	}
 }
 
-// merge takes over what the other process knows.
-func (s *succession) merge(st handover.State) {
-	s.ops.merge(st.Known, st.Hand)
-	s.ops.life.Merge(time.Now(), st.Drained)
-	if st.Word != nil {
-		s.word(*st.Word)
+// merge applies the state of another process.
+func (s *handoverManager) merge(st handover.State) {
+	s.ops.merge(st.Delisted, st.ManualCordons)
+	s.ops.life.Merge(time.Now(), st.Quiesce)
+	if st.FleetBans != nil {
+		s.mergeFleet(*st.FleetBans)
 	}
 }
 
-// word takes in what the fleet told the other process. One that is older than what was told here is no news.
-func (s *succession) word(w cordon.Word) {
-	if err := s.ops.take(context.Background(), w); err != nil && !errors.Is(err, cordon.ErrOld) {
-		s.log.Error("the fleet's word, as another process was told, is not in force here", "err", err)
+// mergeFleet applies fleet bans that another process received. Bans that are older than those here are ignored.
+func (s *handoverManager) mergeFleet(w cordon.Word) {
+	if err := s.ops.applyFleet(context.Background(), w); err != nil && !errors.Is(err, cordon.ErrOutdated) {
+		s.log.Error("the fleet's word, received from another process, is not in force here", "err", err)
 	}
 }
 
-// meet makes a link the process's own, and gives it up when the other process ends; false if
-// there is another one.
-func (s *succession) meet(ctx context.Context, link *handover.Link, e handover.Event) bool {
+// attach makes link the current link until the other process ends. It returns false if there already is a link or
+// the event is not possible in the current role.
+func (s *handoverManager) attach(ctx context.Context, link *handover.Link, e handover.Event) bool {
 	s.mu.Lock()
-	if s.link != nil || s.role.After(e) == s.role {
+	if s.link != nil || s.role.Next(e) == s.role {
 		s.mu.Unlock()
 		return false
 	}
 	s.link = link
 	s.mu.Unlock()
-	s.become(e)
+	s.transition(e)
 	s.merge(link.Peer())
 	go func() {
-		err := link.Run(ctx, s.hear)
+		err := link.Run(ctx, s.receive)
 		s.mu.Lock()
-		s.link, s.holds = nil, handover.Holds{}
+		s.link, s.peerConns = nil, handover.ConnCounts{}
 		s.mu.Unlock()
-		s.become(handover.OtherGone)
+		s.transition(handover.EventPeerGone)
 		s.log.Info("the other process is gone", "why", err)
 	}()
 	return true
 }
 
-// hear takes what the other process says.
-func (s *succession) hear(m handover.Message) error {
+// receive handles a message of the other process.
+func (s *handoverManager) receive(m handover.Message) error {
 	switch {
 	case m.Entry != nil:
 		s.ops.merge(nil, []cordon.Entry{*m.Entry})
-		s.keep()
-		if s.ops.save != nil { // the one of both processes that owns the file writes it
+		s.persist()
+		if s.ops.save != nil { // of both processes, only the one that holds the lock writes the state file
 			s.ops.save()
 		}
-	case m.Word != nil:
-		s.word(*m.Word)
-		s.keep()
-	case m.Drained != nil:
-		s.ops.life.Merge(time.Now(), *m.Drained)
-		s.keep()
-	case m.Holds != nil:
+	case m.FleetBans != nil:
+		s.mergeFleet(*m.FleetBans)
+		s.persist()
+	case m.Quiesce != nil:
+		s.ops.life.Merge(time.Now(), *m.Quiesce)
+		s.persist()
+	case m.Conns != nil:
 		s.mu.Lock()
-		s.holds = *m.Holds
+		s.peerConns = *m.Conns
 		s.mu.Unlock()
-		s.settle()
+		s.adjustLimits()
 	case m.Memory != nil:
 		if err := s.ops.loop.Recall(context.Background(), *m.Memory); err != nil {
-			s.log.Error("what the predecessor has learnt is of no use; this process learns anew", "err", err)
+			s.log.Error("the predecessor's learnt state can't be used; this process starts without it", "err", err)
 		}
 	case m.Serving:
-		s.become(handover.HeirServes)
-		s.pass()
+		s.transition(handover.EventSuccessorServing)
+		s.sendMemory()
 	}
-	return nil // what a later version says besides is not for this one
+	return nil // messages of a newer version are ignored
 }
 
-// pass gives the heir what this process's module has learnt: it serves as many as this one did
+// sendMemory sends the successor what this process's decision module has learnt, so that it can carry the full load
 // from its first request on.
-func (s *succession) pass() {
+func (s *handoverManager) sendMemory() {
 	mem, err := s.ops.loop.Pass(context.Background())
 	if err != nil {
-		return // it has stopped
+		return // the loop has stopped
 	}
 	s.mu.Lock()
 	link := s.link
 	s.mu.Unlock()
 	if link != nil {
-		_ = link.Say(handover.Message{Memory: &mem}) // an heir that is gone needs nothing
+		_ = link.Send(handover.Message{Memory: &mem}) // fails only if the successor is gone
 	}
 }
 
-// tell has the other process take something in, if there is one.
-func (s *succession) tell(ctx context.Context, m handover.Message) error {
+// sendConfirmed sends a message to the other process, if there is one, and waits until it has taken effect.
+func (s *handoverManager) sendConfirmed(ctx context.Context, m handover.Message) error {
 	s.mu.Lock()
 	link := s.link
 	s.mu.Unlock()
 	if link == nil {
 		return nil
 	}
-	if err := link.Tell(ctx, m); err != nil && !errors.Is(err, handover.ErrGone) {
+	if err := link.SendConfirmed(ctx, m); err != nil && !errors.Is(err, handover.ErrPeerGone) {
 		return err
 	}
 	return nil
 }
 
-// ready is called once this process can serve. An heir tells its predecessor, which accepts
-// nothing from then on; then it accepts.
-func (s *succession) ready(ctx context.Context) {
+// ready is called once this process can serve. A successor first tells its predecessor, which stops accepting, and
+// then starts to accept.
+func (s *handoverManager) ready(ctx context.Context) {
 	s.mu.Lock()
-	heir := s.role == handover.Heir
+	isSuccessor := s.role == handover.Successor
 	s.mu.Unlock()
-	if heir {
-		within, cancel := context.WithTimeout(ctx, confirmed)
+	if isSuccessor {
+		confirmCtx, cancel := context.WithTimeout(ctx, confirmTimeout)
 		defer cancel()
-		if err := s.tell(within, handover.Message{Serving: true}); err != nil {
-			s.log.Error("the predecessor does not confirm; both accept", "err", err)
+		if err := s.sendConfirmed(confirmCtx, handover.Message{Serving: true}); err != nil {
+			s.log.Error("the predecessor does not confirm that it has stopped accepting; both processes accept", "err", err)
 		}
-		s.become(handover.Serves)
+		s.transition(handover.EventServing)
 	}
 	if s.path == "" {
 		return
 	}
-	place, err := handover.Take(s.path)
+	listener, err := handover.Listen(s.path)
 	if err != nil {
-		s.log.Error("no later process can take over from this one", "err", err)
+		s.log.Error("no handover: can't listen for a later process", "err", err)
 		return
 	}
-	go s.await(ctx, place)
+	go s.acceptSuccessors(ctx, listener)
 }
 
-// await waits for heirs. One that comes while there is a predecessor waits until that is gone.
-func (s *succession) await(ctx context.Context, place *handover.Place) {
+// acceptSuccessors serves the handover socket. A successor that connects while there is a predecessor waits until
+// the predecessor is gone.
+func (s *handoverManager) acceptSuccessors(ctx context.Context, listener *handover.Listener) {
 	s.mu.Lock()
 	link := s.link
 	s.mu.Unlock()
@@ -256,58 +257,59 @@
 		select {
 		case <-link.Done():
 		case <-ctx.Done():
-			place.Close()
+			listener.Close()
 			return
 		}
 	}
-	err := place.Serve(ctx, s.state, func(ctx context.Context, link *handover.Link) {
-		if s.meet(ctx, link, handover.HeirCame) {
+	err := listener.Serve(ctx, s.state, func(ctx context.Context, link *handover.Link) {
+		if s.attach(ctx, link, handover.EventSuccessorConnected) {
 			<-link.Done()
 		}
-	}, func(err error) { s.log.Error("a process that would take over can't be talked to", "err", err) })
+	}, func(err error) { s.log.Error("handover: connection of a new process failed", "err", err) })
 	if err != nil {
-		s.log.Error("no later process can take over from this one", "err", err)
+		s.log.Error("no handover: can't listen for a later process", "err", err)
 	}
 }
 
-// become changes the role and all that goes by it.
-func (s *succession) become(e handover.Event) {
+// transition changes the role and everything that depends on it.
+func (s *handoverManager) transition(e handover.Event) {
 	s.mu.Lock()
-	before := s.role
-	s.role = s.role.After(e)
+	previous := s.role
+	s.role = s.role.Next(e)
 	role, link := s.role, s.link
 	s.mu.Unlock()
-	if role == before {
+	if role == previous {
 		return
 	}
 	s.log.Info("handover", "role", role.String())
-	s.front.giving.Store(role == handover.Giving)
-	s.gate.Set(role.Accepts() && !s.ending.Load())
-	s.ops.loop.Share(role.Room())
+	s.front.giving.Store(role == handover.HandingOver)
+	s.listener.SetOpen(role.Accepts() && !s.ending.Load())
+	s.ops.loop.Share(role.LoadShare())
 	if s.cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(role.Memory() * float64(memoryLimit(s.cfg.MemoryMB))))
-		s.front.bodies.most.Store(int64(role.Memory() * float64(bodyLimit(s.cfg.MemoryMB))))
+		debug.SetMemoryLimit(int64(role.MemoryShare() * float64(memoryLimit(s.cfg.MemoryMB))))
+		s.front.bodies.most.Store(int64(role.MemoryShare() * float64(bodyLimit(s.cfg.MemoryMB))))
 	}
-	s.settle()
-	if role == handover.Giving {
-		go s.report(link)
+	s.adjustLimits()
+	if role == handover.HandingOver {
+		go s.reportConns(link)
 	}
 }
 
-// report lets go of what a process that gives needs no more, and tells the heir what is left,
-// until either ends. The heir's room is what this one leaves: clients come back at the heir
-// as fast as they are answered here, and would wait unheard if it heard late of their going.
-func (s *succession) report(link *handover.Link) {
-	every := time.NewTicker(holdsEvery)
+// reportConns runs in the predecessor: it closes connections that are no longer needed and reports the remaining ones to
+// the successor, until either process ends. The successor may use the descriptors that are left: clients reconnect
+// to it as fast as they are answered here, and would wait in the accept queue if it learnt late of closed
+// connections.
+func (s *handoverManager) reportConns(link *handover.Link) {
+	every := time.NewTicker(reportInterval)
 	defer every.Stop()
-	told := handover.Holds{}
+	reported := handover.ConnCounts{}
 	for {
 		s.clients.trim()
 		open, idle := s.pool.pool.Count()
-		s.pool.pool.SetMost(open - idle + givingIdle)
+		s.pool.pool.SetMost(open - idle + handingOverIdle)
 		open, _ = s.pool.pool.Count()
-		if now := (handover.Holds{Clients: s.clients.connected(), Servers: open}); now != told {
-			if told = now; link.Say(handover.Message{Holds: &told}) != nil {
+		if now := (handover.ConnCounts{Clients: s.clients.connected(), Servers: open}); now != reported {
+			if reported = now; link.Send(handover.Message{Conns: &reported}) != nil {
 				return
 			}
 		}
@@ -319,49 +321,49 @@
 	}
 }
 
-// settle keeps both processes together within the node's limits.
-func (s *succession) settle() {
+// adjustLimits sets the connection limits so that both processes together stay within the node's limit.
+func (s *handoverManager) adjustLimits() {
 	s.mu.Lock()
-	role, holds := s.role, s.holds
+	role, holds := s.role, s.peerConns
 	s.mu.Unlock()
-	own := otherSockets + doorSockets
-	servers, clients := split(s.cfg.Sockets - own)
+	reserved := reservedDescriptors + operatorDescriptors
+	servers, clients := splitDescriptors(s.cfg.Sockets - reserved)
 	switch role {
-	case handover.Attended, handover.Heir:
-		servers, clients = split(s.cfg.Sockets - 2*own)
-	case handover.Taking:
-		servers, clients = split(s.cfg.Sockets - 2*own - holds.Servers - holds.Clients)
-	case handover.Giving: // it accepts no more, and report lets go
+	case handover.AwaitingSuccessor, handover.Successor:
+		servers, clients = splitDescriptors(s.cfg.Sockets - 2*reserved)
+	case handover.TookOver:
+		servers, clients = splitDescriptors(s.cfg.Sockets - 2*reserved - holds.Servers - holds.Clients)
+	case handover.HandingOver: // it no longer accepts, and reportConns closes its connections
 		return
 	}
-	s.pool.pool.SetMost(max(servers, leastCarried))
-	s.clients.setDescriptors(max(clients, leastCarried))
+	s.pool.pool.SetMost(max(servers, minDescriptors))
+	s.clients.setDescriptors(max(clients, minDescriptors))
 }
 
-// accepts tells whether a process that was told to end so long ago may still get clients: for a
-// while, unless another one accepts in its place; and whoever was accepted before is to be
-// seen first.
-func (s *succession) accepts(ending time.Duration) bool {
+// accepts reports whether a process that was told to end the given time ago may still get new connections: for
+// life.AcceptWindow, unless a successor accepts instead, and then until all accepted connections have been returned by the
+// listener.
+func (s *handoverManager) accepts(sinceTermination time.Duration) bool {
 	s.mu.Lock()
-	gives := s.role == handover.Giving
+	handingOver := s.role == handover.HandingOver
 	s.mu.Unlock()
-	if ending < life.AcceptFor && !gives {
+	if sinceTermination < life.AcceptWindow && !handingOver {
 		return true
 	}
 	s.ending.Store(true)
-	s.gate.Set(false)
-	return !s.gate.Parked()
+	s.listener.SetOpen(false)
+	return !s.listener.Paused()
 }
 
-// inherited opens the clients' socket: the platform's, if it holds one.
-func inherited(cfg Config) (*handover.Gate, error) {
-	text, held := os.LookupEnv(handover.Variable)
-	if !held || text == "" {
+// inheritedListener returns the listening socket that the platform holds, or nil if it holds none.
+func inheritedListener(cfg Config) (*handover.PausableListener, error) {
+	text, set := os.LookupEnv(handover.ListenFDVariable)
+	if !set || text == "" {
 		return nil, nil
 	}
-	gate, err := handover.Inherit(text, cfg.Listen)
+	listener, err := handover.Inherit(text, cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	return gate, nil
+	return listener, nil
 }
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -25,12 +25,12 @@
 	"otterstep/internal/operator"
 )
 
-// platform holds a clients' socket and starts processes on it, here all in one.
+// platform holds the clients' listening socket and starts nodes that inherit it, all within the test process.
 type platform struct {
-	t      *testing.T
-	socket *net.TCPListener
-	cfg    Config
-	op     operator.File
+	t        *testing.T
+	listener *net.TCPListener
+	cfg      Config
+	op       operator.File
 }
 
 func newPlatform(t *testing.T, d *registry) *platform {
@@ -40,27 +40,27 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	dir, err := os.MkdirTemp("", "up") // a short path, for the Unix socket
+	dir, err := os.MkdirTemp("", "up") // a short path, because of the length limit of Unix sockets
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	return &platform{t: t, socket: l.(*net.TCPListener), cfg: Config{
+	return &platform{t: t, listener: l.(*net.TCPListener), cfg: Config{
 		Name: "n0", Listen: l.Addr().String(), Discovery: d.Listener.Addr().String(), Seed: 1, Temp: dir,
 		Sockets: 384, MemoryMB: 64, Known: hostList{Rev: 1, All: true}, Site: siteOf(t, settings),
 	}}
 }
 
-// process is one that runs.
+// process is a running node.
 type process struct {
-	t     *testing.T
-	at    string // its door
-	stop  context.CancelFunc
-	ended chan error
-	log   *lines
+	t            *testing.T
+	operatorAddr string // address of its operator API
+	stop         context.CancelFunc
+	ended        chan error
+	log          *lines
 }
 
-// lines is a log that tests read.
+// lines is a log that tests can read while it is written.
 type lines struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -78,8 +78,8 @@
 	return l.text.String()
 }
 
-// door gives the address of the operators' door, once the log tells it.
-func (l *lines) door() string {
+// operatorAddr returns the address of the operator API from the log, or "" if it is not logged yet.
+func (l *lines) operatorAddr() string {
 	_, rest, _ := strings.Cut(l.String(), "operators' door\" listen=")
 	at, _, _ := strings.Cut(rest, "\n")
 	return at
@@ -87,7 +87,7 @@
 
 func (p *platform) start() *process {
 	p.t.Helper()
-	f, err := p.socket.File()
+	f, err := p.listener.File()
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	gate, err := handover.Inherit(fmt.Sprint(fd), p.cfg.Listen)
+	listener, err := handover.Inherit(fmt.Sprint(fd), p.cfg.Listen)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -105,18 +105,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &process{p.t, "", stop, make(chan error, 1), &lines{}}
 	go func() {
-		r.ended <- serve(ctx, cfg, p.op, gate, Reloads{}, slog.New(slog.NewTextHandler(r.log, nil)))
+		r.ended <- serve(ctx, cfg, p.op, listener, Reloads{}, slog.New(slog.NewTextHandler(r.log, nil)))
 	}()
 	waitFor(p.t, "operators' door", func() bool {
-		r.at = r.log.door()
-		return r.at != ""
+		r.operatorAddr = r.log.operatorAddr()
+		return r.operatorAddr != ""
 	})
 	return r
 }
 
-// tell makes one call at the process's door; 0 if nobody answers.
+// tell sends one request to the process's operator API and returns the status, 0 if there is no answer.
 func (r *process) tell(method, path string) int {
-	req, err := http.NewRequest(method, "http://"+r.at+path, nil)
+	req, err := http.NewRequest(method, "http://"+r.operatorAddr+path, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -128,17 +128,17 @@
 	return resp.StatusCode
 }
 
-// yes makes a call that has to be answered so.
-func (r *process) yes(path string) {
+// mustPost sends a POST that has to be answered with 200.
+func (r *process) mustPost(path string) {
 	r.t.Helper()
 	if code := r.tell("POST", path); code != http.StatusOK {
 		r.t.Fatalf("%s: %d, %s", path, code, r.log)
 	}
 }
 
-func (r *process) awaitYes() {
+func (r *process) awaitReady() {
 	r.t.Helper()
-	waitFor(r.t, "process that can serve", func() bool { return r.tell("GET", "/admin/health") == 200 })
+	waitFor(r.t, "ready process", func() bool { return r.tell("GET", "/admin/health") == 200 })
 }
 
 func (r *process) end() {
@@ -149,14 +149,14 @@
 	}
 }
 
-// Guards requests over an upgrade: thirty in a row under load, with clients that keep their
-// connections and clients that don't; nothing is lost, doubled or turned back unheard.
-func TestUpgradesInARow(t *testing.T) {
+// Guards requests during upgrades: in thirty upgrades in a row under load, with clients that reuse connections and
+// clients that do not, no request is lost, executed twice or refused a connection.
+func TestConsecutiveUpgrades(t *testing.T) {
 	var mu sync.Mutex
-	ran := map[string]int{}
+	executions := map[string]int{}
 	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		mu.Lock()
-		ran[r.Header.Get("X-Correlation-Id")]++
+		executions[r.Header.Get("X-Correlation-Id")]++
 		mu.Unlock()
 		io.WriteString(c, ok("x"))
 		return true
@@ -164,8 +164,8 @@
 	d := newRegistry(t, listed(s, "s1"))
 	p := newPlatform(t, d)
 	p.cfg.Known.Targets = []target{listed(s, "s1")}
-	now := p.start()
-	now.awaitYes()
+	current := p.start()
+	current.awaitReady()
 	ctx, cancel := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	var served atomic.Int64
@@ -193,7 +193,7 @@
 					return
 				}
 				io.Copy(io.Discard, resp.Body)
-				// A refusal is an answer: a busy machine may slow the one server down.
+				// A refusal counts as an answer: on a busy machine the only server may be slow.
 				if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 					t.Errorf("answered %d", resp.StatusCode)
 				}
@@ -210,29 +210,29 @@
 	}
 	for i := range 30 {
 		next := p.start()
-		next.awaitYes()
-		now.end()
-		now = next
+		next.awaitReady()
+		current.end()
+		current = next
 		for at := served.Load(); served.Load() < at+5 && !t.Failed(); {
 			time.Sleep(time.Millisecond)
 		}
 		if t.Failed() {
-			t.Fatalf("upgrade %d: %s", i, now.log)
+			t.Fatalf("upgrade %d: %s", i, current.log)
 		}
 	}
 	cancel()
 	clients.Wait()
-	now.end()
-	for id, n := range ran {
+	current.end()
+	for id, n := range executions {
 		if n != 1 {
 			t.Errorf("request %s ran %d times", id, n)
 		}
 	}
 }
 
-// Bans by hand and quiesce hold over upgrades, whichever process was told, and also for a
-// process that meets no other one.
-func TestOperatorsWordsOutliveProcesses(t *testing.T) {
+// Manual cordons and quiesce hold across upgrades, whichever process received the call, and also for a process that
+// finds no running one.
+func TestOperatorCallsSurviveUpgrades(t *testing.T) {
 	t.Parallel()
 	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	d := newRegistry(t, listed(one, "s1"), listed(two, "s2"))
@@ -244,7 +244,7 @@
 			r := clientRequest(t, p.cfg.Listen, "read", "2.5")
 			r.Close = true
 			code, _, body := do(t, r)
-			if code != http.StatusOK && code != http.StatusServiceUnavailable { // what has come back is cold
+			if code != http.StatusOK && code != http.StatusServiceUnavailable { // an uncordoned server is cold and may refuse
 				t.Errorf("answered %d", code)
 			}
 			got[body]++
@@ -252,27 +252,27 @@
 		return got
 	}
 	first := p.start()
-	first.awaitYes()
-	first.yes("/admin/cordon/s1")
+	first.awaitReady()
+	first.mustPost("/admin/cordon/s1")
 	second := p.start()
-	second.awaitYes()
+	second.awaitReady()
 	if got := served(); got["1"] > 0 {
-		t.Fatalf("out before the upgrade: %v", got)
+		t.Fatalf("s1 was cordoned before the upgrade: %v", got)
 	}
-	// In the middle, the old process is told of one server and the new one of the other.
-	first.yes("/admin/cordon/s2")
-	second.yes("/admin/uncordon/s1")
+	// During the handover, each process receives a call for a different server.
+	first.mustPost("/admin/cordon/s2")
+	second.mustPost("/admin/uncordon/s1")
 	if got := served(); got["2"] > 0 {
-		t.Errorf("out in the middle, told to the old process: %v", got)
+		t.Errorf("s2 was cordoned during the handover, at the old process: %v", got)
 	}
 	first.end()
-	second.yes("/admin/uncordon/s2")
-	second.yes("/admin/cordon/s1")
-	second.yes("/admin/quiesce")
+	second.mustPost("/admin/uncordon/s2")
+	second.mustPost("/admin/cordon/s1")
+	second.mustPost("/admin/quiesce")
 	third := p.start()
-	third.awaitYes()
+	third.awaitReady()
 	if got := served(); got["1"] > 0 {
-		t.Errorf("out after two upgrades: %v", got)
+		t.Errorf("s1 was cordoned before the second upgrade: %v", got)
 	}
 	up := func() int {
 		resp, err := http.Get("http://" + p.cfg.Listen + "/up")
@@ -283,25 +283,25 @@
 		return resp.StatusCode
 	}
 	if up() != 503 {
-		t.Error("the upgrade has undone the quiesce")
+		t.Error("the quiesce was lost in the upgrade")
 	}
-	second.yes("/admin/resume")
+	second.mustPost("/admin/resume")
 	if up() != 200 {
-		t.Error("the old process's resume does not reach the new one")
+		t.Error("the resume at the old process did not reach the new one")
 	}
 	second.end()
 	third.end()
-	fourth := p.start() // nobody was there to tell it
-	fourth.awaitYes()
+	fourth := p.start() // no other process is running
+	fourth.awaitReady()
 	if got := served(); got["1"] > 0 {
-		t.Errorf("out, and told by the file alone: %v", got)
+		t.Errorf("the cordon of s1 was not read from the file: %v", got)
 	}
 	fourth.end()
 }
 
-// Two processes of a node keep one file, which the older one writes: a ban that is told to its heir is on the
-// disk too, and a call back told to the older one; behind its end the heir writes.
-func TestKeptFileOfTwoProcesses(t *testing.T) {
+// Two processes of a node share the state files, which the predecessor writes: cordons made at the successor and
+// uncordons made at the predecessor both reach the disk; after the predecessor's end the successor writes.
+func TestStateFilesOfTwoProcesses(t *testing.T) {
 	t.Parallel()
 	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	d := newRegistry(t, listed(one, "s1"), listed(two, "s2"))
@@ -310,44 +310,45 @@
 	p.op.Kept.File, p.op.Kept.Every.Duration = filepath.Join(t.TempDir(), "kept"), time.Second
 	out := func(uid string, want bool) {
 		t.Helper()
-		waitFor(t, fmt.Sprint("word on the disk: ", uid, " is out: ", want), func() bool {
+		waitFor(t, fmt.Sprint("state on disk with ", uid, " cordoned: ", want), func() bool {
 			s, v, _ := kept.Open(record.OS{}, p.op.Kept.File, p.cfg.Name)
 			defer s.Close()
 			return v != nil && slices.ContainsFunc(v.Hand, func(e cordon.Entry) bool { return e.ID == uid && e.Out == want })
 		})
 	}
 	first := p.start()
-	first.awaitYes()
+	first.awaitReady()
 	second := p.start()
-	second.awaitYes()
-	second.yes("/admin/cordon/s1")
+	second.awaitReady()
+	second.mustPost("/admin/cordon/s1")
 	out("s1", true)
-	second.yes("/admin/cordon/s2")
+	second.mustPost("/admin/cordon/s2")
 	out("s2", true)
-	first.yes("/admin/uncordon/s2")
+	first.mustPost("/admin/uncordon/s2")
 	out("s2", false)
 	first.end()
-	second.yes("/admin/cordon/s2")
+	second.mustPost("/admin/cordon/s2")
 	out("s2", true)
 	second.end()
 }
 
-// An heir that ends before its yes changes nothing, and a later one works.
-func TestHeirThatDiesEarly(t *testing.T) {
+// A successor that dies before or just after reporting that it serves does not interrupt service, and a later
+// successor works.
+func TestSuccessorThatDiesEarly(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, says(ok("x"), true))
 	d := newRegistry(t, listed(s, "s1"))
 	p := newPlatform(t, d)
 	old := p.start()
-	old.awaitYes()
-	heir, err := handover.Dial(filepath.Join(p.cfg.Temp, "otterstep-n0.sock"), handover.State{Name: "n0"})
-	if err != nil || heir == nil {
-		t.Fatalf("%v, %v", heir, err)
+	old.awaitReady()
+	successor, err := handover.Dial(filepath.Join(p.cfg.Temp, "otterstep-n0.sock"), handover.State{Name: "n0"})
+	if err != nil || successor == nil {
+		t.Fatalf("%v, %v", successor, err)
 	}
 	ctx, kill := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- heir.Run(ctx, func(handover.Message) error { return nil }) }()
-	waitFor(t, "heir that is seen", func() bool { return strings.Contains(old.log.String(), "role=attended") })
+	go func() { ended <- successor.Run(ctx, func(handover.Message) error { return nil }) }()
+	waitFor(t, "connected successor in the log", func() bool { return strings.Contains(old.log.String(), "role=attended") })
 	ask := func() {
 		t.Helper()
 		r := clientRequest(t, p.cfg.Listen, "book", "2.5")
@@ -357,22 +358,22 @@
 		}
 	}
 	ask()
-	// The worst moment: it has told that it serves, and dies before it accepts anything.
-	if err := heir.Tell(ctx, handover.Message{Serving: true}); err != nil {
+	// The worst moment: it has reported that it serves, and dies before it accepts anything.
+	if err := successor.SendConfirmed(ctx, handover.Message{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
 	kill()
 	<-ended
 	ask()
 	next := p.start()
-	next.awaitYes()
+	next.awaitReady()
 	old.end()
 	ask()
 	next.end()
 }
 
-// What is left in $TMPDIR that can't be read is told and kept aside.
-func TestTornStateIsKeptAside(t *testing.T) {
+// An unreadable handover file in $TMPDIR is logged and moved aside.
+func TestDamagedCallsFileIsMovedAside(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, says(ok("x"), true))
 	d := newRegistry(t, listed(s, "s1"))
@@ -383,21 +384,21 @@
 			t.Fatal(err)
 		}
 		r := p.start()
-		r.awaitYes()
+		r.awaitReady()
 		r.end()
 		if text != "" && !strings.Contains(r.log.String(), "can't be read") {
-			t.Errorf("%q: the log says nothing: %s", text, r.log)
+			t.Errorf("%q: nothing was logged: %s", text, r.log)
 		}
 	}
 	if _, err := os.Stat(base + ".damaged"); err != nil {
 		t.Error(err)
 	}
-	// With the file put aside, the next one holds what the process that serves knows.
+	// With the file moved aside, the next process gets the calls from the running one and stores them.
 	if err := os.WriteFile(base, []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	old := p.start()
-	old.awaitYes()
+	old.awaitReady()
 	if code := old.tell("POST", "/admin/cordon/s1"); code != 200 {
 		t.Errorf("cordon: %d", code)
 	}
@@ -405,11 +406,11 @@
 		t.Fatal(err)
 	}
 	next := p.start()
-	next.awaitYes()
+	next.awaitReady()
 	if text, err := os.ReadFile(base); err != nil || !strings.Contains(string(text), `"s1"`) {
-		t.Errorf("the file does not hold the ban: %s, %v", text, err)
+		t.Errorf("the file does not contain the cordon: %s, %v", text, err)
 	}
-	// A call back of what was never out is nothing that the other process can't take in.
+	// An uncordon of a server that was never cordoned is accepted by the other process too.
 	if code := next.tell("POST", "/admin/uncordon/s1"); code != 200 {
 		t.Errorf("uncordon: %d", code)
 	}
@@ -418,7 +419,7 @@
 	}
 	old.end()
 	next.end()
-	// Bans that don't fit are told of too.
+	// Entries that are rejected are logged.
 	ops := newOperations(nil, nil, quiet())
 	log := &lines{}
 	ops.log = slog.New(slog.NewTextHandler(log, nil))
@@ -428,9 +429,9 @@
 	}
 }
 
-// A further attempt that waits in the old process when the new one takes over, and a keyed
-// repeat of it, are the old one's to end: answered once, and in time.
-func TestUpgradeLeavesWhatWaits(t *testing.T) {
+// A retry that is pending in the old process when the new one takes over is carried out by the old process: the
+// request is answered once, and both attempts have its idempotency key.
+func TestUpgradeCompletesPendingRetry(t *testing.T) {
 	t.Parallel()
 	failed := make(chan struct{}, 4)
 	var ran sync.Map
@@ -447,7 +448,7 @@
 	d := newRegistry(t, listed(s, "s1"), listed(s, "s2"))
 	p := newPlatform(t, d)
 	old := p.start()
-	old.awaitYes()
+	old.awaitReady()
 	answered := make(chan string, 1)
 	go func() {
 		code, _, body := do(t, clientRequest(t, p.cfg.Listen, "push", "2.9"))
@@ -455,8 +456,8 @@
 	}()
 	<-failed
 	next := p.start()
-	next.awaitYes()
-	old.end() // it waits for what it has taken
+	next.awaitReady()
+	old.end() // it waits for the requests that it has accepted
 	if got := <-answered; got != "200 again" {
 		t.Errorf("answered %s", got)
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator's file: all of a node that the platform's
-// configuration does not know of, and that is off unless this file switches it on.
+// Package operator reads the operator's file: settings of a node that are not part of the platform's
+// configuration. Every feature in it is off unless the file enables it.
 package operator
 
 import (
@@ -12,41 +12,41 @@
 	"otterstep/internal/web"
 )
 
-// KeptEvery is how old what a node keeps may become, unless the file says otherwise.
-const KeptEvery = 30 * time.Second
+// DefaultKeptInterval is the default interval between saves of a node's state.
+const DefaultKeptInterval = 30 * time.Second
 
-// FleetWaitMost bounds how long a node may hold back for the fleet's word.
-const FleetWaitMost = 30 * time.Second
+// MaxFleetWait is the longest time that a node may be configured to wait for the fleet's bans before it serves.
+const MaxFleetWait = 30 * time.Second
 
-// File is the operator's file; its zero value is a node with everything off.
+// File is the operator's file; its zero value disables everything.
 type File struct {
 	Control struct {
-		// Socket is the path of the Unix socket that answers inspect; "" for none.
+		// Socket is the path of the control socket, a Unix socket; "" for none.
 		Socket string `toml:"socket"`
 	} `toml:"control"`
 	Drain struct {
-		// TellUp makes /up answer 503 from the first moment of a drain, so that
-		// clients that follow it go elsewhere before connections end.
+		// TellUp makes /up answer 503 from the start of a drain, so that clients that poll it
+		// go elsewhere before their connections are closed.
 		TellUp bool `toml:"tell_up"`
 	} `toml:"drain"`
 	Kept struct {
-		// File is the path, without its endings, of what the node keeps for its way back; "" for nothing.
+		// File is the path, without suffixes, of the node's state files; "" for none.
 		File string `toml:"file"`
-		// Every is how old it may become while nothing changes.
+		// Every is the interval between saves while nothing changes.
 		Every tomlfile.Duration `toml:"every"`
 	} `toml:"kept"`
 	Fleet struct {
-		// Wait is how long the node holds back from serving for the fleet's word, which its agent brings over
-		// the control socket; 0: the node takes none.
+		// Wait is how long the node waits before it serves for the fleet's bans, which its agent sends over
+		// the control socket; 0 means that the node accepts none.
 		Wait tomlfile.Duration `toml:"wait"`
 	} `toml:"fleet"`
-	// SIP is the front for calls, off without a listener.
+	// SIP is the SIP front, off without a listener.
 	SIP sip.Config `toml:"sip"`
-	// Web are the fronts for ordinary HTTP, none if the file has none.
+	// Web are the fronts for ordinary HTTP.
 	Web []web.Config `toml:"web"`
 }
 
-// Load reads and checks the file at path; "" is the zero File.
+// Load reads and checks the file at path; for "" it returns the zero File.
 func Load(path string) (File, error) {
 	var file File
 	if path == "" {
@@ -59,26 +59,26 @@
 	if s := file.Control.Socket; s != "" {
 		switch {
 		case !filepath.IsAbs(s):
-			f.Bad("control.socket", "%q is no absolute path", s)
-		case len(s) > unixsock.PathMost:
-			f.Bad("control.socket", "%d bytes long, a socket's path holds at most %d", len(s), unixsock.PathMost)
+			f.Bad("control.socket", "%q is not an absolute path", s)
+		case len(s) > unixsock.MaxPathLen:
+			f.Bad("control.socket", "path is %d bytes long, a Unix socket's path can have at most %d", len(s), unixsock.MaxPathLen)
 		}
 	}
 	switch k := &file.Kept; {
 	case k.File != "" && !filepath.IsAbs(k.File):
-		f.Bad("kept.file", "%q is no absolute path", k.File)
+		f.Bad("kept.file", "%q is not an absolute path", k.File)
 	case k.File == "" && k.Every.Duration != 0:
-		f.Bad("kept.every", "nothing is kept without kept.file")
+		f.Bad("kept.every", "has no effect without kept.file")
 	case k.File != "" && k.Every.Duration == 0:
-		k.Every.Duration = KeptEvery
+		k.Every.Duration = DefaultKeptInterval
 	case k.File != "" && k.Every.Duration < time.Second:
-		f.Bad("kept.every", "%v would wear the disk out, 1s is the least", k.Every.Duration)
+		f.Bad("kept.every", "%v would write to the disk too often, the minimum is 1s", k.Every.Duration)
 	}
 	switch w := file.Fleet.Wait.Duration; {
-	case w < 0 || w > FleetWaitMost:
-		f.Bad("fleet.wait", "%v, up to %v can be", w, FleetWaitMost)
+	case w < 0 || w > MaxFleetWait:
+		f.Bad("fleet.wait", "%v, the maximum is %v", w, MaxFleetWait)
 	case w > 0 && file.Control.Socket == "":
-		f.Bad("fleet.wait", "the fleet's word comes over control.socket, which is not given")
+		f.Bad("fleet.wait", "needs control.socket, over which the fleet's word is received")
 	}
 	file.SIP.Check(f)
 	web.CheckAll(f, file.Web)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,8 +11,8 @@
 	"otterstep/internal/unixsock"
 )
 
-// The file that is handed out switches nothing on.
-func TestHandedOutFileSwitchesNothingOn(t *testing.T) {
+// The operator file in deploy/ enables nothing.
+func TestDeployedFileEnablesNothing(t *testing.T) {
 	for _, path := range []string{"", "../../deploy/operator.toml"} {
 		if f, err := Load(path); err != nil || !reflect.DeepEqual(f, File{}) {
 			t.Errorf("%q: %+v, %v", path, f, err)
@@ -20,24 +20,25 @@
 	}
 }
 
-// Its commented lines are keys that there are; the files that those of SIP name are not.
-func TestCommentedKeysAreTaken(t *testing.T) {
+// The commented settings in deploy/operator.toml are valid keys. The files that the SIP settings name do not exist,
+// so only the syntax is checked.
+func TestCommentedKeysAreValid(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var on []string
+	var settings []string
 	for line := range strings.Lines(string(text)) {
 		rest, commented := strings.CutPrefix(line, "# ")
 		if commented && (strings.HasPrefix(rest, "[") || strings.Contains(rest, " = ")) {
-			on = append(on, rest)
+			settings = append(settings, rest)
 		}
 	}
 	var f File
-	if err := tomlfile.Parse("operator.toml", []byte(strings.Join(on, "")), &f).Err(); err != nil {
+	if err := tomlfile.Parse("operator.toml", []byte(strings.Join(settings, "")), &f).Err(); err != nil {
 		t.Fatal(err)
 	}
-	if f.Control.Socket == "" || f.Kept.File == "" || f.Kept.Every.Duration != KeptEvery || !f.Drain.TellUp || !f.SIP.On() || f.SIP.Limits.Message.Bytes != 16<<10 || f.SIP.Class.Other.Aim.Duration == 0 ||
+	if f.Control.Socket == "" || f.Kept.File == "" || f.Kept.Every.Duration != DefaultKeptInterval || !f.Drain.TellUp || !f.SIP.On() || f.SIP.Limits.Message.Bytes != 16<<10 || f.SIP.Class.Other.Aim.Duration == 0 ||
 		len(f.Web) != 1 || len(f.Web[0].Servers) != 1 || f.Web[0].Class[0].Deadline.Duration == 0 {
 		t.Errorf("%+v", f)
 	}
@@ -45,7 +46,7 @@
 
 func TestLongSocketPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
-	if err := os.WriteFile(path, []byte("[control]\nsocket = \"/"+strings.Repeat("x", unixsock.PathMost)+"\"\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte("[control]\nsocket = \"/"+strings.Repeat("x", unixsock.MaxPathLen)+"\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), ":2: control.socket") {
@@ -53,12 +54,12 @@
 	}
 }
 
-func TestWrongKept(t *testing.T) {
+func TestInvalidKeptAndFleet(t *testing.T) {
 	for text, want := range map[string]string{
-		"[kept]\nfile = \"here\"\n": ":2: kept.file: \"here\" is no absolute path", "[kept]\nevery = \"2s\"\n": ":2: kept.every: nothing is kept",
+		"[kept]\nfile = \"here\"\n": ":2: kept.file: \"here\" is not an absolute path", "[kept]\nevery = \"2s\"\n": ":2: kept.every: has no effect without kept.file",
 		"[kept]\nfile = \"/x\"\nevery = \"1ms\"\n":             ":3: kept.every: 1ms",
-		"[fleet]\nwait = \"2s\"\n":                             ":2: fleet.wait: the fleet's word comes over control.socket",
-		"[control]\nsocket = \"/x\"\n[fleet]\nwait = \"1m\"\n": ":4: fleet.wait: 1m0s, up to 30s can be",
+		"[fleet]\nwait = \"2s\"\n":                             ":2: fleet.wait: needs control.socket",
+		"[control]\nsocket = \"/x\"\n[fleet]\nwait = \"1m\"\n": ":4: fleet.wait: 1m0s, the maximum is 30s",
 	} {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -70,8 +71,8 @@
 	}
 }
 
-// All that is wrong with a front for ordinary HTTP is told with its line and key.
-func TestWrongWeb(t *testing.T) {
+// All errors of a [[web]] table are reported with line and key.
+func TestInvalidWeb(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	text := `[[web]]
 name = "a b"
@@ -111,7 +112,7 @@
 		":14: web[1].class[1].deadline", "rule[1].path", "rule[1].class", "web[1].upstream", "web[1].limits.kept", "did you mean", "web[2]: no servers", "web[2].cert",
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("nothing of %s in\n%v", want, err)
+			t.Errorf("missing %s in\n%v", want, err)
 		}
 	}
 }
--- a/internal/unixsock/unixsock.go
+++ b/internal/unixsock/unixsock.go
@@ -1,4 +1,4 @@
-// Package unixsock opens Unix sockets that only their owner may use.
+// Package unixsock opens Unix domain sockets that only their owner can access.
 package unixsock
 
 import (
@@ -8,30 +8,31 @@
 	"os"
 )
 
-// PathMost is what a Unix socket's address holds, in bytes; see unix(7).
-const PathMost = 107
+// MaxPathLen is the longest path of a Unix socket address, in bytes; see unix(7).
+const MaxPathLen = 107
 
-// Fresh is what Listen adds to a path for a moment: a path has to leave room for it.
-const Fresh = ".new"
+// TempSuffix is appended to the path while Listen creates the socket; a path has to leave room for it.
+const TempSuffix = ".new"
 
-// Listen opens a socket at path, in place of what is there. It is made under another name
-// first, so that nobody connects before its mode is set, and whoever had the path keeps it
-// until then. Closing the listener leaves the path alone: by then it may be another's.
+// Listen opens a socket at path and replaces what is there. The socket is created under a temporary
+// name and renamed, so that nobody can connect before its mode is set and the previous owner keeps the
+// path until then. Closing the listener does not remove the path, which may belong to another process
+// by then.
 func Listen(path string) (*net.UnixListener, error) {
-	if err := os.Remove(path + Fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(path + TempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path + Fresh, Net: "unix"})
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path + TempSuffix, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	l.SetUnlinkOnClose(false)
-	if err = os.Chmod(path+Fresh, 0o600); err == nil {
-		err = os.Rename(path+Fresh, path)
+	if err = os.Chmod(path+TempSuffix, 0o600); err == nil {
+		err = os.Rename(path+TempSuffix, path)
 	}
 	if err != nil {
 		l.Close()
-		os.Remove(path + Fresh)
+		os.Remove(path + TempSuffix)
 		return nil, err
 	}
 	return l, nil
