--- a/cmd/otterstep/main_test.go
+++ b/cmd/otterstep/main_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Guards rule 1 during a reload and a planned restart: under load, every request on a connection made before the node
-// stopped accepting gets its complete answer, and the exit code is 0.
+// Guards against lost requests during a reload and a planned restart (rule 1): under load, every request on a
+// connection made before the node stopped accepting gets its complete answer, and the exit code is 0.
 func TestSignalsUnderLoadLoseNoRequests(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -82,7 +82,7 @@
 	AgeKnown bool      `json:"age_known"`
 	Said     []string  `json:"said,omitempty"`    // problems with the files
 	Failure  string    `json:"failure,omitempty"` // error of the latest save
-	Held     bool      `json:"held,omitempty"`    // frozen: only manual cordons are written
+	Held     bool      `json:"held,omitempty"`    // frozen: only manual cordons and fleet bans are written
 	Hand     int       `json:"hand"`              // saved manual cordons and uncordons
 	Doubted  int       `json:"doubted"`           // servers in use that discovery has not confirmed
 }
@@ -120,8 +120,8 @@
 
 // The values of Keep.Do.
 const (
-	KeepForget  = "forget"  // delete servers and statistics from the disk; manual cordons stay
-	KeepHold    = "hold"    // freeze the files, except for manual cordons
+	KeepForget  = "forget"  // delete servers and statistics from the disk; manual cordons and fleet bans stay
+	KeepHold    = "hold"    // freeze the files, except for manual cordons and fleet bans
 	KeepRelease = "release" // undo hold
 )
 
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -14,7 +14,7 @@
 // Bounds. A server that has left the list may still be named until maxGone further servers have left it.
 const (
 	maxGone    = 4096
-	maxEntries = 4096 // servers with a manual call
+	maxEntries = 4096 // servers that were cordoned or uncordoned manually
 	maxIDBytes = 1024
 )
 
@@ -24,7 +24,7 @@
 	ErrTooMany     = errors.New("too many servers are cordoned manually, uncordon some first")
 )
 
-// Entry is the latest manual call for a server.
+// Entry is the latest manual cordon or uncordon of a server.
 type Entry struct {
 	ID    string    `json:"id"`
 	Out   bool      `json:"out"`   // cordoned
@@ -40,7 +40,7 @@
 	return e.Out && !o.Out
 }
 
-// Set holds the operators' latest calls and the fleet's bans. Make it with New. It is not safe for concurrent use.
+// Set holds the manual cordons and the fleet's bans. Make it with New. It is not safe for concurrent use.
 type Set struct {
 	listed    map[string]struct{}
 	gone      map[string]struct{}
@@ -95,7 +95,7 @@
 	}
 }
 
-// Apply applies a manual call for a server: out cordons it, else it is uncordoned. A repeated call changes nothing.
+// Apply cordons a server, if out is set, or uncordons it, as requested by an operator. A repeated call changes nothing.
 func (s *Set) Apply(now time.Time, id string, out bool) (e Entry, changed bool, err error) {
 	e, named := s.entries[id]
 	_, listed := s.listed[id]
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -18,7 +18,7 @@
 	maxMessageSize = 16 << 20
 )
 
-// State is the operators' latest calls and the fleet's bans, as one process sends them to the other.
+// State is the manual cordons, the quiesce state and the fleet's bans, as one process sends them to the other.
 type State struct {
 	Name          string            `json:"name"`            // node name
 	ManualCordons []cordon.Entry    `json:"hand"`            // manual cordons
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -50,7 +50,7 @@
 	Rev           int64                `json:"rev"`       // discovery's revision
 	Servers       []Server             `json:"servers"`
 	Hand          []cordon.Entry       `json:"hand,omitempty"` // manual cordons
-	Held          bool                 `json:"held,omitempty"` // frozen by an operator: only manual cordons are updated
+	Held          bool                 `json:"held,omitempty"` // frozen by an operator: only manual cordons and fleet bans are updated
 	Memory        *policy.Memory       `json:"memory,omitempty"`
 	Fleet         *cordon.Word         `json:"fleet,omitempty"` // latest fleet bans
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleetbans.go
@@ -91,10 +91,10 @@
 // inspect returns the status for the control socket.
 func (f *fleetBans) inspect() *control.Fleet {
 	w := f.ops.fleetBans()
-	missing, byHand, listed := f.ops.fleetStatus()
+	missing, cordoned, listed := f.ops.fleetStatus()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	status := &control.Fleet{Version: w.Version, Token: w.Token, Since: f.since, Sure: f.sure, Bans: len(w.Bans), Listed: listed, Missing: missing, Hand: byHand}
+	status := &control.Fleet{Version: w.Version, Token: w.Token, Since: f.since, Sure: f.sure, Bans: len(w.Bans), Listed: listed, Missing: missing, Hand: cordoned}
 	if !f.waitOver {
 		status.Waits = fmt.Sprintf("for the fleet's word, up to %v", f.wait)
 	}
--- a/internal/node/succession.go
+++ b/internal/node/handover.go
@@ -101,7 +101,7 @@
 	s.calls = log
 }
 
-// state returns the operators' latest calls and the fleet's bans.
+// state returns the manual cordons, the quiesce state and the fleet's bans.
 func (s *handoverManager) state() handover.State {
 	cordons, delisted := s.ops.calls()
 	st := handover.State{Name: s.cfg.Name, ManualCordons: cordons, Delisted: delisted, Quiesce: s.ops.life.QuiesceState()}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -353,7 +353,7 @@
 	}
 }
 
-// Guards rule 3: no request goes to a server after discovery has reported that it drains.
+// No request is sent to a server after discovery has reported that it drains (rule 3).
 func TestDrainFromDiscovery(t *testing.T) {
 	s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	d := newRegistry(t, listed(s1, "s1"), listed(s2, "s2"))
@@ -446,8 +446,9 @@
 	}
 }
 
-// Guards rule 1 during a drain: a client that goes on using its connection is answered each time, until an answer
-// closes the connection; a request accepted before is answered too, and Run returns nil.
+// Guards against requests that a drain leaves unanswered (rule 1): a client that goes on using its connection is
+// answered each time, until an answer closes the connection; a request accepted before is answered too, and Run returns
+// nil.
 func TestDrainServesOpenConnections(t *testing.T) {
 	came, release := make(chan struct{}), make(chan struct{})
 	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
@@ -580,8 +581,8 @@
 	}
 }
 
-// Guards rule 1 against SIGKILL at the end of a drain: a late request is answered before, however far its deadline
-// is away.
+// Guards against requests that SIGKILL leaves unanswered at the end of a drain (rule 1): a late request is answered
+// before, however far its deadline is away.
 func TestDrainLimitsDeadlines(t *testing.T) {
 	s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		c.Read(make([]byte, 1)) // sends nothing until the node closes the connection
@@ -623,8 +624,8 @@
 
 const mostClients = 24 // of a node with the minimum of descriptors
 
-// Guards rule 1 at the descriptor limit: if a connection is left in the kernel's accept queue, the kernel accepts its
-// request but nobody answers it. Seen under overload with 256 descriptors: 12,640 requests lost.
+// Guards against lost requests at the descriptor limit (rule 1): if a connection is left in the kernel's accept queue,
+// the kernel accepts its request but nobody answers it. Seen under overload with 256 descriptors: 12,640 requests lost.
 func TestClientBeyondTheCapIsRefusedAtOnce(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -167,7 +167,7 @@
 
 // fleetStatus returns the banned servers that are not in the list, the servers that are cordoned manually, and the
 // number of listed servers.
-func (o *operations) fleetStatus() (missing, byHand []string, listed int) {
+func (o *operations) fleetStatus() (missing, cordoned []string, listed int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, b := range o.cordons.Word().Bans {
@@ -177,10 +177,10 @@
 	}
 	for _, e := range o.cordons.Entries() {
 		if e.Out {
-			byHand = append(byHand, e.ID)
+			cordoned = append(cordoned, e.ID)
 		}
 	}
-	return missing, byHand, o.cordons.ListedCount()
+	return missing, cordoned, o.cordons.ListedCount()
 }
 
 // Quiesce implements door.Node.
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// Guards rules 1 and 3 when the discovery address changes under load: the running watch at the old address is
-// cancelled, the list of the new discovery replaces the old one, and no request fails. An invalid file changes nothing.
+// When the discovery address changes under load, the running watch at the old address is cancelled, the list of the new
+// discovery replaces the old one, no request fails (rule 1) and none goes to a server that the new list does not name
+// (rule 3). An invalid file changes nothing.
 func TestReloadChangesDiscoveryUnderLoad(t *testing.T) {
 	s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
 	old, next := newRegistry(t, listed(s1, "s1")), newRegistry(t, listed(s2, "s2"))
--- a/internal/node/ending_test.go
+++ b/internal/node/shutdown_test.go
@@ -75,9 +75,9 @@
 	})
 }
 
-// Guards rule 1 against SIGKILL, which comes 3.7 s after SIGTERM however far deadlines are away: every request that was
-// read has its complete answer by then, whether it came before SIGTERM, right after it or shortly before the end. The
-// test takes 3.6 s of real time.
+// Guards against requests that SIGKILL leaves unanswered (rule 1). It comes 3.7 s after SIGTERM, however far deadlines
+// are away: every request that was read has its complete answer by then, whether it came before SIGTERM, right after it
+// or shortly before the end. The test takes 3.6 s of real time.
 func TestShutdownCompletesBeforeKill(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 64)
--- a/internal/node/returning.go
+++ b/internal/node/statesaver.go
@@ -45,7 +45,7 @@
 	rev            int64
 	confirmed      confidence.Timestamp
 	discoveryHeard bool // discovery has answered
-	frozen         bool // frozen by an operator: only manual cordons are written
+	frozen         bool // by an operator: only manual cordons and fleet bans are written
 	unconfirmed    int  // servers in use that discovery has not confirmed
 	changed        bool // since the latest save
 	saved          time.Time
@@ -53,8 +53,8 @@
 }
 
 // newStateSaver opens the saved state.
-func newStateSaver(path string, every time.Duration, node string, l *core.Loop, ops *operations, discoveryClient *discovery, log *slog.Logger) *stateSaver {
-	r := &stateSaver{interval: every, loop: l, ops: ops, discovery: discoveryClient, log: log, startedAt: time.Now(), servers: map[string]target{}}
+func newStateSaver(path string, interval time.Duration, node string, l *core.Loop, ops *operations, discoveryClient *discovery, log *slog.Logger) *stateSaver {
+	r := &stateSaver{interval: interval, loop: l, ops: ops, discovery: discoveryClient, log: log, startedAt: time.Now(), servers: map[string]target{}}
 	r.store, r.current, r.problems = kept.Open(record.OS{}, path, node)
 	if r.current != nil {
 		r.age, r.frozen = confidence.AgeBetween(r.current.Confirmed, currentStamp()), r.current.Held
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -22,14 +22,14 @@
 	last                                time.Duration
 }
 
-// Turns returns the schedule of one party. draw returns random numbers in [0, 1) and is called at
+// Turns returns the schedule of one party. random returns random numbers in [0, 1) and is called at
 // most twice.
 //
 // In any time window w all parties together start at most Rate × w + Parties events, whenever they
 // joined and whenever they ask, because each one spaces its own events at least Parties / Rate apart.
 // With more than Burst parties, each draws a random offset within its first interval, so that parties
 // that join at the same time start Rate × w events on average from the beginning.
-func (b Bound) Turns(draw func() float64) *Turns {
+func (b Bound) Turns(random func() float64) *Turns {
 	t := &Turns{}
 	if b.Rate <= 0 {
 		return t
@@ -37,10 +37,10 @@
 	interval := float64(max(1, b.Parties)) / b.Rate * float64(time.Second)
 	t.interval = time.Duration(interval)
 	if b.Parties > b.Burst {
-		t.firstOffset = time.Duration(draw() * interval)
+		t.firstOffset = time.Duration(random() * interval)
 	}
 	// A second random offset keeps parties that joined together from staying in step.
-	t.secondOffset = time.Duration(draw() * interval)
+	t.secondOffset = time.Duration(random() * interval)
 	return t
 }
 
