--- a/cmd/otterstep/large_test.go
+++ b/cmd/otterstep/large_test.go
@@ -56,7 +56,7 @@
 	for b.Loop() {
 		var all sync.WaitGroup
 		var mu sync.Mutex
-		whole, refused := 0, 0
+		completed, refused := 0, 0
 		for i := range 80 {
 			ids++
 			method, class, body := http.MethodPost, "push", io.Reader(io.LimitReader(&endless{piece}, largeBody))
@@ -90,7 +90,7 @@
 				case resp.StatusCode == http.StatusServiceUnavailable:
 					refused++
 				case err == nil && (n == largeBody || text.String() == strconv.Itoa(largeBody)):
-					whole++
+					completed++
 				default:
 					b.Errorf("%s: %s, %d bytes, %v", method, resp.Status, n, err)
 				}
@@ -101,7 +101,7 @@
 			files = max(files, len(entries))
 		}
 		all.Wait()
-		b.ReportMetric(float64(whole), "whole")
+		b.ReportMetric(float64(completed), "whole")
 		b.ReportMetric(float64(refused), "refused")
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
--- a/cmd/otterstep/main_test.go
+++ b/cmd/otterstep/main_test.go
@@ -38,8 +38,8 @@
 }
 
 // startProgram starts a program and kills it at the end of the test. until reads its log up to a line that contains
-// word. Up to 1,000 lines are buffered, which is more than these programs write.
-func startProgram(t *testing.T, cmd *exec.Cmd) (until func(word string) string) {
+// text. Up to 1,000 lines are buffered, which is more than these programs write.
+func startProgram(t *testing.T, cmd *exec.Cmd) (until func(text string) string) {
 	t.Helper()
 	lines := make(chan string, 1000)
 	read, write := io.Pipe()
@@ -54,19 +54,19 @@
 			lines <- in.Text()
 		}
 	}()
-	return func(word string) string {
+	return func(text string) string {
 		t.Helper()
 		for {
 			select {
 			case line, more := <-lines:
 				if !more {
-					t.Fatalf("the log ends without %q", word)
+					t.Fatalf("the log ends without %q", text)
 				}
-				if strings.Contains(line, word) {
+				if strings.Contains(line, text) {
 					return line
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatalf("no log line with %q within 20 s", word)
+				t.Fatalf("no log line with %q within 20 s", text)
 			}
 		}
 	}
--- a/internal/confidence/confidence.go
+++ b/internal/confidence/confidence.go
@@ -33,7 +33,7 @@
 // Age is the age of saved data.
 type Age struct {
 	For  time.Duration
-	Sure bool // the age is known, as far as can be told
+	Sure bool // the age is known, as far as can be determined
 }
 
 // AgeBetween returns the age at now of data saved at then. Within one boot of the machine it is measured by the
--- a/internal/confidence/confidence_test.go
+++ b/internal/confidence/confidence_test.go
@@ -17,12 +17,12 @@
 // the wall clock, and unknown if that went back by more than the tolerance.
 func TestAgesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		elapsed := time.Duration(rapid.Int64Range(0, int64(60*24*time.Hour)).Draw(t, "took"))
+		elapsed := time.Duration(rapid.Int64Range(0, int64(60*24*time.Hour)).Draw(t, "elapsed"))
 		up := time.Duration(rapid.Int64Range(0, int64(1000*time.Hour)).Draw(t, "up"))
-		clockChange := time.Duration(rapid.Int64Range(-int64(24*time.Hour), int64(24*time.Hour)).Draw(t, "set"))
+		clockChange := time.Duration(rapid.Int64Range(-int64(24*time.Hour), int64(24*time.Hour)).Draw(t, "clock change"))
 		then := Timestamp{Wall: time.Unix(1e9, 0), Boot: "a", SinceBoot: up}
 		now := Timestamp{Wall: then.Wall.Add(elapsed + clockChange), Boot: "a", SinceBoot: up + elapsed}
-		if rapid.Bool().Draw(t, "started anew") {
+		if rapid.Bool().Draw(t, "rebooted") {
 			now.Boot, now.SinceBoot = "b", time.Duration(rapid.Int64Range(0, int64(elapsed)).Draw(t, "since"))
 		}
 		a := AgeBetween(then, now)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -234,16 +234,16 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/fleet", func(w http.ResponseWriter, r *http.Request) {
-		var word Word
+		var bans Word
 		text, err := io.ReadAll(io.LimitReader(r.Body, maxWordSize+1))
 		if err == nil && len(text) > maxWordSize {
 			err = fmt.Errorf("larger than %d bytes", maxWordSize)
 		}
 		if err == nil {
-			err = json.Unmarshal(text, &word)
+			err = json.Unmarshal(text, &bans)
 		}
 		if err == nil {
-			err = word.Check()
+			err = bans.Check()
 		}
 		if err != nil {
 			http.Error(w, "the fleet's word: "+err.Error(), http.StatusBadRequest)
@@ -251,7 +251,7 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 		defer cancel()
-		status, err := node.ApplyFleetBans(ctx, word)
+		status, err := node.ApplyFleetBans(ctx, bans)
 		switch {
 		case errors.Is(err, ErrOldWord):
 			http.Error(w, err.Error(), http.StatusConflict)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -163,12 +163,12 @@
 		received = append(received, w)
 		return Fleet{Version: w.Version, Listed: 3}, answer
 	}})
-	word := Word{cordon.Word{Version: 7, Token: 2, Bans: []cordon.Ban{{ID: "s/1", Reason: "disk", By: "ada"}}}, true}
-	if is, err := Tell(t.Context(), path, word); err != nil || is.Version != 7 || is.Listed != 3 || len(received) != 1 || !reflect.DeepEqual(received[0], word) {
-		t.Errorf("%+v, %v; received %+v", is, err, received)
+	bans := Word{cordon.Word{Version: 7, Token: 2, Bans: []cordon.Ban{{ID: "s/1", Reason: "disk", By: "ada"}}}, true}
+	if status, err := Tell(t.Context(), path, bans); err != nil || status.Version != 7 || status.Listed != 3 || len(received) != 1 || !reflect.DeepEqual(received[0], bans) {
+		t.Errorf("%+v, %v; received %+v", status, err, received)
 	}
 	for _, answer = range []error{ErrOldWord, ErrNoFleet} {
-		if _, err := Tell(t.Context(), path, word); !errors.Is(err, answer) {
+		if _, err := Tell(t.Context(), path, bans); !errors.Is(err, answer) {
 			t.Errorf("%v, want %v", err, answer)
 		}
 	}
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -48,8 +48,8 @@
 	entries   map[string]Entry
 	stamp     uint64
 
-	word   Word           // latest fleet bans
-	banned map[string]Ban // the same by server ID
+	fleetBans Word           // latest fleet bans
+	banned    map[string]Ban // the same by server ID
 }
 
 // New returns an empty set.
--- a/internal/cordon/fleet.go
+++ b/internal/cordon/fleet.go
@@ -47,16 +47,16 @@
 // servers whose ban begins or ends. Manual calls are not affected.
 func (s *Set) Take(w Word) (began, ended []string, err error) {
 	switch {
-	case w.Token < s.word.Token:
-		return nil, nil, fmt.Errorf("%w: token %d is older than token %d", ErrOutdated, w.Token, s.word.Token)
-	case w.Version < s.word.Version:
-		return nil, nil, fmt.Errorf("%w: version %d is older than version %d", ErrOutdated, w.Version, s.word.Version)
+	case w.Token < s.fleetBans.Token:
+		return nil, nil, fmt.Errorf("%w: token %d is older than token %d", ErrOutdated, w.Token, s.fleetBans.Token)
+	case w.Version < s.fleetBans.Version:
+		return nil, nil, fmt.Errorf("%w: version %d is older than version %d", ErrOutdated, w.Version, s.fleetBans.Version)
 	}
 	if err := w.Check(); err != nil {
 		return nil, nil, err
 	}
-	if w.Version == s.word.Version {
-		s.word.Token = w.Token
+	if w.Version == s.fleetBans.Version {
+		s.fleetBans.Token = w.Token
 		return nil, nil, nil
 	}
 	bans := make(map[string]Ban, len(w.Bans))
@@ -66,17 +66,17 @@
 		}
 		bans[b.ID] = b
 	}
-	for _, b := range s.word.Bans {
+	for _, b := range s.fleetBans.Bans {
 		if _, still := bans[b.ID]; !still {
 			ended = append(ended, b.ID)
 		}
 	}
-	s.word, s.banned = w, bans
+	s.fleetBans, s.banned = w, bans
 	return began, ended, nil
 }
 
 // Word returns the latest fleet bans, or the zero Word if there were none.
-func (s *Set) Word() Word { return s.word }
+func (s *Set) Word() Word { return s.fleetBans }
 
 // Banned returns the fleet's ban of a server.
 func (s *Set) Banned(id string) (Ban, bool) {
--- a/internal/kept/kept_test.go
+++ b/internal/kept/kept_test.go
@@ -26,18 +26,18 @@
 
 func open(t *testing.T, path string) (*Store, *View, []string) {
 	t.Helper()
-	s, v, said := Open(record.OS{}, path, "n1")
+	s, v, problems := Open(record.OS{}, path, "n1")
 	t.Cleanup(s.Close)
-	return s, v, said
+	return s, v, problems
 }
 
 // Two generations: with the later file truncated or corrupted at any byte, the previous one is read, one problem is
 // reported, and the next save is complete again.
 func TestGenerations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "k")
-	s, v, said := open(t, path)
-	if v != nil || len(said) > 0 {
-		t.Fatalf("%+v, %v", v, said)
+	s, v, problems := open(t, path)
+	if v != nil || len(problems) > 0 {
+		t.Fatalf("%+v, %v", v, problems)
 	}
 	for rev := range int64(3) {
 		if err := s.Save(view(rev+1, 4)); err != nil {
@@ -45,18 +45,18 @@
 		}
 	}
 	s.Close()
-	whole, err := os.ReadFile(path + ".a") // the first and the third
+	intact, err := os.ReadFile(path + ".a") // the first and the third
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := 0; at < len(whole); at += 1 + at/40 {
-		for how, damaged := range map[string][]byte{"cut": whole[:at], "flipped": flip(whole, at)} {
+	for at := 0; at < len(intact); at += 1 + at/40 {
+		for how, damaged := range map[string][]byte{"cut": intact[:at], "flipped": flip(intact, at)} {
 			if err := os.WriteFile(path+".a", damaged, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			s, v, said := Open(record.OS{}, path, "n1")
-			if v == nil || v.Rev != 2 || len(v.Servers) != 4 || len(said) != 1 {
-				t.Fatalf("%s at %d: %+v, %v", how, at, v, said)
+			s, v, problems := Open(record.OS{}, path, "n1")
+			if v == nil || v.Rev != 2 || len(v.Servers) != 4 || len(problems) != 1 {
+				t.Fatalf("%s at %d: %+v, %v", how, at, v, problems)
 			}
 			if err := s.Save(view(9, 1)); err != nil {
 				t.Fatalf("%s at %d: %v", how, at, err)
@@ -85,9 +85,9 @@
 	if err := first.Save(view(1, 2)); err != nil {
 		t.Fatal(err)
 	}
-	second, v, said := open(t, path)
-	if v == nil || v.Rev != 1 || len(said) > 0 {
-		t.Fatalf("%+v, %v", v, said)
+	second, v, problems := open(t, path)
+	if v == nil || v.Rev != 1 || len(problems) > 0 {
+		t.Fatalf("%+v, %v", v, problems)
 	}
 	if err := second.Save(view(5, 2)); !errors.Is(err, ErrNotOwner) {
 		t.Fatal(err)
@@ -102,8 +102,8 @@
 		t.Fatal(err)
 	}
 	second.Close()
-	if _, v, said = open(t, path); v == nil || v.Rev != 7 || v.Sequence != 6 || len(said) > 0 {
-		t.Errorf("%+v, %v", v, said)
+	if _, v, problems = open(t, path); v == nil || v.Rev != 7 || v.Sequence != 6 || len(problems) > 0 {
+		t.Errorf("%+v, %v", v, problems)
 	}
 }
 
@@ -129,9 +129,9 @@
 		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), c.setUp(path)); err != nil {
 			t.Fatal(err)
 		}
-		s, v, said := open(t, path)
-		if v != nil || !strings.Contains(strings.Join(said, "; "), c.want) {
-			t.Errorf("%s: %+v, %v, want %s", name, v, said, c.want)
+		s, v, problems := open(t, path)
+		if v != nil || !strings.Contains(strings.Join(problems, "; "), c.want) {
+			t.Errorf("%s: %+v, %v, want %s", name, v, problems, c.want)
 		}
 		s.Close()
 	}
@@ -265,20 +265,20 @@
 			}
 			s.Close()
 			disk := &failing{err: why, remaining: n}
-			s, v, said := Open(disk, path, "n1")
+			s, v, problems := Open(disk, path, "n1")
 			if v == nil || v.Rev != 2 {
-				t.Fatalf("%v at step %d: opened with %+v, %v", why, n, v, said)
+				t.Fatalf("%v at step %d: opened with %+v, %v", why, n, v, problems)
 			}
 			opened := disk.remaining >= 0
 			acknowledged := s.Save(view(3, 3))
 			failed := disk.remaining < 0
-			if failed && opened && acknowledged == nil || !opened && len(said) == 0 && acknowledged == nil {
-				t.Errorf("%v at step %d: the error is not reported: %v, %v", why, n, said, acknowledged)
+			if failed && opened && acknowledged == nil || !opened && len(problems) == 0 && acknowledged == nil {
+				t.Errorf("%v at step %d: the error is not reported: %v, %v", why, n, problems, acknowledged)
 			}
 			s.Close()
-			s, v, said = open(t, path)
+			s, v, problems = open(t, path)
 			if want := int64(2); v == nil || v.Rev < want || acknowledged == nil && v.Rev != 3 || len(v.Servers) != 3 {
-				t.Errorf("%v at step %d, save returned %v: reopened with %+v, %v", why, n, acknowledged, v, said)
+				t.Errorf("%v at step %d, save returned %v: reopened with %+v, %v", why, n, acknowledged, v, problems)
 			}
 			if err := s.Save(view(9, 1)); err != nil {
 				t.Errorf("%v at step %d: save after the disk has recovered: %v", why, n, err)
@@ -309,7 +309,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, v, said := open(t, path); v != nil || len(said) == 0 { // n1's first process still holds the lock
-		t.Errorf("%+v, %v", v, said)
+	if _, v, problems := open(t, path); v != nil || len(problems) == 0 { // n1's first process still holds the lock
+		t.Errorf("%+v, %v", v, problems)
 	}
 }
--- a/internal/node/fleetbans_test.go
+++ b/internal/node/fleetbans_test.go
@@ -46,8 +46,8 @@
 	held := make(chan string, 1)
 	go func() {
 		// Unconfirmed bans are in force at once, but the node does not serve yet.
-		is := sendFleetBans(t, op.Control.Socket, ban(4, 1, false, "s1"))
-		held <- is.Waits
+		status := sendFleetBans(t, op.Control.Socket, ban(4, 1, false, "s1"))
+		held <- status.Waits
 		sendFleetBans(t, op.Control.Socket, ban(5, 2, true, "s1", "s9"))
 	}()
 	addr, tell, stop := startWithOperatorAPIAs(t, d, op)
@@ -77,9 +77,9 @@
 	if code, _ := tell("POST", "/admin/cordon/s1"); code != http.StatusOK {
 		t.Errorf("manual cordon of a banned server: %d", code)
 	}
-	is := sendFleetBans(t, op.Control.Socket, ban(6, 2, true))
-	if len(is.Hand) != 1 || is.Hand[0] != "s1" || is.Bans != 0 || is.Listed != 2 {
-		t.Errorf("%+v", is)
+	status := sendFleetBans(t, op.Control.Socket, ban(6, 2, true))
+	if len(status.Hand) != 1 || status.Hand[0] != "s1" || status.Bans != 0 || status.Listed != 2 {
+		t.Errorf("%+v", status)
 	}
 	if got := by(); got["1"] > 0 {
 		t.Errorf("the end of the ban undid the manual cordon: %v", got)
@@ -89,8 +89,8 @@
 	}
 	waitFor(t, "use of s1 after the uncordon", func() bool { return by()["1"] > 0 })
 
-	if is := sendFleetBans(t, op.Control.Socket, ban(7, 2, true, "s2", "s9")); len(is.Missing) != 1 || is.Missing[0] != "s9" {
-		t.Errorf("%+v", is)
+	if status := sendFleetBans(t, op.Control.Socket, ban(7, 2, true, "s2", "s9")); len(status.Missing) != 1 || status.Missing[0] != "s9" {
+		t.Errorf("%+v", status)
 	}
 	if err := stop(); err != nil {
 		t.Fatal(err)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -559,17 +559,17 @@
 		<-came // a client is connected, so that the drain lasts
 		stopped := make(chan error, 1)
 		go func() { stopped <- stop() }()
-		told := false
-		for until := time.Now().Add(life.AcceptWindow); time.Now().Before(until) && !told; {
+		reported := false
+		for until := time.Now().Add(life.AcceptWindow); time.Now().Before(until) && !reported; {
 			resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(httptest.NewRequest(http.MethodGet, "http://"+addr+"/up", nil))
 			if err != nil {
 				t.Fatalf("tell_up %v: the node no longer accepts: %v", tell, err)
 			}
 			resp.Body.Close()
-			told = resp.StatusCode == http.StatusServiceUnavailable
+			reported = resp.StatusCode == http.StatusServiceUnavailable
 		}
-		if told != tell {
-			t.Errorf("tell_up %v: /up reported the drain: %v", tell, told)
+		if reported != tell {
+			t.Errorf("tell_up %v: /up reported the drain: %v", tell, reported)
 		}
 		close(hold)
 		if code := <-answered; code != http.StatusOK {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -95,14 +95,14 @@
 	if code, text, _ := late.answer(t); code == 0 {
 		t.Fatal(text)
 	}
-	told := time.Now()
+	terminatedAt := time.Now()
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
 	for n := 0; ; n++ { // one request after another, for as long as the connection stays open
 		late.send(t, requestText(t, addr, []string{"read", "push", "book"}[n%3], "0.3"))
 		code, text, closes := late.answer(t)
 		if code == 0 {
-			t.Fatalf("request %d, %v after the signal: no complete answer: %s", n, time.Since(told), text)
+			t.Fatalf("request %d, %v after the signal: no complete answer: %s", n, time.Since(terminatedAt), text)
 		}
 		if closes {
 			break
@@ -114,7 +114,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(told); took > kill {
+	if took := time.Since(terminatedAt); took > kill {
 		t.Errorf("the node ended %v after SIGTERM, SIGKILL comes after %v", took, kill)
 	}
 }
@@ -167,7 +167,7 @@
 	partialBody.send(t, late[:body])
 	incomplete.send(t, "GET /read/1 HTTP/1.1\r\nHost: a")
 
-	told := time.Now()
+	terminatedAt := time.Now()
 	ended := make(chan error, 1)
 	hangups <- syscall.SIGHUP
 	go func() { ended <- stop() }()
@@ -199,7 +199,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(told); took > kill {
+	if took := time.Since(terminatedAt); took > kill {
 		t.Errorf("ended %v after SIGTERM, SIGKILL comes after %v", took, kill)
 	}
 	if n := strings.Count(log.String(), "reload failed"); n != 1 {
