--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -49,7 +49,7 @@
 	trailing      = 256
 	snapshotsKept = 2
 	streamsKept   = 3 // idle ones to each voter
-	saysMost      = duty.JobsMost
+	saysMost      = duty.MaxJobs
 	offersMost    = 64
 	// backWithin is how long an agent counts as one that has just come back.
 	backWithin = 10 * time.Second
@@ -319,7 +319,7 @@
 // lineage gives the council's id and epoch as this voter knows them. Until raft tells what of its
 // log is agreed on the state is empty, and the folder's own word is all there is.
 func (l *life) lineage() (founding string, epoch uint64) {
-	l.machine.look(func(s *duty.State) { founding, epoch = s.Founding(), s.Epoch() })
+	l.machine.look(func(s *duty.State) { founding, epoch = s.CouncilID(), s.Epoch() })
 	if founding == "" {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -413,23 +413,23 @@
 		return
 	}
 	l.mu.Lock()
-	l.leases.Lead(c.cfg.Clock.Now())
+	l.leases.StartLeading(c.cfg.Clock.Now())
 	l.ledIn = term
 	clear(l.says)
 	l.mu.Unlock()
 	c.log.Info("leads", "term", term)
 	if c.reborn() {
-		again := duty.Reborn{ID: rand.Text(), Voters: []string{c.cfg.Name}, By: "operator"}
-		if _, err := c.propose(l, duty.Command{Reborn: &again}); err != nil {
+		again := duty.Recovery{ID: rand.Text(), Voters: []string{c.cfg.Name}, By: "operator"}
+		if _, err := c.propose(l, duty.Command{Recovery: &again}); err != nil {
 			c.log.Error("the council could not begin anew", "err", err)
 		} else if err := os.Remove(filepath.Join(c.cfg.Dir, rebornFile)); err != nil {
 			c.log.Error("the council would begin anew once more", "err", err)
 		}
 	}
 	unfounded := false
-	l.machine.look(func(s *duty.State) { unfounded = s.Founding() == "" })
+	l.machine.look(func(s *duty.State) { unfounded = s.CouncilID() == "" })
 	if unfounded {
-		_, _ = c.propose(l, duty.Command{Found: &duty.Found{ID: rand.Text(), Voters: c.cfg.Voters}}) // or the next leader does
+		_, _ = c.propose(l, duty.Command{Bootstrap: &duty.Bootstrap{ID: rand.Text(), Voters: c.cfg.Voters}}) // or the next leader does
 	}
 }
 
@@ -746,7 +746,7 @@
 		return c.acquire(l, *command.Acquire)
 	}
 	switch {
-	case command.Found != nil || command.Reborn != nil:
+	case command.Bootstrap != nil || command.Recovery != nil:
 		return duty.Answer{}, protocol.Errorf(protocol.CodeUsage, "a council founds itself")
 	case command.Restore != nil && command.Restore.Backup != nil:
 		if _, err := command.Restore.Backup.Check(c.cfg.Cluster); err != nil {
@@ -777,7 +777,7 @@
 	for name, c := range l.came {
 		if now.Sub(c.at) <= backWithin {
 			n++
-		} else if len(l.came) > duty.AgentsMost {
+		} else if len(l.came) > duty.MaxAgents {
 			delete(l.came, name)
 		}
 	}
@@ -795,7 +795,7 @@
 	var is duty.Duty
 	l.machine.look(func(s *duty.State) { is = s.Duty(a.Duty) })
 	l.mu.Lock()
-	left, ok := l.leases.Left(a.Duty, c.cfg.Clock.Now())
+	left, ok := l.leases.Remaining(a.Duty, c.cfg.Clock.Now())
 	l.mu.Unlock()
 	if !ok {
 		return duty.Answer{}, c.notLeader(l)
@@ -922,7 +922,7 @@
 		for _, d := range s.Duties() {
 			o := duty.Owned{Duty: d}
 			if v.Current && d.Owner != "" {
-				o.Left, o.Known = l.leases.Left(d.Name, now)
+				o.Left, o.Known = l.leases.Remaining(d.Name, now)
 			}
 			v.Duties = append(v.Duties, o)
 		}
--- a/internal/fleet/duty/answers.go
+++ b/internal/fleet/duty/answers.go
@@ -7,98 +7,98 @@
 	"otterstep/internal/fleet/desired"
 )
 
-// Hello is what a voter says when it begins a stream to another.
+// Hello is the handshake that a voter sends when it opens a stream to another voter.
 type Hello struct {
 	Cluster  string
 	Founding string
-	Epoch    uint64 // of the council, as far as the voter has come
-	From, To string // servers, NAME/ID
+	Epoch    uint64 // of the council, as known to the sender
+	From, To string // server IDs, AGENT/STORE
 }
 
-// The states of a voter.
+// States of a voter.
 const (
-	Blank    = "blank" // knows of no council, and waits to be taken in
+	Blank    = "blank" // belongs to no council yet, and waits until it is added to one
 	Learner  = "learner"
 	Follower = "follower"
 	Leader   = "leader"
 	Alone    = "no-leader"
-	Broken   = "broken"  // its store fails, or holds what it can't read
-	Outside  = "outside" // the agent does not vote, and asks those who do
+	Broken   = "broken"  // its store fails, or has content that can't be decoded
+	Outside  = "outside" // the agent is no voter, and forwards requests to the voters
 )
 
-// Status is a voter's state.
+// Status describes a voter.
 type Status struct {
 	Agent    string        `json:"agent"`
 	Cluster  string        `json:"cluster"`
-	Server   string        `json:"server"` // NAME/ID
+	Server   string        `json:"server"` // server ID
 	Founding string        `json:"founding,omitempty"`
 	State    string        `json:"state"`
 	Leader   string        `json:"leader,omitempty"`
 	Term     uint64        `json:"term"`
-	Last     uint64        `json:"last"`       // index of the log's last entry
-	Applied  uint64        `json:"applied"`    // index
-	Contact  time.Duration `json:"contact_ns"` // since its leader was last heard
+	Last     uint64        `json:"last"`       // index of the last log entry
+	Applied  uint64        `json:"applied"`    // index of the last applied entry
+	Contact  time.Duration `json:"contact_ns"` // time since the last contact with the leader
 	Why      string        `json:"why,omitempty"`
-	Writes   uint64        `json:"writes"`            // to its store since it was opened, each with an fsync
-	SlowFor  time.Duration `json:"slow_ns,omitempty"` // the longest write of late
+	Writes   uint64        `json:"writes"`            // writes to the store since it was opened, each with an fsync
+	SlowFor  time.Duration `json:"slow_ns,omitempty"` // longest slow write; 0 after a minute without one
 	Members  []Member      `json:"members"`
 }
 
-// Member is one of the group.
+// Member is a server in the raft configuration.
 type Member struct {
 	Server string `json:"server"`
 	Votes  bool   `json:"votes"`
 }
 
-// Name is the agent's.
+// Name returns the agent's name.
 func (m Member) Name() string { return NameOf(m.Server) }
 
-// View is what a voter knows. Unless Current, it may be old.
+// View is a voter's view of duties and jobs. It may be stale unless Current is set.
 type View struct {
 	From    string        `json:"from"`
 	Leader  string        `json:"leader,omitempty"`
-	Current bool          `json:"current"`          // a majority stood behind it when it was asked
-	Age     time.Duration `json:"age_ns,omitempty"` // of what is not current, as far as it is known
+	Current bool          `json:"current"`          // a majority confirmed that the voter leads when the view was read
+	Age     time.Duration `json:"age_ns,omitempty"` // time since the last contact with the leader, if the view is not current
 	Duties  []Owned       `json:"duties"`
 	Jobs    []*Job        `json:"jobs"`
-	// Says is what the owner says of jobs, by id: why one waits.
+	// Says is the owner's message on each job by job ID: why a job waits.
 	Says   map[string]string `json:"says,omitempty"`
 	Voters []string          `json:"voters"`
 }
 
-// Owned is a duty with what is left of its lease, as far as that is known.
+// Owned is a duty with the remaining time of its lease, if that is known.
 type Owned struct {
 	Duty
 	Left  time.Duration `json:"left_ns"`
 	Known bool          `json:"left_known"`
 }
 
-// Renewal keeps a duty.
+// Renewal is a request to extend a duty's lease.
 type Renewal struct {
 	Fence
 	Says map[string]string `json:"says,omitempty"`
 }
 
-// Answer answers a command.
+// Answer is the council's answer to a command.
 type Answer struct {
 	Token Token           `json:"token,omitempty"`
 	Job   *Job            `json:"job,omitempty"`
-	Left  time.Duration   `json:"left_ns,omitempty"` // of somebody else's lease, Acquire
-	Offer string          `json:"offer,omitempty"`   // Acquire: it is to be had, by asking again with this
+	Left  time.Duration   `json:"left_ns,omitempty"` // Acquire: remaining time of the current owner's lease
+	Offer string          `json:"offer,omitempty"`   // Acquire: the duty is free; ask again with this offer
 	Told  *Told           `json:"told,omitempty"`    // Report
-	Kept  []string        `json:"kept,omitempty"`    // Restore: what was newer here and stayed
-	Fleet desired.Version `json:"fleet,omitempty"`   // Change: the version that stands now
+	Kept  []string        `json:"kept,omitempty"`    // Restore: entries that were newer than the backup's and were kept
+	Fleet desired.Version `json:"fleet,omitempty"`   // Change: the current version of the desired state
 }
 
-// FleetView is what a voter knows of what the fleet should be. Unless Current, it may be old.
+// FleetView is a voter's view of the fleet's desired state. It may be stale unless Current is set.
 type FleetView struct {
 	From    string         `json:"from"`
 	Current bool           `json:"current"`
-	Owner   string         `json:"owner,omitempty"` // of the duty Fleet
+	Owner   string         `json:"owner,omitempty"` // of duty Fleet
 	State   *desired.State `json:"state"`
 }
 
-// NameOf gives the agent's name in a server's, NAME/ID.
+// NameOf returns the agent's name of a server ID, AGENT/STORE.
 func NameOf(server string) string {
 	name, _, _ := strings.Cut(server, "/")
 	return name
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -1,7 +1,7 @@
-// Package duty is what a fleet's council agrees on: who owns which duty under which token, and
-// the jobs that an owner carries out with their plan and progress. It does no I/O and reads no
-// clock; the same commands in the same order give the same State at every voter. Time is in
-// Leases, which each leader keeps for itself.
+// Package duty holds the state that a fleet's council replicates: the owner and token of each duty,
+// and the jobs with their plan and progress. It does no I/O and reads no clock: applying the same
+// commands in the same order yields the same State at every voter. Time-dependent lease data is in
+// Leases, which each leader keeps locally.
 package duty
 
 import (
@@ -15,109 +15,111 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// Form of commands and snapshots; it grows with each change that an older voter would misread.
+// Form is the format version of commands and snapshots. It is incremented with each change that an older
+// voter would misinterpret.
 const Form = 1
 
 const (
-	// Rollouts is the duty of carrying out jobs, Fleet that of bringing the fleet to what it should be.
+	// Rollouts is the duty of executing jobs, Fleet that of reconciling the fleet with its desired state.
 	Rollouts = "rollouts"
 	Fleet    = "fleet"
 
-	// DutiesMost bounds the duties, JobsMost the jobs that are remembered, ended ones too, and
-	// TargetsMost the instances that all jobs name together.
-	DutiesMost  = 64
-	JobsMost    = 200
-	TargetsMost = 20_000
+	// maxDuties bounds the number of duties, MaxJobs that of the stored jobs including ended ones, and
+	// maxTargets the total number of targets of all jobs.
+	maxDuties  = 64
+	MaxJobs    = 200
+	maxTargets = 20_000
 
-	// VotersLeast and VotersMost bound the voters. A change from 3 to 5 passes 4, which is worth
-	// no more than 3.
-	VotersLeast, VotersMost = 3, 5
+	// minVoters and maxVoters bound the number of voters. Growing from 3 to 5 goes through 4, which
+	// tolerates no more failures than 3.
+	minVoters, maxVoters = 3, 5
 )
 
-// Token and Fence are those that orders carry to agents.
+// Token and Fence are the types that orders to agents carry.
 type (
 	Token = protocol.Token
 	Fence = protocol.Fence
 )
 
-// Duty is one piece of work for the fleet. It has at most one owner.
+// Duty is a responsibility for the fleet. It has at most one owner at a time.
 type Duty struct {
 	Name  string `json:"name"`
-	Owner string `json:"owner,omitempty"` // "": nobody
-	Token Token  `json:"token"`           // of the owner, or of the last one
+	Owner string `json:"owner,omitempty"` // empty if there is none
+	Token Token  `json:"token"`           // of the current owner, or of the latest one
 }
 
-// The states of a job.
+// States of a job.
 const (
 	Active    = "active"
 	Paused    = "paused"
-	Stopped   = "stopped"   // by the rules of a rollout; it can be resumed
-	Cancelled = "cancelled" // nothing further begins; what is open goes on to its end
+	Stopped   = "stopped"   // by the rollout's rules; it can be resumed
+	Cancelled = "cancelled" // no further step starts; those in progress run to their end
 	Finished  = "done"
 )
 
-// The phases of a job's instance.
+// Phases of a step, which is a job's progress at one target.
 const (
-	Waiting = ""       // not begun
-	Intent  = "intent" // an order may be on its way or under way
+	Waiting = ""       // not started
+	Intent  = "intent" // written before the order is sent: it may be in transit or in progress
 	Done    = "done"
 	Failed  = "failed"
-	Left    = "left" // not touched, and it will not be
+	Left    = "left" // skipped: the instance was not changed and will not be
 )
 
-// Target is an instance with its agent and group.
+// Target identifies an instance by its agent and name, with its group.
 type Target struct {
 	Agent    string `json:"agent"`
 	Instance string `json:"instance"`
 	Group    string `json:"group,omitempty"`
 }
 
-// Key names a target as AGENT/INSTANCE.
+// Key returns AGENT/INSTANCE.
 func (t Target) Key() string { return t.Agent + "/" + t.Instance }
 
-// Step is how far a job has come with one instance.
+// Step is the progress of a job at one target.
 type Step struct {
 	Phase string `json:"phase"`
-	Token Token  `json:"token,omitempty"` // of the owner that wrote it
+	Token Token  `json:"token,omitempty"` // of the owner that wrote the phase
 	Text  string `json:"text,omitempty"`
-	// At is when the order was first intended, by the clock of the owner that did. It is part of
-	// the order's id: one that is tried again goes on as the same, so that its agent does what
-	// is left of it. An agent that has lost its memory refuses orders of before.
-	At time.Time `json:"at,omitzero"`
+	// IntendedAt is when the first intent was written, by the clock of the owner that wrote it. It is part of
+	// the order's ID: a retried order keeps its ID, so that the agent completes what remains of it.
+	// An agent that has lost its state refuses orders from before the loss.
+	IntendedAt time.Time `json:"at,omitzero"`
 }
 
-// Job is work of the fleet that outlives whoever asked for it.
+// Job is an operation on the fleet that continues independently of the client that submitted it.
 type Job struct {
-	ID             string        `json:"id"` // of protocol.NewID's form
+	ID             string        `json:"id"` // made by protocol.NewID
 	Kind           string        `json:"kind"`
 	Operator       string        `json:"operator"`
-	Submitted      time.Time     `json:"submitted"` // by the operator's clock, to be shown only
+	Submitted      time.Time     `json:"submitted"` // by the operator's clock; for display only
 	Targets        []Target      `json:"targets"`
 	MaxUnavailable int           `json:"max_unavailable"`
 	Pause          time.Duration `json:"pause,omitempty"`
-	Program        string        `json:"program,omitempty"` // that a job of kind protocol.Upgrade goes to
-	// Change is the version of the fleet's document that it is a step towards, and Stage which step.
+	Program        string        `json:"program,omitempty"` // target version of a job of kind protocol.Upgrade
+	// Change is the version of the desired-state document that the job belongs to, Stage the stage of
+	// its rollout.
 	Change desired.Version `json:"change,omitempty"`
 	Stage  string          `json:"stage,omitempty"`
 
 	State string `json:"state"`
 	Why   string `json:"why,omitempty"`
-	By    string `json:"by,omitempty"`    // whoever last paused, resumed or cancelled it
-	Round int    `json:"round,omitempty"` // how often it was resumed
-	// Before counts what the job's instances answered before it began: what it is judged by,
-	// whoever owns it. Nil until its first owner has looked.
+	By    string `json:"by,omitempty"`    // who last paused, resumed or cancelled it
+	Round int    `json:"round,omitempty"` // number of times it was resumed
+	// Before is the baseline: the answers of the job's instances before the job started. It is stored so
+	// that every owner judges the job by the same counts. Nil until the first owner has measured it.
 	Before *Answers `json:"before,omitempty"`
-	// Steps are in the order of Targets.
+	// Steps has one entry per target, in the order of Targets.
 	Steps []Step `json:"steps"`
 }
 
-// Answers counts those that a group gave to its clients.
+// Answers counts the answers that a group gave to its clients, by outcome.
 type Answers struct {
 	Served, Refused, Failed int64
-	Late                    int64 `json:",omitempty"` // of those served
+	Late                    int64 `json:",omitempty"` // subset of Served
 }
 
-// Add adds another's.
+// Add adds b's counts to a.
 func (a *Answers) Add(b Answers) {
 	a.Served += b.Served
 	a.Refused += b.Refused
@@ -125,16 +127,16 @@
 	a.Late += b.Late
 }
 
-// All counts them.
+// All returns the total number of answers.
 func (a Answers) All() int64 { return a.Served + a.Refused + a.Failed }
 
-// Open tells that a job's owner still has something to do: to begin, or to bring to an end
-// what was begun.
+// Open reports whether the job's owner still has work: steps to start, or steps in progress to
+// complete.
 func (j *Job) Open() bool {
 	return j.State == Active && slices.ContainsFunc(j.Steps, func(s Step) bool { return s.Phase == Waiting }) || j.Intents() > 0
 }
 
-// Intents counts the orders that may be under way.
+// Intents returns the number of steps whose order may be in progress.
 func (j *Job) Intents() (n int) {
 	for _, s := range j.Steps {
 		if s.Phase == Intent {
@@ -144,7 +146,7 @@
 	return n
 }
 
-// Step gives how far the job has come with an instance; false if it does not name it.
+// Step returns the step of the target with the given key, and whether the job has that target.
 func (j *Job) Step(key string) (Step, bool) {
 	i := j.index(key)
 	if i < 0 {
@@ -157,7 +159,7 @@
 	return slices.IndexFunc(j.Targets, func(t Target) bool { return t.Key() == key })
 }
 
-// Clone copies a job.
+// Clone returns a deep copy.
 func (j *Job) Clone() *Job {
 	c := *j
 	c.Targets, c.Steps = slices.Clone(j.Targets), slices.Clone(j.Steps)
@@ -168,141 +170,144 @@
 	return &c
 }
 
-// Command is one change. Exactly one of its pointers is set.
+// Command is a change of the State. Exactly one of its pointers is set.
 type Command struct {
-	Form    int             `json:"form"`
-	Acquire *Acquire        `json:"acquire,omitempty"`
-	Release *Release        `json:"release,omitempty"`
-	Submit  *Job            `json:"submit,omitempty"`
-	Mark    *Mark           `json:"mark,omitempty"`
-	Stop    *Stop           `json:"stop,omitempty"`
-	Turn    *Turn           `json:"turn,omitempty"`
-	Found   *Found          `json:"found,omitempty"`
-	Voter   *Voter          `json:"voter,omitempty"`
-	Base    *Base           `json:"base,omitempty"`
-	Report  *Report         `json:"report,omitempty"`
-	Reborn  *Reborn         `json:"reborn,omitempty"`
-	Restore *Restore        `json:"restore,omitempty"`
-	Change  *desired.Change `json:"change,omitempty"`
-	Note    *Note           `json:"note,omitempty"`
-}
-
-// Note is what the owner of Fleet has counted: the servers that nodes list, and what is left of bans.
+	Form      int             `json:"form"`
+	Acquire   *Acquire        `json:"acquire,omitempty"`
+	Release   *Release        `json:"release,omitempty"`
+	Submit    *Job            `json:"submit,omitempty"`
+	Mark      *Mark           `json:"mark,omitempty"`
+	Stop      *Stop           `json:"stop,omitempty"`
+	Turn      *Turn           `json:"turn,omitempty"`
+	Bootstrap *Bootstrap      `json:"found,omitempty"`
+	Voter     *Voter          `json:"voter,omitempty"`
+	Base      *Base           `json:"base,omitempty"`
+	Report    *Report         `json:"report,omitempty"`
+	Recovery  *Recovery       `json:"reborn,omitempty"`
+	Restore   *Restore        `json:"restore,omitempty"`
+	Change    *desired.Change `json:"change,omitempty"`
+	Note      *Note           `json:"note,omitempty"`
+}
+
+// Note records what the owner of Fleet has observed: the number of servers that nodes list, and the
+// remaining time of bans.
 type Note struct {
 	Token   Token                    `json:"token"`
 	Servers int                      `json:"servers,omitempty"`
 	Left    map[string]time.Duration `json:"left,omitempty"`
-	// Whole names the groups of which all has served with the program of a version.
+	// Whole lists the groups in which every instance has served with the program of the given version.
 	Whole map[string]desired.Version `json:"whole,omitempty"`
 }
 
-// Base writes down a job's Before, once.
+// Base stores a job's baseline, Job.Before, unless it has one.
 type Base struct {
 	Token   Token   `json:"token"`
 	Job     string  `json:"job"`
 	Answers Answers `json:"answers"`
 }
 
-// Found is the first entry of a council: its own id and who is to vote in it.
-type Found struct {
+// Bootstrap is the first command of a council's log: the council's ID and its initial voters.
+type Bootstrap struct {
 	ID     string   `json:"id"`
 	Voters []string `json:"voters"`
 }
 
-// Voter adds a voter, or removes one.
+// Voter adds or removes a voter.
 type Voter struct {
 	Name string `json:"name"`
 	Add  bool   `json:"add"`
 	By   string `json:"by"`
 }
 
-// Acquire makes somebody a duty's owner. The leader proposes it once it has seen the lease
-// of the owner under After end; if another acquisition came first it is refused.
+// Acquire assigns a duty to an owner. The leader proposes it once it has observed that the lease under
+// token After has ended; it is refused if another acquisition was applied first.
 type Acquire struct {
 	Duty  string `json:"duty"`
 	Owner string `json:"owner"`
-	After Token  `json:"after"` // the token seen
-	// Offer is the leader's, from its answer to the same without one: who asks and hears no
-	// answers must not be given what it would never know of.
+	After Token  `json:"after"` // the latest token when the command was proposed
+	// Offer repeats the offer in the leader's answer to a first Acquire without one. The two round trips
+	// ensure that a duty is not assigned to a candidate that does not receive answers and so would
+	// not learn that it is the owner.
 	Offer string `json:"offer,omitempty"`
 }
 
-// Release ends an ownership.
+// Release ends the ownership of a duty.
 type Release struct {
 	Fence
-	Forced bool   `json:"forced,omitempty"` // by an operator, and not by the owner itself
+	Forced bool   `json:"forced,omitempty"` // by an operator instead of the owner
 	By     string `json:"by,omitempty"`
 }
 
-// Mark writes down an intent before its effect, and its outcome after. The phase Waiting
-// withdraws an intent of which nothing was begun.
+// Mark sets a step's phase: the intent before the order is sent, and the outcome afterwards. The phase
+// Waiting withdraws an intent whose order was not started.
 type Mark struct {
-	Token Token     `json:"token"`
-	Job   string    `json:"job"`
-	Key   string    `json:"key"`
-	Phase string    `json:"phase"`
-	Text  string    `json:"text,omitempty"`
-	At    time.Time `json:"at,omitzero"` // Intent: see Step
-	// Forgotten tells that the agent can't tell what became of the order: the next one is
-	// another.
+	Token      Token     `json:"token"`
+	Job        string    `json:"job"`
+	Key        string    `json:"key"`
+	Phase      string    `json:"phase"`
+	Text       string    `json:"text,omitempty"`
+	IntendedAt time.Time `json:"at,omitzero"` // for Intent: see Step.IntendedAt
+	// Forgotten reports that the agent lost its state and the order's outcome is unknown: the next order
+	// for this step gets a new ID.
 	Forgotten bool `json:"forgotten,omitempty"`
 }
 
-// Stop stops a job by the owner's rules.
+// Stop stops a job, by the owner's decision.
 type Stop struct {
 	Token Token  `json:"token"`
 	Job   string `json:"job"`
 	Why   string `json:"why"`
 }
 
-// Turn is an operator's word on a job: To is Active, Paused or Cancelled.
+// Turn changes a job's state by an operator's command: To is Active, Paused or Cancelled.
 type Turn struct {
 	Job string `json:"job"`
 	To  string `json:"to"`
 	By  string `json:"by"`
-	// Token is that of the owner of Fleet, if the word is its own.
+	// Token is the Fleet owner's if the command is the owner's, else 0.
 	Token Token `json:"token,omitempty"`
 }
 
-// Result answers a command.
+// Result is the outcome of applying a command.
 type Result struct {
 	Token Token `json:"token,omitempty"` // Acquire
-	Job   *Job  `json:"job,omitempty"`   // Submit, Mark, Stop, Turn: as it is now
-	// Told answers a Report, Kept a Restore: what was newer here and stayed.
+	Job   *Job  `json:"job,omitempty"`   // Submit, Mark, Stop, Turn, Base: the job after the command
+	// Told is the result of a Report. Kept is the result of a Restore: descriptions of the entries that
+	// were newer than the backup's and were kept.
 	Told *Told    `json:"told,omitempty"`
 	Kept []string `json:"kept,omitempty"`
-	// Fleet answers a Change: the version that stands now.
+	// Fleet is the result of a Change: the current version of the desired state.
 	Fleet desired.Version `json:"fleet,omitempty"`
 	Err   error           `json:"-"` // a *protocol.Error
 }
 
-// State is what the council knows. It is not safe for concurrent use.
+// State is the replicated state of a council. It is not safe for concurrent use.
 type State struct {
-	founding string
-	voters   []string // names of agents, sorted
-	epoch    uint64
-	last     Token
-	duties   map[string]*Duty
-	jobs     map[string]*Job
-	order    []string // ids of jobs, the oldest first
-	agents   map[string]*Memory
-	fleet    *desired.State
-}
-
-// New makes an empty state.
+	councilID string
+	voters    []string // agent names, sorted
+	epoch     uint64
+	lastToken Token
+	duties    map[string]*Duty
+	jobs      map[string]*Job
+	jobOrder  []string // job IDs, oldest first
+	agents    map[string]*Memory
+	fleet     *desired.State
+}
+
+// New returns an empty State.
 func New() *State {
 	return &State{duties: map[string]*Duty{}, jobs: map[string]*Job{}, agents: map[string]*Memory{}, fleet: desired.New()}
 }
 
-// Desired gives a copy of what the fleet should be, with its history.
+// Desired returns a copy of the fleet's desired state with its history.
 func (s *State) Desired() *desired.State { return s.fleet.Clone() }
 
-// DesiredVersion gives its version.
+// DesiredVersion returns the version of the desired state.
 func (s *State) DesiredVersion() desired.Version { return s.fleet.Document.Version }
 
 func (s *State) change(c *desired.Change) Result {
 	if c.End != nil || c.Token != 0 {
-		if err := s.own(Fleet, c.Token); err != nil {
+		if err := s.checkOwner(Fleet, c.Token); err != nil {
 			return Result{Err: err}
 		}
 	}
@@ -311,14 +316,14 @@
 }
 
 func (s *State) note(n *Note) Result {
-	if err := s.own(Fleet, n.Token); err != nil {
+	if err := s.checkOwner(Fleet, n.Token); err != nil {
 		return Result{Err: err}
 	}
 	s.fleet.Note(n.Servers, n.Left, n.Whole)
 	return Result{}
 }
 
-// Duty gives a duty; one that nobody ever had is known with no owner and token 0.
+// Duty returns the named duty. One that was never owned has no owner and token 0.
 func (s *State) Duty(name string) Duty {
 	if d := s.duties[name]; d != nil {
 		return *d
@@ -326,7 +331,7 @@
 	return Duty{Name: name}
 }
 
-// Duties gives all that were ever owned, by name.
+// Duties returns all duties that were ever owned, sorted by name.
 func (s *State) Duties() []Duty {
 	all := []Duty{}
 	for _, name := range slices.Sorted(maps.Keys(s.duties)) {
@@ -335,36 +340,36 @@
 	return all
 }
 
-// Jobs gives copies of all jobs, the oldest first.
+// Jobs returns copies of all jobs, oldest first.
 func (s *State) Jobs() []*Job {
-	all := make([]*Job, 0, len(s.order))
-	for _, id := range s.order {
+	all := make([]*Job, 0, len(s.jobOrder))
+	for _, id := range s.jobOrder {
 		all = append(all, s.jobs[id].Clone())
 	}
 	return all
 }
 
-// Work tells whether the owner of Rollouts has anything to do.
-func (s *State) Work() bool {
-	return slices.ContainsFunc(s.order, func(id string) bool { return s.jobs[id].Open() })
+// hasOpenJobs reports whether the owner of Rollouts has work.
+func (s *State) hasOpenJobs() bool {
+	return slices.ContainsFunc(s.jobOrder, func(id string) bool { return s.jobs[id].Open() })
 }
 
-// Founding gives the council's id; "" before it was founded.
-func (s *State) Founding() string { return s.founding }
+// CouncilID returns the ID that the council got when it was bootstrapped, or "" before that.
+func (s *State) CouncilID() string { return s.councilID }
 
-// Voters names the agents that are to vote.
+// Voters returns the names of the agents that are to be voters.
 func (s *State) Voters() []string { return slices.Clone(s.voters) }
 
 func refuse(code, format string, args ...any) Result {
 	return Result{Err: protocol.Errorf(code, format, args...)}
 }
 
-// Apply makes a change, or refuses it and changes nothing. A refusal is an answer to whoever
-// asked; all voters come to the same one.
+// Apply applies a command, or refuses it and changes nothing. All voters refuse the same commands; the
+// refusal is the result that the client gets.
 func (s *State) Apply(c Command) Result {
 	switch {
 	case c.Form != Form:
-		return refuse(protocol.CodeVersion, "a command of form %d, this program knows form %d", c.Form, Form)
+		return refuse(protocol.CodeVersion, "command has format version %d, this build supports %d", c.Form, Form)
 	case c.Acquire != nil:
 		return s.acquire(c.Acquire)
 	case c.Release != nil:
@@ -376,50 +381,50 @@
 	case c.Stop != nil:
 		return s.stop(c.Stop)
 	case c.Turn != nil:
-		return s.turn(c.Turn)
+		return s.setJobState(c.Turn)
 	case c.Base != nil:
-		return s.base(c.Base)
+		return s.setBaseline(c.Base)
 	case c.Report != nil:
 		return s.report(c.Report)
-	case c.Reborn != nil:
-		return s.reborn(c.Reborn)
+	case c.Recovery != nil:
+		return s.recover(c.Recovery)
 	case c.Restore != nil:
 		return s.restore(c.Restore)
 	case c.Change != nil:
 		return s.change(c.Change)
 	case c.Note != nil:
 		return s.note(c.Note)
-	case c.Found != nil:
-		return s.found(c.Found)
+	case c.Bootstrap != nil:
+		return s.bootstrap(c.Bootstrap)
 	case c.Voter != nil:
 		return s.voter(c.Voter)
 	}
-	return refuse(protocol.CodeUsage, "a command that holds none")
+	return refuse(protocol.CodeUsage, "command: no operation is set")
 }
 
-func (s *State) found(f *Found) Result {
+func (s *State) bootstrap(f *Bootstrap) Result {
 	switch {
-	case s.founding != "":
-		return refuse(protocol.CodeConflict, "the council was founded before, as %s", s.founding)
+	case s.councilID != "":
+		return refuse(protocol.CodeConflict, "the council is already bootstrapped, with ID %s", s.councilID)
 	case f.ID == "":
-		return refuse(protocol.CodeUsage, "found: no id")
+		return refuse(protocol.CodeUsage, "bootstrap: no council ID")
 	}
 	if err := CheckVoters(f.Voters); err != nil {
-		return refuse(protocol.CodeUsage, "found: %v", err)
+		return refuse(protocol.CodeUsage, "bootstrap: %v", err)
 	}
-	s.founding, s.voters = f.ID, slices.Sorted(slices.Values(f.Voters))
+	s.councilID, s.voters = f.ID, slices.Sorted(slices.Values(f.Voters))
 	return Result{}
 }
 
-// CheckVoters tells what is wrong with the voters of a new council.
+// CheckVoters returns an error if the names can't be the voters of a new council.
 func CheckVoters(names []string) error {
-	if n := len(names); n != VotersLeast && n != VotersMost {
-		return fmt.Errorf("%d voters: %d or %d are needed, as an even number bears no more losses than one fewer", n, VotersLeast, VotersMost)
+	if n := len(names); n != minVoters && n != maxVoters {
+		return fmt.Errorf("%d voters: %d or %d are needed, as an even number tolerates no more failures than one fewer", n, minVoters, maxVoters)
 	}
 	for i, name := range names {
 		switch {
 		case !protocol.Name.MatchString(name):
-			return fmt.Errorf("%q is no agent's name", name)
+			return fmt.Errorf("%q is not a valid agent name", name)
 		case slices.Contains(names[:i], name):
 			return fmt.Errorf("%q is named twice", name)
 		}
@@ -431,15 +436,15 @@
 	has := slices.Contains(s.voters, v.Name)
 	switch n := len(s.voters); {
 	case !protocol.Name.MatchString(v.Name):
-		return refuse(protocol.CodeUsage, "voter: %q is no agent's name", v.Name)
+		return refuse(protocol.CodeUsage, "voter: %q is not a valid agent name", v.Name)
 	case v.Add == has && has:
-		return refuse(protocol.CodeConflict, "%s votes already", v.Name)
+		return refuse(protocol.CodeConflict, "%s is already a voter", v.Name)
 	case v.Add == has:
-		return refuse(protocol.CodeNotFound, "%s does not vote", v.Name)
-	case v.Add && n >= VotersMost:
-		return refuse(protocol.CodeConflict, "%d vote already, no more can: remove one first", n)
-	case !v.Add && n <= VotersLeast:
-		return refuse(protocol.CodeConflict, "%d vote, no fewer can: add one first", n)
+		return refuse(protocol.CodeNotFound, "%s is not a voter", v.Name)
+	case v.Add && n >= maxVoters:
+		return refuse(protocol.CodeConflict, "there are %d voters, the maximum: remove one first", n)
+	case !v.Add && n <= minVoters:
+		return refuse(protocol.CodeConflict, "there are %d voters, the minimum: add one first", n)
 	}
 	if v.Add {
 		s.voters = append(s.voters, v.Name)
@@ -454,61 +459,61 @@
 	d := s.duties[a.Duty]
 	switch {
 	case !protocol.Name.MatchString(a.Duty) || !protocol.Name.MatchString(a.Owner):
-		return refuse(protocol.CodeUsage, "acquire: %q of %q: not names", a.Duty, a.Owner)
-	case d == nil && len(s.duties) >= DutiesMost:
-		return refuse(protocol.CodeUsage, "acquire: there are %d duties, no more are kept", DutiesMost)
+		return refuse(protocol.CodeUsage, "acquire: duty %q or owner %q is not a valid name", a.Duty, a.Owner)
+	case d == nil && len(s.duties) >= maxDuties:
+		return refuse(protocol.CodeUsage, "acquire: there are %d duties, the maximum", maxDuties)
 	case s.Duty(a.Duty).Token != a.After:
 		d := s.Duty(a.Duty)
-		return refuse(protocol.CodeConflict, "%s went to %s with token %v meanwhile", d.Name, d.Owner, d.Token)
+		return refuse(protocol.CodeConflict, "duty %s was acquired by %q with token %v in the meantime", d.Name, d.Owner, d.Token)
 	}
 	if d == nil {
 		d = &Duty{Name: a.Duty}
 		s.duties[a.Duty] = d
 	}
-	s.last++
-	d.Owner, d.Token = a.Owner, s.last
-	return Result{Token: s.last}
+	s.lastToken++
+	d.Owner, d.Token = a.Owner, s.lastToken
+	return Result{Token: s.lastToken}
 }
 
-// own tells whether a token is its duty's current one.
-func (s *State) own(duty string, t Token) error {
+// checkOwner returns an error with protocol.CodeFenced unless t is the token of the duty's current owner.
+func (s *State) checkOwner(duty string, t Token) error {
 	d := s.Duty(duty)
 	if d.Token != t || d.Owner == "" {
 		owner := d.Owner
 		if owner == "" {
 			owner = "nobody"
 		}
-		return protocol.Errorf(protocol.CodeFenced, "token %v of %s is over: it is %s's since token %v", t, duty, owner, d.Token)
+		return protocol.Errorf(protocol.CodeFenced, "token %v of duty %s is over: the duty belongs to %s since token %v", t, duty, owner, d.Token)
 	}
 	return nil
 }
 
 func (s *State) release(r *Release) Result {
-	if err := s.own(r.Duty, r.Token); err != nil {
+	if err := s.checkOwner(r.Duty, r.Token); err != nil {
 		return Result{Err: err}
 	}
 	s.duties[r.Duty].Owner = ""
 	return Result{Token: r.Token}
 }
 
-// CheckJob tells what is wrong with a job that is to be submitted.
+// CheckJob validates a job that is to be submitted.
 func CheckJob(j *Job) error {
 	if _, err := protocol.IDTime(j.ID); err != nil {
 		return protocol.Errorf(protocol.CodeUsage, "job: id: %v", err)
 	}
 	switch {
 	case j.Kind != protocol.Restart && j.Kind != protocol.Upgrade:
-		return protocol.Errorf(protocol.CodeUsage, "job: kind: %q, only %q and %q can be one", j.Kind, protocol.Restart, protocol.Upgrade)
+		return protocol.Errorf(protocol.CodeUsage, "job: kind: %q is not supported, only %q and %q", j.Kind, protocol.Restart, protocol.Upgrade)
 	case j.Program != "" && (j.Kind != protocol.Upgrade || !protocol.Name.MatchString(j.Program)):
-		return protocol.Errorf(protocol.CodeUsage, "job: program: %.80q of a job of kind %q", j.Program, j.Kind)
+		return protocol.Errorf(protocol.CodeUsage, "job: program: %.80q is not allowed in a job of kind %q", j.Program, j.Kind)
 	case j.MaxUnavailable < 1:
-		return protocol.Errorf(protocol.CodeUsage, "job: max_unavailable: %d: nothing could ever be restarted", j.MaxUnavailable)
+		return protocol.Errorf(protocol.CodeUsage, "job: max_unavailable: %d: must be at least 1, or no instance could be restarted", j.MaxUnavailable)
 	case len(j.Stage) > protocol.WordsMost:
-		return protocol.Errorf(protocol.CodeUsage, "job: stage: %d bytes, at most %d are kept", len(j.Stage), protocol.WordsMost)
+		return protocol.Errorf(protocol.CodeUsage, "job: stage: %d bytes, the maximum is %d", len(j.Stage), protocol.WordsMost)
 	case j.Pause < 0:
 		return protocol.Errorf(protocol.CodeUsage, "job: pause: %v is negative", j.Pause)
-	case len(j.Targets) == 0 || len(j.Targets) > TargetsMost:
-		return protocol.Errorf(protocol.CodeUsage, "job: targets: %d are named, 1 to %d can be", len(j.Targets), TargetsMost)
+	case len(j.Targets) == 0 || len(j.Targets) > maxTargets:
+		return protocol.Errorf(protocol.CodeUsage, "job: targets: got %d, want 1 to %d", len(j.Targets), maxTargets)
 	}
 	seen := map[string]bool{}
 	for _, t := range j.Targets {
@@ -516,7 +521,7 @@
 		case !protocol.Name.MatchString(t.Agent) || !protocol.Name.MatchString(t.Instance):
 			return protocol.Errorf(protocol.CodeUsage, "job: targets: %q is not of the form AGENT/INSTANCE", key)
 		case seen[key]:
-			return protocol.Errorf(protocol.CodeUsage, "job: targets: %q is named twice", key)
+			return protocol.Errorf(protocol.CodeUsage, "job: targets: %q is listed twice", key)
 		default:
 			seen[key] = true
 		}
@@ -530,35 +535,36 @@
 	}
 	if known := s.jobs[j.ID]; known != nil {
 		if known.Operator == j.Operator && known.Kind == j.Kind && known.Program == j.Program && slices.Equal(known.Targets, j.Targets) {
-			return Result{Job: known.Clone()} // the same again: its answer was lost
+			return Result{Job: known.Clone()} // a retry after its answer was lost
 		}
-		return refuse(protocol.CodeConflict, "job %s is known as another one, by %s", j.ID, known.Operator)
+		return refuse(protocol.CodeConflict, "job ID %s is in use by another job, submitted by %s", j.ID, known.Operator)
 	}
-	s.forget(len(j.Targets))
-	if n := s.targets(); len(s.order) >= JobsMost || n+len(j.Targets) > TargetsMost {
-		return refuse(protocol.CodeConflict, "%d jobs with %d instances have not ended, at most %d and %d are kept: let some end, or cancel them", len(s.order), n, JobsMost, TargetsMost)
+	s.evictEndedJobs(len(j.Targets))
+	if n := s.targetCount(); len(s.jobOrder) >= MaxJobs || n+len(j.Targets) > maxTargets {
+		return refuse(protocol.CodeConflict, "too many jobs: %d with %d targets are stored, the limits are %d and %d: wait until some have ended, or cancel them", len(s.jobOrder), n, MaxJobs, maxTargets)
 	}
-	kept := j.Clone()
-	kept.State, kept.Why, kept.By, kept.Round, kept.Before, kept.Steps = Active, "", "", 0, nil, make([]Step, len(j.Targets))
-	s.jobs[j.ID] = kept
-	s.order = append(s.order, j.ID)
-	return Result{Job: kept.Clone()}
+	added := j.Clone()
+	added.State, added.Why, added.By, added.Round, added.Before, added.Steps = Active, "", "", 0, nil, make([]Step, len(j.Targets))
+	s.jobs[j.ID] = added
+	s.jobOrder = append(s.jobOrder, j.ID)
+	return Result{Job: added.Clone()}
 }
 
-func (s *State) targets() (n int) {
+func (s *State) targetCount() (n int) {
 	for _, j := range s.jobs {
 		n += len(j.Targets)
 	}
 	return n
 }
 
-// forget drops the oldest jobs that have ended until there is room for one more.
-func (s *State) forget(more int) {
-	jobs, targets := len(s.order), s.targets()
-	s.order = slices.DeleteFunc(s.order, func(id string) bool {
+// evictEndedJobs removes the oldest ended jobs until there is room for one more job with the given number
+// of targets.
+func (s *State) evictEndedJobs(newTargets int) {
+	jobs, targets := len(s.jobOrder), s.targetCount()
+	s.jobOrder = slices.DeleteFunc(s.jobOrder, func(id string) bool {
 		j := s.jobs[id]
 		ended := (j.State == Finished || j.State == Cancelled) && j.Intents() == 0
-		if jobs < JobsMost && targets+more <= TargetsMost || !ended {
+		if jobs < MaxJobs && targets+newTargets <= maxTargets || !ended {
 			return false
 		}
 		jobs--
@@ -572,11 +578,11 @@
 	if j := s.jobs[id]; j != nil {
 		return j, nil
 	}
-	return nil, protocol.Errorf(protocol.CodeNotFound, "no job %s is known", id)
+	return nil, protocol.Errorf(protocol.CodeNotFound, "job %s not found", id)
 }
 
 func (s *State) mark(m *Mark) Result {
-	if err := s.own(Rollouts, m.Token); err != nil {
+	if err := s.checkOwner(Rollouts, m.Token); err != nil {
 		return Result{Err: err}
 	}
 	j, err := s.job(m.Job)
@@ -585,37 +591,37 @@
 	}
 	i := j.index(m.Key)
 	if i < 0 {
-		return refuse(protocol.CodeNotFound, "job %s does not name %s", m.Job, m.Key)
+		return refuse(protocol.CodeNotFound, "job %s has no target %s", m.Job, m.Key)
 	}
-	is := &j.Steps[i]
+	step := &j.Steps[i]
 	switch {
-	case m.Phase == is.Phase && (m.Phase != Intent || m.Token == is.Token):
-		return Result{Job: j.Clone()} // the same again
-	case m.Phase == Intent && is.Phase == Intent: // a new owner takes it up; it was begun, whatever became of the job
-	case m.Phase == Intent && is.Phase != Waiting:
-		return refuse(protocol.CodeConflict, "job %s: %s has ended: %s", m.Job, m.Key, is.Phase)
+	case m.Phase == step.Phase && (m.Phase != Intent || m.Token == step.Token):
+		return Result{Job: j.Clone()} // a repeated command
+	case m.Phase == Intent && step.Phase == Intent: // a new owner continues the step, in whatever state the job is
+	case m.Phase == Intent && step.Phase != Waiting:
+		return refuse(protocol.CodeConflict, "job %s: step %s has already ended: %s", m.Job, m.Key, step.Phase)
 	case m.Phase == Intent && j.State != Active:
 		return refuse(protocol.CodeConflict, "job %s is %s", m.Job, j.State)
 	case m.Phase == Intent:
-	case m.Phase == Left && is.Phase == Waiting:
-	case (m.Phase == Done || m.Phase == Failed || m.Phase == Waiting || m.Phase == Left) && is.Phase == Intent:
+	case m.Phase == Left && step.Phase == Waiting:
+	case (m.Phase == Done || m.Phase == Failed || m.Phase == Waiting || m.Phase == Left) && step.Phase == Intent:
 	default:
-		return refuse(protocol.CodeConflict, "job %s: %s can't go from %q to %q", m.Job, m.Key, is.Phase, m.Phase)
+		return refuse(protocol.CodeConflict, "job %s: step %s can't change from phase %q to %q", m.Job, m.Key, step.Phase, m.Phase)
 	}
-	at := is.At
+	at := step.IntendedAt
 	switch {
 	case m.Forgotten:
 		at = time.Time{}
 	case m.Phase == Intent && at.IsZero():
-		at = m.At
+		at = m.IntendedAt
 	}
-	*is = Step{m.Phase, m.Token, protocol.Clip(m.Text), at}
-	j.settle()
+	*step = Step{m.Phase, m.Token, protocol.Clip(m.Text), at}
+	j.finishIfDone()
 	return Result{Job: j.Clone()}
 }
 
-// settle ends a job of which nothing is left to do.
-func (j *Job) settle() {
+// finishIfDone ends an active or paused job once all its steps have ended.
+func (j *Job) finishIfDone() {
 	if j.State != Active && j.State != Paused {
 		return
 	}
@@ -634,8 +640,8 @@
 	}
 }
 
-func (s *State) base(b *Base) Result {
-	if err := s.own(Rollouts, b.Token); err != nil {
+func (s *State) setBaseline(b *Base) Result {
+	if err := s.checkOwner(Rollouts, b.Token); err != nil {
 		return Result{Err: err}
 	}
 	j, err := s.job(b.Job)
@@ -649,23 +655,23 @@
 	return Result{Job: j.Clone()}
 }
 
-func (s *State) stop(e *Stop) Result {
-	if err := s.own(Rollouts, e.Token); err != nil {
+func (s *State) stop(stop *Stop) Result {
+	if err := s.checkOwner(Rollouts, stop.Token); err != nil {
 		return Result{Err: err}
 	}
-	j, err := s.job(e.Job)
+	j, err := s.job(stop.Job)
 	if err != nil {
 		return Result{Err: err}
 	}
 	if j.State == Active {
-		j.State, j.Why = Stopped, protocol.Clip(e.Why)
+		j.State, j.Why = Stopped, protocol.Clip(stop.Why)
 	}
 	return Result{Job: j.Clone()}
 }
 
-func (s *State) turn(t *Turn) Result {
+func (s *State) setJobState(t *Turn) Result {
 	if t.Token != 0 {
-		if err := s.own(Fleet, t.Token); err != nil {
+		if err := s.checkOwner(Fleet, t.Token); err != nil {
 			return Result{Err: err}
 		}
 	}
@@ -677,81 +683,81 @@
 	case t.To == j.State:
 		return Result{Job: j.Clone()}
 	case j.State == Finished || j.State == Cancelled:
-		return refuse(protocol.CodeConflict, "job %s has ended: %s", t.Job, j.State)
+		return refuse(protocol.CodeConflict, "job %s has already ended: %s", t.Job, j.State)
 	case t.To == Paused && j.State == Active, t.To == Cancelled:
 	case t.To == Active:
 		j.Round++
-		j.Before = nil // the operator has looked, and takes things as they are
+		j.Before = nil // resuming accepts the current state: a new baseline is measured
 		for i, step := range j.Steps {
 			if step.Phase == Failed || step.Phase == Left {
-				j.Steps[i] = Step{Phase: Waiting, Text: step.Text, At: step.At}
+				j.Steps[i] = Step{Phase: Waiting, Text: step.Text, IntendedAt: step.IntendedAt}
 			}
 		}
 	default:
-		return refuse(protocol.CodeUsage, "job %s is %s and can't become %q", t.Job, j.State, t.To)
+		return refuse(protocol.CodeUsage, "job %s is %s and can't be set to %q", t.Job, j.State, t.To)
 	}
 	j.State, j.By, j.Why = t.To, t.By, ""
-	j.settle()
+	j.finishIfDone()
 	return Result{Job: j.Clone()}
 }
 
-// snapshot is a State on disk.
+// snapshot is the serialized form of a State.
 type snapshot struct {
-	Form     int      `json:"form"`
-	Founding string   `json:"founding"`
-	Voters   []string `json:"voters"`
-	Epoch    uint64   `json:"epoch"`
-	Last     Token    `json:"last"`
-	Duties   []Duty   `json:"duties"`
-	Jobs     []*Job   `json:"jobs"`
+	FormatVersion int      `json:"form"`
+	CouncilID     string   `json:"founding"`
+	Voters        []string `json:"voters"`
+	Epoch         uint64   `json:"epoch"`
+	LastToken     Token    `json:"last"`
+	Duties        []Duty   `json:"duties"`
+	Jobs          []*Job   `json:"jobs"`
 
 	Agents map[string]*Memory `json:"agents,omitempty"`
 	Fleet  *desired.State     `json:"fleet,omitempty"`
 }
 
-// Snapshot writes the whole state.
+// Snapshot serializes the state.
 func (s *State) Snapshot() ([]byte, error) {
-	text, err := json.Marshal(snapshot{Form, s.founding, s.voters, s.epoch, s.last, s.Duties(), s.Jobs(), s.agents, s.fleet})
+	text, err := json.Marshal(snapshot{Form, s.councilID, s.voters, s.epoch, s.lastToken, s.Duties(), s.Jobs(), s.agents, s.fleet})
 	if err != nil {
 		return nil, fmt.Errorf("duty: snapshot: %w", err)
 	}
 	return text, nil
 }
 
-// Load takes a snapshot's place; on an error nothing has changed.
+// Load replaces the state by a snapshot's. On an error the state is unchanged.
 func (s *State) Load(text []byte) error {
-	var from snapshot
-	if err := json.Unmarshal(text, &from); err != nil {
+	var loaded snapshot
+	if err := json.Unmarshal(text, &loaded); err != nil {
 		return fmt.Errorf("duty: snapshot: %w", err)
 	}
-	if from.Form != Form {
-		return fmt.Errorf("duty: a snapshot of form %d, this program knows form %d: bring this agent to the others' version", from.Form, Form)
+	if loaded.FormatVersion != Form {
+		return fmt.Errorf("duty: snapshot has format version %d, this build supports %d: install the version that the other agents run", loaded.FormatVersion, Form)
 	}
-	into := New()
-	into.founding, into.voters = from.Founding, from.Voters
-	into.epoch, into.last = from.Epoch, from.Last
-	for name, m := range from.Agents {
+	state := New()
+	state.councilID, state.voters = loaded.CouncilID, loaded.Voters
+	state.epoch, state.lastToken = loaded.Epoch, loaded.LastToken
+	for name, m := range loaded.Agents {
 		if m == nil || m.Instances == nil {
 			return fmt.Errorf("duty: snapshot: agent %s has no instances", name)
 		}
-		into.agents[name] = m
+		state.agents[name] = m
 	}
-	if from.Fleet != nil {
-		into.fleet = from.Fleet.Clone()
+	if loaded.Fleet != nil {
+		state.fleet = loaded.Fleet.Clone()
 	}
-	for _, d := range from.Duties {
-		into.duties[d.Name] = &d
-		if d.Token > into.last {
-			return fmt.Errorf("duty: snapshot: %s has token %v, the last one given is %v", d.Name, d.Token, into.last)
+	for _, d := range loaded.Duties {
+		state.duties[d.Name] = &d
+		if d.Token > state.lastToken {
+			return fmt.Errorf("duty: snapshot: duty %s has token %v, which is above the last issued token %v", d.Name, d.Token, state.lastToken)
 		}
 	}
-	for _, j := range from.Jobs {
+	for _, j := range loaded.Jobs {
 		if len(j.Steps) != len(j.Targets) {
-			return fmt.Errorf("duty: snapshot: job %s has %d instances and %d steps", j.ID, len(j.Targets), len(j.Steps))
+			return fmt.Errorf("duty: snapshot: job %s has %d targets and %d steps", j.ID, len(j.Targets), len(j.Steps))
 		}
-		into.jobs[j.ID] = j
-		into.order = append(into.order, j.ID)
+		state.jobs[j.ID] = j
+		state.jobOrder = append(state.jobOrder, j.ID)
 	}
-	*s = *into
+	*s = *state
 	return nil
 }
--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -43,32 +43,32 @@
 	return e.Code
 }
 
-// plain is what a State promises, kept as slowly and simply as can be: every token given, and
-// each instance's phases in the order in which they were taken.
-type plain struct {
-	tokens  []Token
-	owner   string
-	history map[string][]string // JOB KEY: phases
-	closed  map[string]bool     // jobs that were cancelled
+// model is a simple reference model of a State: every token issued, and the phases of each step in the
+// order in which they were set.
+type model struct {
+	tokens    []Token
+	owner     string
+	history   map[string][]string // phases by job ID and target key
+	cancelled map[string]bool     // cancelled jobs
 }
 
-// Drawn histories of owners, jobs, outcomes, operators and restores from snapshots, against the
-// plain model: tokens rise across snapshots, only the newest owner writes, no instance is begun
-// twice without an operator's word, nothing begins behind a cancel, and what has ended stays so.
-func TestStateKeepsItsPromises(t *testing.T) {
+// Compares a State with the reference model under random sequences of commands and reloads from snapshots:
+// tokens increase across snapshots, only the latest owner can write, no step restarts without an
+// operator's command, no step starts after a cancel, and an ended step stays ended.
+func TestStateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		p := plain{history: map[string][]string{}, closed: map[string]bool{}}
+		m := model{history: map[string][]string{}, cancelled: map[string]bool{}}
 		jobs := 0
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
-			token := Token(rapid.Uint64Range(0, uint64(len(p.tokens))+1).Draw(t, "token"))
+			token := Token(rapid.Uint64Range(0, uint64(len(m.tokens))+1).Draw(t, "token"))
 			which := jobID(rapid.IntRange(0, 3).Draw(t, "job"))
 			key := fmt.Sprint("m1/n", rapid.IntRange(1, 4).Draw(t, "instance"))
-			newest := len(p.tokens) > 0 && token == p.tokens[len(p.tokens)-1] && p.owner != ""
+			newest := len(m.tokens) > 0 && token == m.tokens[len(m.tokens)-1] && m.owner != ""
 			c := Command{Form: Form}
 			switch rapid.IntRange(0, 7).Draw(t, "command") {
 			case 7:
-				c.Base = &Base{Token: token, Job: which, Answers: Answers{Served: int64(len(p.tokens))}}
+				c.Base = &Base{Token: token, Job: which, Answers: Answers{Served: int64(len(m.tokens))}}
 			case 0:
 				c.Acquire = &Acquire{Duty: Rollouts, Owner: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), After: token}
 			case 1:
@@ -80,7 +80,7 @@
 				c.Mark = &Mark{Token: token, Job: which, Key: key, Phase: phase}
 			case 5:
 				c.Turn = &Turn{Job: which, To: rapid.SampledFrom([]string{Active, Paused, Cancelled, Stopped}).Draw(t, "to"), By: "eve"}
-			case 6: // a voter that starts anew
+			case 6: // a voter restarts from a snapshot
 				text, err := s.Snapshot()
 				if err != nil {
 					t.Fatal(err)
@@ -101,53 +101,53 @@
 			r := s.Apply(c)
 			if r.Err != nil {
 				if after, _ := s.Snapshot(); !slices.Equal(before, after) {
-					t.Fatalf("%+v was refused (%v) and changed something", c, r.Err)
+					t.Fatalf("%+v was refused (%v) but changed the state", c, r.Err)
 				}
 				continue
 			}
 			switch {
 			case c.Acquire != nil:
-				if last := append([]Token{0}, p.tokens...)[len(p.tokens)]; r.Token <= last || c.Acquire.After != last {
-					t.Fatalf("token %v behind %v, asked after %v", r.Token, last, c.Acquire.After)
+				if last := append([]Token{0}, m.tokens...)[len(m.tokens)]; r.Token <= last || c.Acquire.After != last {
+					t.Fatalf("got token %v after %v, requested after %v", r.Token, last, c.Acquire.After)
 				}
-				p.tokens, p.owner = append(p.tokens, r.Token), c.Acquire.Owner
+				m.tokens, m.owner = append(m.tokens, r.Token), c.Acquire.Owner
 			case c.Release != nil:
 				if !newest {
-					t.Fatalf("token %v released, %v owns", token, p.tokens)
+					t.Fatalf("released by token %v, tokens issued so far: %v", token, m.tokens)
 				}
-				p.owner = ""
+				m.owner = ""
 			case c.Submit != nil:
 				jobs++
 			case c.Base != nil && !newest:
-				t.Fatalf("token %v wrote what was before", token)
+				t.Fatalf("token %v, not the current owner's, wrote a baseline", token)
 			case c.Mark != nil:
 				if !newest {
-					t.Fatalf("token %v wrote, the newest is %v of %q", token, p.tokens, p.owner)
+					t.Fatalf("token %v wrote, the tokens issued are %v and the owner is %q", token, m.tokens, m.owner)
 				}
-				h := p.history[which+key]
+				h := m.history[which+key]
 				if c.Mark.Phase == Intent {
 					if n := len(h); n > 0 && (h[n-1] == Done || h[n-1] == Failed || h[n-1] == Left) {
-						t.Fatalf("%s begun again behind %v", key, h)
+						t.Fatalf("%s started again after phases %v", key, h)
 					}
-					if p.closed[which] && (len(h) == 0 || h[len(h)-1] != Intent) {
-						t.Fatalf("%s begun behind the cancel: %v", key, h)
+					if m.cancelled[which] && (len(h) == 0 || h[len(h)-1] != Intent) {
+						t.Fatalf("%s started after the cancel, phases %v", key, h)
 					}
 				}
-				p.history[which+key] = append(h, c.Mark.Phase)
+				m.history[which+key] = append(h, c.Mark.Phase)
 			case c.Turn != nil && c.Turn.To == Cancelled:
-				p.closed[which] = true
+				m.cancelled[which] = true
 			case c.Turn != nil && c.Turn.To == Active && was != Active:
 				for i := range 3 {
 					k := which + fmt.Sprint("m1/n", i+1)
-					if h := p.history[k]; len(h) > 0 && (h[len(h)-1] == Failed || h[len(h)-1] == Left) {
-						p.history[k] = append(h, Waiting)
+					if h := m.history[k]; len(h) > 0 && (h[len(h)-1] == Failed || h[len(h)-1] == Left) {
+						m.history[k] = append(h, Waiting)
 					}
 				}
 			}
 			for _, j := range s.Jobs() {
 				for i, step := range j.Steps {
 					want := Waiting
-					if h := p.history[j.ID+j.Targets[i].Key()]; len(h) > 0 {
+					if h := m.history[j.ID+j.Targets[i].Key()]; len(h) > 0 {
 						want = h[len(h)-1]
 					}
 					if step.Phase != want {
@@ -155,16 +155,16 @@
 					}
 				}
 				if j.State == Finished && j.Open() {
-					t.Fatalf("job done with work left: %+v", j)
+					t.Fatalf("finished job still has open steps: %+v", j)
 				}
 			}
 		}
 	})
 }
 
-// A cancel that crosses the last outcome: whichever comes first, the job's end is told once
-// and the outcome is kept.
-func TestCancelCrossesTheLastOutcome(t *testing.T) {
+// A cancel races with the outcome of a job's last step. In either order the job ends once and the
+// outcome is stored.
+func TestCancelRacesWithLastOutcome(t *testing.T) {
 	for name, cancelFirst := range map[string]bool{"cancel first": true, "outcome first": false} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
@@ -179,49 +179,49 @@
 			if cancelFirst {
 				want = Cancelled
 				apply(t, s, cancel)
-				if !s.Work() {
-					t.Error("an open intent is forgotten")
+				if !s.hasOpenJobs() {
+					t.Error("cancelled job with an intent is not open")
 				}
 				mark(Done)
 			} else {
 				mark(Done)
 				if r := s.Apply(cancel); code(r.Err) != protocol.CodeConflict {
-					t.Errorf("cancelled behind its end: %v", r.Err)
+					t.Errorf("cancelled after it had finished: %v", r.Err)
 				}
 			}
 			j := s.Jobs()[0]
-			if j.State != want || j.Steps[0].Phase != Done || s.Work() {
+			if j.State != want || j.Steps[0].Phase != Done || s.hasOpenJobs() {
 				t.Errorf("job %+v", j)
 			}
 		})
 	}
 }
 
-// Every bound holds, and what would pass it is refused with words that say what to do.
+// Commands that would exceed a bound are refused, and stored texts are truncated.
 func TestBounds(t *testing.T) {
 	s := New()
-	for n := range DutiesMost {
+	for n := range maxDuties {
 		apply(t, s, Command{Acquire: &Acquire{Duty: fmt.Sprint("d", n), Owner: "a"}})
 	}
 	if r := s.Apply(Command{Form: Form, Acquire: &Acquire{Duty: "more", Owner: "a"}}); code(r.Err) != protocol.CodeUsage {
-		t.Errorf("a duty too many: %v", r.Err)
+		t.Errorf("acquire above the maximum number of duties: %v", r.Err)
 	}
-	for n := range JobsMost {
+	for n := range MaxJobs {
 		apply(t, s, Command{Submit: job(n, 1)})
 	}
-	if r := s.Apply(Command{Form: Form, Submit: job(JobsMost, 1)}); code(r.Err) != protocol.CodeConflict {
-		t.Errorf("a job too many: %v", r.Err)
+	if r := s.Apply(Command{Form: Form, Submit: job(MaxJobs, 1)}); code(r.Err) != protocol.CodeConflict {
+		t.Errorf("submit above the maximum number of jobs: %v", r.Err)
 	}
 	apply(t, s, Command{Turn: &Turn{Job: jobID(5), To: Cancelled, By: "eve"}})
-	apply(t, s, Command{Submit: job(JobsMost, 1)}) // takes the ended one's place
+	apply(t, s, Command{Submit: job(MaxJobs, 1)}) // replaces the ended job
 	if r := s.Apply(Command{Form: Form, Turn: &Turn{Job: jobID(5), To: Active}}); code(r.Err) != protocol.CodeNotFound {
-		t.Errorf("the forgotten job: %v", r.Err)
+		t.Errorf("evicted job: %v", r.Err)
 	}
-	if r := s.Apply(Command{Form: Form, Submit: job(JobsMost+1, TargetsMost)}); code(r.Err) != protocol.CodeConflict {
-		t.Errorf("instances too many: %v", r.Err)
+	if r := s.Apply(Command{Form: Form, Submit: job(MaxJobs+1, maxTargets)}); code(r.Err) != protocol.CodeConflict {
+		t.Errorf("submit above the maximum number of targets: %v", r.Err)
 	}
 	if j := s.Jobs()[0]; len(protocol.Clip(string(make([]byte, 10_000)))) > protocol.WordsMost+len("…") || j.Why != "" {
-		t.Errorf("words are not bounded")
+		t.Errorf("texts are not truncated")
 	}
 }
 
@@ -259,7 +259,7 @@
 		"token above the last": `{"form":1,"last":3,"duties":[{"name":"x","token":4}]}`,
 	} {
 		if err := s.Load([]byte(text)); err == nil {
-			t.Errorf("%s: a snapshot was taken", name)
+			t.Errorf("%s: invalid snapshot was loaded", name)
 		}
 	}
 }
--- a/internal/fleet/duty/lease_test.go
+++ b/internal/fleet/duty/lease_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// clock runs at a rate of its own, from an offset of its own.
+// clock is a clock with its own rate and offset.
 type clock struct {
 	rate   float64
 	offset time.Duration
@@ -17,17 +17,16 @@
 	return c.offset + time.Duration(float64(real)*c.rate)
 }
 
-// At no moment do two owners believe in their leases, whatever the delays of calls and of
-// answers, changes of leader and clocks within DriftMost: drawn histories of two candidates
-// and three leaders over one State.
-func TestNoTwoHoldAtOnce(t *testing.T) {
+// At no time do two owners hold a valid lease, with random delays of requests and answers, leader changes
+// and clock drift within maxClockDrift. Two candidates and three leaders share one State.
+func TestLeasesDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const lease = 5 * time.Second
 		clocks := func(n int, kind string) []clock {
 			all := make([]clock, n)
 			for i := range all {
 				all[i] = clock{
-					rapid.Float64Range(1-DriftMost, 1+DriftMost).Draw(t, kind+" rate"),
+					rapid.Float64Range(1-maxClockDrift, 1+maxClockDrift).Draw(t, kind+" rate"),
 					time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, kind+" offset")),
 				}
 			}
@@ -39,91 +38,91 @@
 		state := New()
 		leader := 0
 		real := time.Duration(0)
-		leases[0].Lead(voters[0].at(0))
-		holds := make([]Hold, 2)
-		pass := func(label string) {
+		leases[0].StartLeading(voters[0].at(0))
+		held := make([]OwnerLease, 2)
+		advance := func(label string) {
 			real += time.Duration(rapid.Int64Range(0, int64(lease)/2).Draw(t, label))
-			good := 0
-			for i, h := range holds {
-				if h.Good(owners[i].at(real)) {
-					good++
+			valid := 0
+			for i, h := range held {
+				if h.Valid(owners[i].at(real)) {
+					valid++
 				}
 			}
-			if good > 1 {
-				t.Fatalf("both hold at %v: %+v", real, holds)
+			if valid > 1 {
+				t.Fatalf("both leases are valid at %v: %+v", real, held)
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			if rapid.IntRange(0, 5).Draw(t, "what") == 0 { // another leader
-				leases[leader].Follow()
+			if rapid.IntRange(0, 5).Draw(t, "what") == 0 { // leader change
+				leases[leader].stopLeading()
 				leader = rapid.IntRange(0, 2).Draw(t, "leader")
-				pass("election")
-				leases[leader].Lead(voters[leader].at(real))
+				advance("election")
+				leases[leader].StartLeading(voters[leader].at(real))
 				continue
 			}
 			i := rapid.IntRange(0, 1).Draw(t, "who")
 			asked := owners[i].at(real)
-			pass("call")
-			// The leader hears the call, and agrees on it, at one moment each.
+			advance("call")
+			// The leader receives the request at one time and commits it at a later one.
 			now := voters[leader].at(real)
 			d := state.Duty(Rollouts)
-			if d.Owner == names[i] && d.Token == holds[i].Token {
+			if d.Owner == names[i] && d.Token == held[i].Token {
 				if leases[leader].Renew(Rollouts, now) {
-					pass("answer")
-					holds[i] = holds[i].Renewed(asked, lease)
+					advance("answer")
+					held[i] = held[i].Renewed(asked, lease)
 				}
 				continue
 			}
-			if left, ok := leases[leader].Left(Rollouts, now); !ok || left > 0 && d.Owner != "" {
+			if left, ok := leases[leader].Remaining(Rollouts, now); !ok || left > 0 && d.Owner != "" {
 				continue
 			}
 			r := state.Apply(Command{Form: Form, Acquire: &Acquire{Duty: Rollouts, Owner: names[i], After: d.Token}})
 			if r.Err != nil {
 				t.Fatal(r.Err)
 			}
-			pass("commit")
+			advance("commit")
 			leases[leader].Granted(Rollouts, voters[leader].at(real))
-			pass("answer")
-			holds[i] = Hold{Fence: Fence{Duty: Rollouts, Token: r.Token}}.Renewed(asked, lease)
+			advance("answer")
+			held[i] = OwnerLease{Fence: Fence{Duty: Rollouts, Token: r.Token}}.Renewed(asked, lease)
 		}
 		for range 3 {
-			pass("after")
+			advance("after")
 		}
 	})
 }
 
-// The bound is tight: clocks a little further off than DriftMost let two hold at once, so
-// that the property above is seen to depend on it.
-func TestFurtherDriftOverlaps(t *testing.T) {
+// With more drift than maxClockDrift two leases overlap: this shows that the property test above depends
+// on the bound.
+func TestExcessiveDriftOverlaps(t *testing.T) {
 	const lease = 5 * time.Second
-	owner, granter := clock{rate: 1 - 2*DriftMost}, clock{rate: 1 + DriftMost}
-	hold := Hold{Fence: Fence{Duty: Rollouts, Token: 1}}.Renewed(owner.at(0), lease)
+	owner, leader := clock{rate: 1 - 2*maxClockDrift}, clock{rate: 1 + maxClockDrift}
+	held := OwnerLease{Fence: Fence{Duty: Rollouts, Token: 1}}.Renewed(owner.at(0), lease)
 	l := NewLeases(lease)
-	l.Lead(0)
-	l.Granted(Rollouts, granter.at(0))
-	over := time.Duration(float64(lease) / granter.rate)
-	if left, _ := l.Left(Rollouts, granter.at(over)+1); left > 0 {
-		t.Fatalf("the granter still waits for %v", left)
+	l.StartLeading(0)
+	l.Granted(Rollouts, leader.at(0))
+	leaseEnd := time.Duration(float64(lease) / leader.rate)
+	if left, _ := l.Remaining(Rollouts, leader.at(leaseEnd)+1); left > 0 {
+		t.Fatalf("the leader still waits for %v", left)
 	}
-	if !hold.Good(owner.at(over)) {
-		t.Error("the slow owner has stopped already")
+	if !held.Valid(owner.at(leaseEnd)) {
+		t.Error("the lease of the owner with the slow clock has ended already")
 	}
-	if slow := (clock{rate: 1 - DriftMost}); hold.Good(slow.at(over) + 1) {
-		t.Error("an owner within the bound still goes on")
+	if slow := (clock{rate: 1 - maxClockDrift}); held.Valid(slow.at(leaseEnd) + 1) {
+		t.Error("the lease of an owner within the drift bound is still valid")
 	}
 }
 
-func TestLeaseThatHasEndedIsNotRenewed(t *testing.T) {
+func TestEndedLeaseIsNotRenewed(t *testing.T) {
 	l := NewLeases(time.Second)
-	if _, ok := l.Left("x", 0); ok || l.Renew("x", 0) {
-		t.Error("a voter that does not lead speaks of leases")
+	if _, ok := l.Remaining("x", 0); ok || l.Renew("x", 0) {
+		t.Error("a voter that does not lead reports or renews leases")
 	}
-	l.Lead(0)
+	l.StartLeading(0)
 	if !l.Renew("x", 900*time.Millisecond) || l.Renew("x", 1900*time.Millisecond) {
-		t.Error("renewed after its end, or not before it")
+		t.Error("renewed after it had ended, or not renewed before")
 	}
-	l.Lead(2 * time.Second) // again: whole leases are waited out
-	if left, _ := l.Left("x", 2*time.Second); left != time.Second {
+	l.StartLeading(2 * time.Second) // a new leadership assumes whole leases
+	if left, _ := l.Remaining("x", 2*time.Second); left != time.Second {
 		t.Errorf("%v left, want a whole lease", left)
 	}
 }
--- a/internal/fleet/owner/holding.go
+++ b/internal/fleet/owner/holding.go
@@ -33,7 +33,7 @@
 	began time.Time
 
 	held sync.Mutex // over what follows
-	hold duty.Hold
+	hold duty.OwnerLease
 	says map[string]string
 }
 
@@ -54,7 +54,7 @@
 			switch {
 			case err != nil:
 			case a.Token != 0:
-				hold := duty.Hold{Fence: duty.Fence{Duty: name, Token: a.Token}}.Renewed(asked, opt.Lease)
+				hold := duty.OwnerLease{Fence: duty.Fence{Duty: name, Token: a.Token}}.Renewed(asked, opt.Lease)
 				if why := tenant(ctx, opt, hold, own); !errors.Is(why, errBlind) {
 					continue
 				}
@@ -73,7 +73,7 @@
 }
 
 // tenant has the work of a duty done until it is lost, parent ends or nothing is left. It gives why it ended.
-func tenant(parent context.Context, opt Options, hold duty.Hold, own func(context.Context, *holding)) error {
+func tenant(parent context.Context, opt Options, hold duty.OwnerLease, own func(context.Context, *holding)) error {
 	ctx, lost := context.WithCancelCause(client.WithFence(parent, hold.Fence))
 	h := &holding{
 		opt: opt, fence: hold.Fence, log: opt.Log.With("duty", hold.Duty, "token", hold.Token.String()), lost: lost,
@@ -101,7 +101,7 @@
 // good tells whether anything may still be begun, and ends the tenure if not.
 func (h *holding) good() bool {
 	h.held.Lock()
-	good := h.hold.Good(h.opt.Clock.Now())
+	good := h.hold.Valid(h.opt.Clock.Now())
 	h.held.Unlock()
 	if !good {
 		h.lost(errLeaseOver)
@@ -123,7 +123,7 @@
 }
 
 func (h *holding) renew(ctx context.Context) {
-	each := duty.Usable(h.opt.Lease) / renewals
+	each := duty.UsableLease(h.opt.Lease) / renewals
 	every := time.NewTicker(each)
 	defer every.Stop()
 	for {
--- a/internal/fleet/owner/owner.go
+++ b/internal/fleet/owner/owner.go
@@ -366,7 +366,7 @@
 func (t *tenure) mark(ctx context.Context, step rollout.Step, phase, text string) (duty.Step, error) {
 	m := duty.Mark{Token: t.fence.Token, Job: step.Job.ID, Key: step.Target.Key(), Phase: phase, Text: text, Forgotten: text == forgotten}
 	if phase == duty.Intent {
-		m.At = time.Now().Truncate(time.Millisecond)
+		m.IntendedAt = time.Now().Truncate(time.Millisecond)
 	}
 	for {
 		a, err := t.opt.Council.Do(ctx, duty.Command{Mark: &m})
@@ -394,7 +394,7 @@
 func orderID(job, key string, is duty.Step) string {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, job+" "+key)
-	return protocol.NewID(is.At, h.Sum64())
+	return protocol.NewID(is.IntendedAt, h.Sum64())
 }
 
 // carry carries one instance of a job through: intent, order, outcome.
