--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -1,6 +1,6 @@
-// Package council is the group of agents that agree on a fleet's duties: three or five voters
-// under raft, with their log on disk. It is the only place that knows raft. What is agreed on
-// is package duty's.
+// Package council replicates a fleet's duties among a group of agents: three or five raft voters with their
+// log on disk. It is the only package that uses raft. The replicated state is defined by package
+// duty.
 package council
 
 import (
@@ -31,53 +31,56 @@
 )
 
 const (
-	tickEvery = 100 * time.Millisecond
-	mendEvery = 2 * time.Second
-	// applyWithin bounds an agreement, verifyWithin the leader's making sure that it leads.
-	applyWithin  = 5 * time.Second
-	verifyWithin = 2 * time.Second
-	askWithin    = time.Second
-	// wholeEvery is how often a leader whose members are whole asks whether they still are who
-	// they were.
-	wholeEvery = 2 * time.Second
-	// electAt is the share of a lease after which silence of a leader begins an election.
-	electAt = 8
-	// slowAt is the share of a lease that a write may take before a leader hands over.
-	slowAt = 8
-	// snapshotAt entries are made into a snapshot; trailing ones are kept for who lags.
-	snapshotAt    = 1024
-	trailing      = 256
-	snapshotsKept = 2
-	streamsKept   = 3 // idle ones to each voter
-	saysMost      = duty.MaxJobs
-	offersMost    = 64
-	// backWithin is how long an agent counts as one that has just come back.
-	backWithin = 10 * time.Second
+	tickInterval = 100 * time.Millisecond
+	restartDelay = 2 * time.Second
+	// applyTimeout bounds the commit of a command, verifyTimeout the leader's check that it still leads.
+	applyTimeout  = 5 * time.Second
+	verifyTimeout = 2 * time.Second
+	statusTimeout = time.Second
+	// membershipCheckInterval is how often a leader with complete membership checks that all members still
+	// have the same store.
+	membershipCheckInterval = 2 * time.Second
+	// electionLeaseDivisor divides the lease to give the time without contact to the leader after which an
+	// election starts.
+	electionLeaseDivisor = 8
+	// slowWriteLeaseDivisor divides the lease to give the write latency above which a leader transfers its
+	// leadership.
+	slowWriteLeaseDivisor = 8
+	// A snapshot is taken every snapshotThreshold entries. trailingLogs entries before it are kept for
+	// followers that lag.
+	snapshotThreshold = 1024
+	trailingLogs      = 256
+	snapshotsKept     = 2
+	streamsKept       = 3 // idle streams per voter
+	maxMessages       = duty.MaxJobs
+	maxOffers         = 64
+	// recentStartWindow is how long an agent counts as recently started.
+	recentStartWindow = 10 * time.Second
 )
 
-// Peers is the way to the other agents.
+// Peers connects to the other agents.
 type Peers interface {
-	// Stream begins a stream to the agent in hello.To.
+	// Stream opens a stream to the agent, with hello as its handshake.
 	Stream(ctx context.Context, agent string, hello duty.Hello) (net.Conn, error)
-	// Status asks an agent for its voter's state.
+	// Status returns the state of an agent's voter.
 	Status(ctx context.Context, agent string) (duty.Status, error)
 }
 
-// Config says what a voter is.
+// Config configures a voter.
 type Config struct {
 	Name    string
-	Cluster string   // the fleet's id, as all its agents have it
-	Dir     string   // the folder of the log
-	Witness string   // a file beside it that notices a log that was put back; none if empty
-	Voters  []string // of the founding; the council itself keeps them later
-	// First tells that the operator has started this fleet's agents for the first time: without
-	// it a voter with an empty folder waits to be taken in, and never begins a new council.
+	Cluster string   // ID of the fleet, the same at all its agents
+	Dir     string   // directory of the store
+	Witness string   // path of the progress file, which detects a store restored from an older copy; none if empty
+	Voters  []string // initial voters; later the replicated state has them
+	// First declares that the operator starts this fleet's agents for the first time. Without it a voter
+	// with an empty directory waits until it is added to a council and never bootstraps a new one.
 	First bool
 	Lease time.Duration
 	Clock boottime.Clock
 	Peers Peers
 	Log   *slog.Logger
-	// Disk opens the stores; the usual ones if nil.
+	// Disk opens the stores; OpenStores if nil.
 	Disk func(dir string) (Stores, error)
 }
 
@@ -87,36 +90,36 @@
 	log *slog.Logger
 
 	mu        sync.Mutex
-	life      *life
-	why       string // why there is none, or what was wrong at last
+	session   *session
+	lastErr   string // why there is no session: the latest error
 	slow      time.Duration
 	slowUntil time.Time
-	said      string // what the log last said of being broken
+	loggedErr string // the error logged last, so that it is logged once
 	changed   chan struct{}
 }
 
-// life is a voter from an opening of its store to its end.
-type life struct {
-	id       *identity
-	raft     *raft.Raft
-	machine  *machine
-	streams  *streams
-	broken   chan struct{} // closed at the first failure
-	breaking func(error)
-	slow     chan time.Duration // a write of late that was slow
-	writes   atomic.Uint64
-
-	mu     sync.Mutex
-	kept   identity // id, with what was learnt since
-	why    error
-	leases *duty.Leases
-	ledIn  uint64                       // the term in which leases are known
-	says   map[string]map[string]string // by duty and job
-	offers map[string]string            // by who asked for a duty
-	came   map[string]comer             // by agent
-}
-
-// New makes a voter; nothing is opened before Run.
+// session is the time from opening a voter's store until it fails or the voter ends.
+type session struct {
+	id      *identity
+	raft    *raft.Raft
+	machine *stateMachine
+	streams *streamLayer
+	failed  chan struct{} // closed at the first store failure
+	fail    func(error)
+	slow    chan time.Duration // latency of a slow write
+	writes  atomic.Uint64
+
+	mu          sync.Mutex
+	savedID     identity // id, updated with the current council ID and epoch
+	err         error
+	leases      *duty.Leases
+	leaseTerm   uint64                       // the term for which leases are initialized
+	messages    map[string]map[string]string // messages of owners by duty and job
+	offers      map[string]string            // pending offers by candidate
+	agentStarts map[string]agentStart        // latest start by agent
+}
+
+// New returns a voter. Its store is opened by Run.
 func New(cfg Config) *Council {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -127,589 +130,588 @@
 	return &Council{cfg: cfg, log: cfg.Log.With("council", cfg.Cluster), changed: make(chan struct{})}
 }
 
-// Run takes part until ctx ends. A voter whose store fails steps aside and begins anew from
-// what it has on disk, every mendEvery.
+// Run takes part in the council until ctx ends. A voter whose store fails stops, and restarts from its store
+// after restartDelay.
 func (c *Council) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := c.live(ctx)
+		err := c.runSession(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		c.mu.Lock()
-		c.why = err.Error()
-		again := c.said == c.why
-		c.said = c.why
+		c.lastErr = err.Error()
+		again := c.loggedErr == c.lastErr
+		c.loggedErr = c.lastErr
 		c.mu.Unlock()
 		if !again {
-			c.log.Error("the voter steps aside and tries again", "err", err)
+			c.log.Error("voter stopped by an error; restarting", "err", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(mendEvery):
+		case <-time.After(restartDelay):
 		}
 	}
 }
 
-// live opens the store and takes part until ctx ends (nil) or the store fails.
-func (c *Council) live(ctx context.Context) error {
-	id, stores, at, err := c.unfold()
+// runSession opens the store and takes part until ctx ends, which returns nil, or the store fails.
+func (c *Council) runSession(ctx context.Context) error {
+	id, stores, current, err := c.openStores()
 	if err != nil {
 		return err
 	}
 	defer stores.Close()
-	seen := &witness{log: c.log}
-	seen.begin(c.cfg.Witness, at)
-	defer seen.Close()
-	l := &life{id: id, kept: *id, broken: make(chan struct{}), leases: duty.NewLeases(c.cfg.Lease), says: map[string]map[string]string{}, offers: map[string]string{}, came: map[string]comer{}, slow: make(chan time.Duration, 1)}
-	l.streams = newStreams(func(ctx context.Context, server string) (net.Conn, error) {
-		founding, epoch := l.lineage()
-		return c.cfg.Peers.Stream(ctx, duty.NameOf(server), duty.Hello{Cluster: c.cfg.Cluster, Founding: founding, Epoch: epoch, From: id.server(), To: server})
+	file := &progressFile{log: c.log}
+	file.open(c.cfg.Witness, current)
+	defer file.Close()
+	sess := &session{id: id, savedID: *id, failed: make(chan struct{}), leases: duty.NewLeases(c.cfg.Lease), messages: map[string]map[string]string{}, offers: map[string]string{}, agentStarts: map[string]agentStart{}, slow: make(chan time.Duration, 1)}
+	sess.streams = newStreamLayer(func(ctx context.Context, server string) (net.Conn, error) {
+		councilID, epoch := sess.lineage()
+		return c.cfg.Peers.Stream(ctx, duty.NameOf(server), duty.Hello{Cluster: c.cfg.Cluster, Founding: councilID, Epoch: epoch, From: id.serverID(), To: server})
 	})
-	defer l.streams.seal()
+	defer sess.streams.shutdown()
 	var once sync.Once
-	l.breaking = func(err error) {
+	sess.fail = func(err error) {
 		once.Do(func() {
-			l.streams.seal() // before anything else: from here on this voter says nothing
-			l.mu.Lock()
-			l.why = err
-			l.mu.Unlock()
-			close(l.broken)
+			sess.streams.shutdown() // first, so that the voter sends nothing from here on
+			sess.mu.Lock()
+			sess.err = err
+			sess.mu.Unlock()
+			close(sess.failed)
 		})
 	}
-	l.machine = newMachine(l.breaking)
-	if l.raft, err = c.open(l, stores, seen); err != nil {
+	sess.machine = newStateMachine(sess.fail)
+	if sess.raft, err = c.open(sess, stores, file); err != nil {
 		return err
 	}
-	c.set(l)
+	c.setSession(sess)
 	defer func() {
-		c.set(nil)
-		if ctx.Err() != nil && l.raft.State() == raft.Leader {
-			if err := l.raft.LeadershipTransfer().Error(); err != nil {
-				c.log.Warn("leadership could not be handed over", "err", err)
+		c.setSession(nil)
+		if ctx.Err() != nil && sess.raft.State() == raft.Leader {
+			if err := sess.raft.LeadershipTransfer().Error(); err != nil {
+				c.log.Warn("leadership transfer failed", "err", err)
 			}
 		}
-		if err := l.raft.Shutdown().Error(); err != nil {
-			c.log.Error("raft did not end", "err", err)
+		if err := sess.raft.Shutdown().Error(); err != nil {
+			c.log.Error("raft shutdown failed", "err", err)
 		}
 	}()
-	return c.take(ctx, l)
+	return c.participate(ctx, sess)
 }
 
-// unfold opens the folder. One of which more was written than is there, by the witness, is as good
-// as lost: it is put aside, and another takes its place.
-func (c *Council) unfold() (id *identity, stores Stores, at mark, err error) {
-	why := ""
+// openStores opens the identity and the stores. A store that is behind the progress file is treated as lost:
+// its directory's contents are moved aside and a new, empty store is created.
+func (c *Council) openStores() (id *identity, stores Stores, current progress, err error) {
+	reason := ""
 	for {
 		var lost string
 		if id, lost, err = openIdentity(c.cfg.Dir, c.cfg.Cluster, c.cfg.Name); err != nil {
-			return nil, nil, at, err
+			return nil, nil, current, err
 		}
 		if stores, err = c.cfg.Disk(c.cfg.Dir); err != nil {
-			return nil, nil, at, err
+			return nil, nil, current, err
 		}
-		why = cmp.Or(why, lost)
-		var older string
-		if at, older, err = c.older(id, stores); err != nil {
-			return nil, nil, at, errors.Join(err, stores.Close())
+		reason = cmp.Or(reason, lost)
+		var outdated string
+		if current, outdated, err = c.checkProgress(id, stores); err != nil {
+			return nil, nil, current, errors.Join(err, stores.Close())
 		}
-		if older == "" {
+		if outdated == "" {
 			break
 		}
-		why = older
-		if err := errors.Join(stores.Close(), putAside(c.cfg.Dir)); err != nil {
-			return nil, nil, at, err
+		reason = outdated
+		if err := errors.Join(stores.Close(), moveAside(c.cfg.Dir)); err != nil {
+			return nil, nil, current, err
 		}
 	}
-	if why != "" {
-		c.log.Error("the council's store is lost: this voter comes as a new one and waits to be taken in", "why", why, "server", id.server())
+	if reason != "" {
+		c.log.Error("council store lost; this voter starts with a new ID and waits until it is added", "why", reason, "server", id.serverID())
 	}
-	return id, stores, at, nil
+	return id, stores, current, nil
 }
 
-// older tells how far the store has come, and why it is not the latest, if it is not. One that
-// an operator has go on alone may be.
-func (c *Council) older(id *identity, stores Stores) (at mark, why string, err error) {
-	if at, err = markOf(id, stores, c.cfg.Dir); err != nil || c.cfg.Witness == "" || c.reborn() {
-		return at, "", err
+// checkProgress returns the progress of the store, and a reason if the progress file shows that the store is
+// an older copy. An older copy is allowed for a recovery by an operator.
+func (c *Council) checkProgress(id *identity, stores Stores) (current progress, reason string, err error) {
+	if current, err = storeProgress(id, stores, c.cfg.Dir); err != nil || c.cfg.Witness == "" || c.recoveryRequested() {
+		return current, "", err
 	}
-	seen, known, err := readMark(c.cfg.Witness)
-	if err == nil && known && at.before(seen) {
-		why = fmt.Sprintf("it was put back from before: it has entry %d and term %d, and entry %d and term %d were written", at.last, at.term, seen.last, seen.term)
+	recorded, known, err := readProgress(c.cfg.Witness)
+	if err == nil && known && current.behind(recorded) {
+		reason = fmt.Sprintf("the store was restored from an older copy: it has entry %d and term %d, but entry %d and term %d were written", current.lastIndex, current.term, recorded.lastIndex, recorded.term)
 	}
-	return at, why, err
+	return current, reason, err
 }
 
-func (c *Council) open(l *life, stores Stores, seen *witness) (*raft.Raft, error) {
-	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Error, Output: lines{c.log}, DisableTime: true})
+func (c *Council) open(sess *session, stores Stores, file *progressFile) (*raft.Raft, error) {
+	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Error, Output: raftLogWriter{c.log}, DisableTime: true})
 	conf := raft.DefaultConfig()
-	conf.LocalID = raft.ServerID(l.id.server())
-	conf.HeartbeatTimeout = c.cfg.Lease / electAt
+	conf.LocalID = raft.ServerID(sess.id.serverID())
+	conf.HeartbeatTimeout = c.cfg.Lease / electionLeaseDivisor
 	conf.ElectionTimeout, conf.LeaderLeaseTimeout = conf.HeartbeatTimeout, conf.HeartbeatTimeout
-	// The others hear with the next entry, or after this, what is agreed on. Only the leader's word
-	// counts as current, so that raft's 50 ms would buy nothing for their price.
-	conf.CommitTimeout = c.cfg.Lease / electAt
-	conf.SnapshotThreshold, conf.TrailingLogs = snapshotAt, trailing
+	// Followers learn of a commit with the next entry or after CommitTimeout. Only the leader's view counts
+	// as current, so raft's default of 50 ms would add traffic without benefit.
+	conf.CommitTimeout = c.cfg.Lease / electionLeaseDivisor
+	conf.SnapshotThreshold, conf.TrailingLogs = snapshotThreshold, trailingLogs
 	conf.Logger, conf.NoLegacyTelemetry = logger, true
-	conf.ShutdownOnRemove = false // it may be taken in again
+	conf.ShutdownOnRemove = false // the voter may be added again
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.cfg.Dir, snapshotsKept, logger)
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
 	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: l.streams, MaxPool: streamsKept, Timeout: c.cfg.Lease / 2, Logger: logger,
+		Stream: sess.streams, MaxPool: streamsKept, Timeout: c.cfg.Lease / 2, Logger: logger,
 	})
-	if c.reborn() {
-		// All that this voter knows becomes a snapshot with itself as the only member.
+	if c.recoveryRequested() {
+		// Turns the voter's state into a snapshot with the voter as the only member.
 		alone := raft.Configuration{Servers: []raft.Server{{ID: conf.LocalID, Address: raft.ServerAddress(conf.LocalID)}}}
-		if err := raft.RecoverCluster(conf, newMachine(l.breaking), stores, stores, snapshots, local{transport, raft.ServerAddress(l.id.server())}, alone); err != nil {
+		if err := raft.RecoverCluster(conf, newStateMachine(sess.fail), stores, stores, snapshots, namedTransport{transport, raft.ServerAddress(sess.id.serverID())}, alone); err != nil {
 			transport.Close()
-			return nil, fmt.Errorf("council: recover: %w", err)
+			return nil, fmt.Errorf("council: recovery: %w", err)
 		}
 	}
-	guarded := &watched{Stores: stores, failed: l.breaking, took: func(d time.Duration) { c.took(l, d) }, witness: seen}
-	r, err := raft.NewRaft(conf, l.machine, guarded, guarded, snapshots, local{transport, raft.ServerAddress(l.id.server())})
+	monitored := &monitoredStores{Stores: stores, onFailure: sess.fail, onWrite: func(d time.Duration) { c.onWrite(sess, d) }, progressFile: file}
+	r, err := raft.NewRaft(conf, sess.machine, monitored, monitored, snapshots, namedTransport{transport, raft.ServerAddress(sess.id.serverID())})
 	if err != nil {
 		transport.Close()
 		return nil, fmt.Errorf("council: %w", err)
 	}
-	if err := l.failure(); err != nil {
+	if err := sess.failure(); err != nil {
 		return nil, errors.Join(err, r.Shutdown().Error())
 	}
 	return r, nil
 }
 
-// local is a transport under a server's own name, as the streams' address is none.
-type local struct {
+// namedTransport is a transport whose local address is the server ID, as streams have no network address.
+type namedTransport struct {
 	*raft.NetworkTransport
 	own raft.ServerAddress
 }
 
 // LocalAddr implements raft.Transport.
-func (t local) LocalAddr() raft.ServerAddress { return t.own }
+func (t namedTransport) LocalAddr() raft.ServerAddress { return t.own }
 
 // EncodePeer implements raft.Transport.
-func (t local) EncodePeer(_ raft.ServerID, a raft.ServerAddress) []byte { return []byte(a) }
+func (t namedTransport) EncodePeer(_ raft.ServerID, a raft.ServerAddress) []byte { return []byte(a) }
 
-// lines passes raft's own log on.
-type lines struct{ log *slog.Logger }
+// raftLogWriter forwards raft's log to a slog.Logger.
+type raftLogWriter struct{ log *slog.Logger }
 
 // Write implements io.Writer.
-func (l lines) Write(text []byte) (int, error) {
+func (l raftLogWriter) Write(text []byte) (int, error) {
 	l.log.Warn("raft", "says", string(text))
 	return len(text), nil
 }
 
-func (c *Council) set(l *life) {
+func (c *Council) setSession(sess *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life = l
-	if l != nil {
-		c.why, c.said = "", ""
+	c.session = sess
+	if sess != nil {
+		c.lastErr, c.loggedErr = "", ""
 	}
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-func (l *life) failure() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.why
+func (sess *session) failure() error {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	return sess.err
 }
 
-// lineage gives the council's id and epoch as this voter knows them. Until raft tells what of its
-// log is agreed on the state is empty, and the folder's own word is all there is.
-func (l *life) lineage() (founding string, epoch uint64) {
-	l.machine.look(func(s *duty.State) { founding, epoch = s.CouncilID(), s.Epoch() })
-	if founding == "" {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return l.kept.Founding, l.kept.Epoch
+// lineage returns the council's ID and epoch as known to this voter. Until raft has determined which entries
+// are committed the state is empty, and they are taken from the identity file.
+func (sess *session) lineage() (councilID string, epoch uint64) {
+	sess.machine.read(func(s *duty.State) { councilID, epoch = s.CouncilID(), s.Epoch() })
+	if councilID == "" {
+		sess.mu.Lock()
+		defer sess.mu.Unlock()
+		return sess.savedID.CouncilID, sess.savedID.Epoch
 	}
-	return founding, epoch
+	return councilID, epoch
 }
 
-func (l *life) founding() string {
-	founding, _ := l.lineage()
-	return founding
+func (sess *session) councilID() string {
+	councilID, _ := sess.lineage()
+	return councilID
 }
 
-// took is told how long each write took.
-func (c *Council) took(l *life, d time.Duration) {
-	l.writes.Add(1)
-	if d < c.cfg.Lease/slowAt {
+// onWrite records the latency of a write to the store.
+func (c *Council) onWrite(sess *session, d time.Duration) {
+	sess.writes.Add(1)
+	if d < c.cfg.Lease/slowWriteLeaseDivisor {
 		return
 	}
 	c.mu.Lock()
 	c.slow, c.slowUntil = max(c.slow, d), time.Now().Add(time.Minute)
 	c.mu.Unlock()
 	select {
-	case l.slow <- d:
-	default: // it is known
+	case sess.slow <- d:
+	default: // a slow write is pending already
 	}
 }
 
-// handOver gives leadership away: with a slow disk a leader makes everybody wait.
-func (c *Council) handOver(l *life, took time.Duration) {
-	if l.raft.State() != raft.Leader {
+// transferLeadership gives up leadership after a slow write, as a leader with a slow disk delays all commits.
+func (c *Council) transferLeadership(sess *session, took time.Duration) {
+	if sess.raft.State() != raft.Leader {
 		return
 	}
-	c.log.Warn("the disk is slow: leadership is handed over", "took", took)
-	if err := l.raft.LeadershipTransfer().Error(); err != nil {
-		c.log.Warn("leadership could not be handed over", "err", err)
+	c.log.Warn("slow disk write; transferring leadership", "took", took)
+	if err := sess.raft.LeadershipTransfer().Error(); err != nil {
+		c.log.Warn("leadership transfer failed", "err", err)
 	}
 }
 
-// take takes part.
-func (c *Council) take(ctx context.Context, l *life) error {
-	every := time.NewTicker(tickEvery)
-	defer every.Stop()
-	asked, wait := time.Time{}, tickEvery*2
+// participate runs the voter's duties in the council until ctx ends, which returns nil, or the store fails.
+func (c *Council) participate(ctx context.Context, sess *session) error {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	lastCheck, wait := time.Time{}, tickInterval*2
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.broken:
-			return l.failure()
-		case took := <-l.slow:
-			c.handOver(l, took)
+		case <-sess.failed:
+			return sess.failure()
+		case took := <-sess.slow:
+			c.transferLeadership(sess, took)
 			continue
-		case <-every.C:
-		}
-		if f, e := l.lineage(); f != "" && (l.kept.Founding != f || l.kept.Epoch != e) {
-			l.mu.Lock()
-			l.kept.Founding, l.kept.Epoch = f, e
-			kept := l.kept
-			l.mu.Unlock()
-			if err := kept.save(c.cfg.Dir); err != nil {
+		case <-ticker.C:
+		}
+		if councilID, epoch := sess.lineage(); councilID != "" && (sess.savedID.CouncilID != councilID || sess.savedID.Epoch != epoch) {
+			sess.mu.Lock()
+			sess.savedID.CouncilID, sess.savedID.Epoch = councilID, epoch
+			saved := sess.savedID
+			sess.mu.Unlock()
+			if err := saved.save(c.cfg.Dir); err != nil {
 				return err
 			}
 		}
-		if l.raft.State() == raft.Leader {
-			c.lead(l)
+		if sess.raft.State() == raft.Leader {
+			c.startTerm(sess)
 		}
-		if time.Since(asked) < wait {
+		if time.Since(lastCheck) < wait {
 			continue
 		}
-		asked, wait = time.Now(), tickEvery*2
+		lastCheck, wait = time.Now(), tickInterval*2
 		switch {
-		case l.raft.State() == raft.Leader:
-			if c.members(ctx, l) {
-				wait = wholeEvery
+		case sess.raft.State() == raft.Leader:
+			if c.reconcileMembers(ctx, sess) {
+				wait = membershipCheckInterval
 			}
-		case c.cfg.First && l.raft.LastIndex() == 0 && c.cfg.Voters[0] == c.cfg.Name:
-			c.found(ctx, l)
+		case c.cfg.First && sess.raft.LastIndex() == 0 && c.cfg.Voters[0] == c.cfg.Name:
+			c.bootstrap(ctx, sess)
 		}
 	}
 }
 
-// lead waits, at the beginning of a term, until all of before is known, and then takes every
-// lease for granted just now.
-func (c *Council) lead(l *life) {
-	term := l.raft.CurrentTerm()
-	l.mu.Lock()
-	known := l.ledIn == term
-	l.mu.Unlock()
-	if known || l.raft.Barrier(applyWithin).Error() != nil || l.raft.CurrentTerm() != term {
+// startTerm waits, at the start of a term as leader, until all earlier entries are applied. Then it starts
+// every lease anew and completes a pending recovery or bootstrap.
+func (c *Council) startTerm(sess *session) {
+	term := sess.raft.CurrentTerm()
+	sess.mu.Lock()
+	known := sess.leaseTerm == term
+	sess.mu.Unlock()
+	if known || sess.raft.Barrier(applyTimeout).Error() != nil || sess.raft.CurrentTerm() != term {
 		return
 	}
-	l.mu.Lock()
-	l.leases.StartLeading(c.cfg.Clock.Now())
-	l.ledIn = term
-	clear(l.says)
-	l.mu.Unlock()
-	c.log.Info("leads", "term", term)
-	if c.reborn() {
-		again := duty.Recovery{ID: rand.Text(), Voters: []string{c.cfg.Name}, By: "operator"}
-		if _, err := c.propose(l, duty.Command{Recovery: &again}); err != nil {
-			c.log.Error("the council could not begin anew", "err", err)
-		} else if err := os.Remove(filepath.Join(c.cfg.Dir, rebornFile)); err != nil {
-			c.log.Error("the council would begin anew once more", "err", err)
+	sess.mu.Lock()
+	sess.leases.StartLeading(c.cfg.Clock.Now())
+	sess.leaseTerm = term
+	clear(sess.messages)
+	sess.mu.Unlock()
+	c.log.Info("became leader", "term", term)
+	if c.recoveryRequested() {
+		recovery := duty.Recovery{ID: rand.Text(), Voters: []string{c.cfg.Name}, By: "operator"}
+		if _, err := c.propose(sess, duty.Command{Recovery: &recovery}); err != nil {
+			c.log.Error("council recovery failed", "err", err)
+		} else if err := os.Remove(filepath.Join(c.cfg.Dir, recoverFile)); err != nil {
+			c.log.Error("recovery file not removed; the next start would recover again", "err", err)
 		}
 	}
-	unfounded := false
-	l.machine.look(func(s *duty.State) { unfounded = s.CouncilID() == "" })
-	if unfounded {
-		_, _ = c.propose(l, duty.Command{Bootstrap: &duty.Bootstrap{ID: rand.Text(), Voters: c.cfg.Voters}}) // or the next leader does
+	needsBootstrap := false
+	sess.machine.read(func(s *duty.State) { needsBootstrap = s.CouncilID() == "" })
+	if needsBootstrap {
+		_, _ = c.propose(sess, duty.Command{Bootstrap: &duty.Bootstrap{ID: rand.Text(), Voters: c.cfg.Voters}}) // if it fails, the next leader retries
 	}
 }
 
-// found begins a new council, once all its voters say that they know of none.
-func (c *Council) found(ctx context.Context, l *life) {
+// bootstrap starts a new council once all initial voters report that they belong to none.
+func (c *Council) bootstrap(ctx context.Context, sess *session) {
 	for _, name := range c.cfg.Voters {
 		if name == c.cfg.Name {
 			continue
 		}
-		ask, cancel := context.WithTimeout(ctx, askWithin)
-		s, err := c.cfg.Peers.Status(ask, name)
+		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		s, err := c.cfg.Peers.Status(callCtx, name)
 		cancel()
 		if err != nil || s.State != duty.Blank || s.Cluster != c.cfg.Cluster {
 			return
 		}
 	}
-	own := raft.Server{ID: raft.ServerID(l.id.server()), Address: raft.ServerAddress(l.id.server())}
-	if err := l.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{own}}).Error(); err != nil {
-		c.log.Error("the council could not be founded", "err", err)
+	own := raft.Server{ID: raft.ServerID(sess.id.serverID()), Address: raft.ServerAddress(sess.id.serverID())}
+	if err := sess.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{own}}).Error(); err != nil {
+		c.log.Error("council bootstrap failed", "err", err)
 	}
 }
 
-// rebornFile tells that this voter is to go on alone.
-const rebornFile = "recover"
+// recoverFile marks that this voter is to recover the council alone.
+const recoverFile = "recover"
 
-func (c *Council) reborn() bool {
-	_, err := os.Stat(filepath.Join(c.cfg.Dir, rebornFile))
+func (c *Council) recoveryRequested() bool {
+	_, err := os.Stat(filepath.Join(c.cfg.Dir, recoverFile))
 	return err == nil
 }
 
-// Recover has this voter go on alone, as an operator has said who knows that most others are
-// gone for good. It is refused while a majority lives: its word would be lost. What only the
-// lost ones knew is lost.
+// Recover makes this voter recover the council as its only member, by command of an operator who knows that
+// most others are permanently lost. It is refused while a majority is alive, as its commits would be
+// lost. Entries that only the lost voters had are lost.
 func (c *Council) Recover(ctx context.Context) error {
-	l := c.alive()
-	if l == nil {
+	sess := c.currentSession()
+	if sess == nil {
 		return c.notLeader(nil)
 	}
 	var voters []string
-	l.machine.look(func(s *duty.State) { voters = s.Voters() })
+	sess.machine.read(func(s *duty.State) { voters = s.Voters() })
 	if len(voters) == 0 {
-		// Behind a start nothing of the log counts as agreed on before somebody leads, and nobody may for good:
-		// its members are known all the same.
-		now := l.raft.GetConfiguration()
-		if err := now.Error(); err != nil {
+		// After a start no entry counts as committed until there is a leader, and there may never be one. The
+		// raft configuration lists the members all the same.
+		config := sess.raft.GetConfiguration()
+		if err := config.Error(); err != nil {
 			return fmt.Errorf("council: %w", err)
 		}
-		for _, s := range now.Configuration().Servers {
+		for _, s := range config.Configuration().Servers {
 			if s.Suffrage == raft.Voter {
 				voters = append(voters, duty.NameOf(string(s.ID)))
 			}
 		}
 	}
 	if len(voters) == 0 {
-		return protocol.Errorf(protocol.CodeConflict, "%s knows of no council that it could go on with", c.cfg.Name)
+		return protocol.Errorf(protocol.CodeConflict, "%s belongs to no council that it could recover", c.cfg.Name)
 	}
-	lives := []string{}
+	alive := []string{}
 	for _, name := range voters {
 		if name == c.cfg.Name {
-			lives = append(lives, name)
+			alive = append(alive, name)
 			continue
 		}
-		ask, cancel := context.WithTimeout(ctx, askWithin)
-		s, err := c.cfg.Peers.Status(ask, name)
+		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		s, err := c.cfg.Peers.Status(callCtx, name)
 		cancel()
-		if err == nil && s.Founding == l.founding() && s.State != duty.Broken {
-			lives = append(lives, name)
+		if err == nil && s.Founding == sess.councilID() && s.State != duty.Broken {
+			alive = append(alive, name)
 		}
 	}
-	if len(lives)*2 > len(voters) || c.Leader() != "" {
-		return protocol.Errorf(protocol.CodeConflict, "%d of %d voters live (%s): a majority goes on by itself", len(lives), len(voters), strings.Join(lives, ", "))
+	if len(alive)*2 > len(voters) || c.Leader() != "" {
+		return protocol.Errorf(protocol.CodeConflict, "%d of %d voters are alive (%s): a majority goes on by itself", len(alive), len(voters), strings.Join(alive, ", "))
 	}
-	f, err := os.OpenFile(filepath.Join(c.cfg.Dir, rebornFile), os.O_CREATE|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(filepath.Join(c.cfg.Dir, recoverFile), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
 	if err := errors.Join(f.Sync(), f.Close()); err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	c.log.Warn("goes on alone by an operator's word; voters of before are refused from now on", "voters", voters, "live", lives)
-	l.breaking(errors.New("council: begins anew alone, by an operator's word"))
+	c.log.Warn("recovering the council alone by an operator's command; earlier voters are refused from now on", "voters", voters, "live", alive)
+	sess.fail(errors.New("council: restarting to recover the council alone, by an operator's command"))
 	return nil
 }
 
-// Backup gives the whole state, if a majority stands behind it.
+// Backup returns the whole state if this voter is verified to lead.
 func (c *Council) Backup() (*duty.Backup, error) {
-	l, err := c.leading()
+	sess, err := c.verifiedLeader()
 	if err != nil {
 		return nil, err
 	}
 	var text []byte
-	l.machine.look(func(s *duty.State) { text, err = s.Snapshot() })
+	sess.machine.read(func(s *duty.State) { text, err = s.Snapshot() })
 	if err != nil {
 		return nil, err
 	}
 	return duty.NewBackup(c.cfg.Cluster, time.Now(), text), nil
 }
 
-// members brings raft's members to what is agreed on, one change at a time: each new one is a
-// learner first. It tells whether nothing is left to do.
-func (c *Council) members(ctx context.Context, l *life) bool {
+// reconcileMembers changes raft's configuration to the agreed voters, one change at a time. A new member is a
+// learner first. It reports whether the membership is complete.
+func (c *Council) reconcileMembers(ctx context.Context, sess *session) bool {
 	var want []string
-	l.machine.look(func(s *duty.State) { want = s.Voters() })
-	now := l.raft.GetConfiguration()
-	if now.Error() != nil || len(want) == 0 {
+	sess.machine.read(func(s *duty.State) { want = s.Voters() })
+	config := sess.raft.GetConfiguration()
+	if config.Error() != nil || len(want) == 0 {
 		return false
 	}
-	is := map[string]raft.Server{}
-	for _, s := range now.Configuration().Servers {
+	members := map[string]raft.Server{}
+	for _, s := range config.Configuration().Servers {
 		if name := duty.NameOf(string(s.ID)); !slices.Contains(want, name) {
-			if name == c.cfg.Name { // it goes last, and not as the leader
-				_ = l.raft.LeadershipTransfer().Error()
+			if name == c.cfg.Name { // removed last, by another leader
+				_ = sess.raft.LeadershipTransfer().Error()
 				return false
 			}
-			c.change(l.raft.RemoveServer(s.ID, now.Index(), applyWithin), "leaves", s.ID)
+			c.awaitChange(sess.raft.RemoveServer(s.ID, config.Index(), applyTimeout), "removed", s.ID)
 			return false
 		}
-		is[duty.NameOf(string(s.ID))] = s
+		members[duty.NameOf(string(s.ID))] = s
 	}
-	whole := true
+	complete := true
 	for _, name := range want {
-		if s, in := is[name]; in && s.Suffrage == raft.Voter && name == c.cfg.Name {
+		if s, in := members[name]; in && s.Suffrage == raft.Voter && name == c.cfg.Name {
 			continue
 		}
-		ask, cancel := context.WithTimeout(ctx, askWithin)
-		there, err := c.cfg.Peers.Status(ask, name)
+		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		peer, err := c.cfg.Peers.Status(callCtx, name)
 		cancel()
-		if err != nil || there.State == duty.Broken || there.Cluster != c.cfg.Cluster || there.Agent != name || there.Founding != "" && there.Founding != l.founding() {
-			whole = false
+		if err != nil || peer.State == duty.Broken || peer.Cluster != c.cfg.Cluster || peer.Agent != name || peer.Founding != "" && peer.Founding != sess.councilID() {
+			complete = false
 			continue
 		}
-		s, in := is[name]
-		whole = whole && in && s.Suffrage == raft.Voter
+		s, in := members[name]
+		complete = complete && in && s.Suffrage == raft.Voter
 		switch {
-		case in && string(s.ID) != there.Server:
-			// Its folder was lost: what it once voted and acknowledged it can't answer for.
-			c.change(l.raft.RemoveServer(s.ID, now.Index(), applyWithin), "has lost its store and comes anew", s.ID)
+		case in && string(s.ID) != peer.Server:
+			// Its store was lost, so it no longer has the votes and entries that it acknowledged.
+			c.awaitChange(sess.raft.RemoveServer(s.ID, config.Index(), applyTimeout), "removed, as its store is lost and it has a new ID", s.ID)
 			return false
 		case !in:
-			c.change(l.raft.AddNonvoter(raft.ServerID(there.Server), raft.ServerAddress(there.Server), now.Index(), applyWithin), "learns", raft.ServerID(there.Server))
+			c.awaitChange(sess.raft.AddNonvoter(raft.ServerID(peer.Server), raft.ServerAddress(peer.Server), config.Index(), applyTimeout), "added as learner", raft.ServerID(peer.Server))
 			return false
-		case s.Suffrage != raft.Voter && there.Applied >= l.raft.AppliedIndex():
-			c.change(l.raft.AddVoter(s.ID, s.Address, now.Index(), applyWithin), "votes", s.ID)
+		case s.Suffrage != raft.Voter && peer.Applied >= sess.raft.AppliedIndex():
+			c.awaitChange(sess.raft.AddVoter(s.ID, s.Address, config.Index(), applyTimeout), "promoted to voter", s.ID)
 			return false
 		}
 	}
-	return whole
+	return complete
 }
 
-func (c *Council) change(f raft.IndexFuture, what string, id raft.ServerID) {
+func (c *Council) awaitChange(f raft.IndexFuture, change string, id raft.ServerID) {
 	if err := f.Error(); err != nil {
-		c.log.Warn("the members could not be changed", "voter", string(id), "to", what, "err", err)
+		c.log.Warn("membership change failed", "voter", string(id), "to", change, "err", err)
 		return
 	}
-	c.log.Info("the members have changed", "voter", string(id), "it", what)
+	c.log.Info("membership changed", "voter", string(id), "it", change)
 }
 
-// Accept takes a stream from another voter in, or says why not.
+// Accept accepts a stream from another voter, or returns why it can't.
 func (c *Council) Accept(conn net.Conn) error {
-	l := c.alive()
-	if l == nil {
-		return errSealed
+	sess := c.currentSession()
+	if sess == nil {
+		return errStopped
 	}
-	return l.streams.offer(conn)
+	return sess.streams.enqueue(conn)
 }
 
-// Check tells what is wrong with a stream that another voter wants to begin.
+// Check returns an error if a stream with this handshake from another voter has to be refused.
 func (c *Council) Check(h duty.Hello) error {
-	l := c.alive()
-	if l == nil {
-		return protocol.Errorf(protocol.CodeNoCouncil, "%v", errSealed)
+	sess := c.currentSession()
+	if sess == nil {
+		return protocol.Errorf(protocol.CodeNoCouncil, "%v", errStopped)
 	}
-	own, epoch := l.lineage()
+	councilID, epoch := sess.lineage()
 	switch {
 	case h.Cluster != c.cfg.Cluster:
-		return protocol.Errorf(protocol.CodeForbidden, "a stream of the fleet %q, this is %q", h.Cluster, c.cfg.Cluster)
-	case h.To != l.id.server():
-		return protocol.Errorf(protocol.CodeForbidden, "a stream to %s, this is %s: its store of before is lost", h.To, l.id.server())
-	case own != "" && h.Founding != "" && own != h.Founding && h.Epoch <= epoch:
-		// Of a later epoch it is the council that this voter is catching up with: it knows this
-		// folder as a member.
-		return protocol.Errorf(protocol.CodeForbidden, "a stream of another council of %q, founded as %s, this one is %s", h.Cluster, h.Founding, own)
+		return protocol.Errorf(protocol.CodeForbidden, "stream belongs to cluster %q, this is cluster %q", h.Cluster, c.cfg.Cluster)
+	case h.To != sess.id.serverID():
+		return protocol.Errorf(protocol.CodeForbidden, "stream is to server %s, this is %s: the earlier store is lost", h.To, sess.id.serverID())
+	case councilID != "" && h.Founding != "" && councilID != h.Founding && h.Epoch <= epoch:
+		// A stream with a later epoch is accepted: its council has this server as a member, which has yet to
+		// catch up.
+		return protocol.Errorf(protocol.CodeForbidden, "stream belongs to another council of cluster %q, with ID %s, this one has ID %s", h.Cluster, h.Founding, councilID)
 	}
 	return nil
 }
 
-func (c *Council) alive() *life {
+func (c *Council) currentSession() *session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life == nil || c.life.failure() != nil {
+	if c.session == nil || c.session.failure() != nil {
 		return nil
 	}
-	return c.life
+	return c.session
 }
 
-// Leads tells whether this voter believes that it leads.
+// Leads reports whether this voter believes that it leads.
 func (c *Council) Leads() bool {
-	l := c.alive()
-	return l != nil && l.raft.State() == raft.Leader
+	sess := c.currentSession()
+	return sess != nil && sess.raft.State() == raft.Leader
 }
 
-// Leader names the agent that leads, as this voter believes; "" if it knows of none.
+// Leader returns the name of the leading agent as known to this voter, or "" if it knows none.
 func (c *Council) Leader() string {
-	l := c.alive()
-	if l == nil {
+	sess := c.currentSession()
+	if sess == nil {
 		return ""
 	}
-	_, id := l.raft.LeaderWithID()
+	_, id := sess.raft.LeaderWithID()
 	return duty.NameOf(string(id))
 }
 
-// Changed gives a channel that is closed when what this voter knows changes.
+// Changed returns a channel that is closed at the next change of this voter's state.
 func (c *Council) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life == nil {
+	if c.session == nil {
 		return c.changed
 	}
-	return c.life.machine.waiter()
+	return c.session.machine.changes()
 }
 
-// notLeader is the refusal of a voter that does not lead.
-func (c *Council) notLeader(l *life) error {
+// notLeader returns the error of a voter that does not lead, with the leader if it knows one.
+func (c *Council) notLeader(sess *session) error {
 	e := protocol.Errorf(protocol.CodeNoCouncil, "%s does not lead the council", c.cfg.Name)
-	if l == nil {
-		e.Text = fmt.Sprintf("%s has stepped aside from the council", c.cfg.Name)
+	if sess == nil {
+		e.Text = fmt.Sprintf("the voter of %s has stopped", c.cfg.Name)
 		return e
 	}
-	if _, id := l.raft.LeaderWithID(); id != "" && duty.NameOf(string(id)) != c.cfg.Name {
+	if _, id := sess.raft.LeaderWithID(); id != "" && duty.NameOf(string(id)) != c.cfg.Name {
 		e.Leader = duty.NameOf(string(id))
 	}
 	return e
 }
 
-// leading gives the life if this voter leads for sure: a majority says so now.
-func (c *Council) leading() (*life, error) {
-	l := c.alive()
-	if l == nil || l.raft.State() != raft.Leader {
-		return nil, c.notLeader(l)
+// verifiedLeader returns the session if a majority confirms now that this voter leads.
+func (c *Council) verifiedLeader() (*session, error) {
+	sess := c.currentSession()
+	if sess == nil || sess.raft.State() != raft.Leader {
+		return nil, c.notLeader(sess)
 	}
 	verified := make(chan error, 1)
-	go func() { verified <- l.raft.VerifyLeader().Error() }()
+	go func() { verified <- sess.raft.VerifyLeader().Error() }()
 	select {
 	case err := <-verified:
 		if err != nil {
-			return nil, c.notLeader(l)
+			return nil, c.notLeader(sess)
 		}
-	case <-time.After(verifyWithin):
-		return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s leads and can't reach a majority of the council", c.cfg.Name)
+	case <-time.After(verifyTimeout):
+		return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s leads the council but can't reach a majority of it", c.cfg.Name)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ledIn != l.raft.CurrentTerm() {
-		return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s has just begun to lead: ask again", c.cfg.Name)
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if sess.leaseTerm != sess.raft.CurrentTerm() {
+		return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s has just become leader and is not ready yet: retry", c.cfg.Name)
 	}
-	return l, nil
+	return sess, nil
 }
 
-// propose has a command agreed on. An error of raft's leaves open whether it was.
-func (c *Council) propose(l *life, command duty.Command) (duty.Result, error) {
+// propose commits a command. After an error of raft it is unknown whether the command was committed.
+func (c *Council) propose(sess *session, command duty.Command) (duty.Result, error) {
 	command.Form = duty.Form
 	text, err := json.Marshal(command)
 	if err != nil {
 		return duty.Result{}, fmt.Errorf("council: %w", err)
 	}
-	f := l.raft.Apply(text, applyWithin)
+	f := sess.raft.Apply(text, applyTimeout)
 	if err := f.Error(); err != nil {
-		return duty.Result{}, protocol.Errorf(protocol.CodeNoCouncil, "not agreed on, or not known to be: %v", err)
+		return duty.Result{}, protocol.Errorf(protocol.CodeNoCouncil, "the command was not committed, or its outcome is unknown: %v", err)
 	}
 	r := f.Response().(duty.Result)
 	return r, r.Err
 }
 
-// full refuses work while fewer voters have been taken in than a majority of those there are
-// to be.
-func (l *life) full() error {
+// checkQuorum returns an error while the members that vote are fewer than a majority of the agreed voters.
+func (sess *session) checkQuorum() error {
 	var want []string
-	l.machine.look(func(s *duty.State) { want = s.Voters() })
+	sess.machine.read(func(s *duty.State) { want = s.Voters() })
 	votes := 0
-	f := l.raft.GetConfiguration()
+	f := sess.raft.GetConfiguration()
 	if f.Error() == nil {
 		for _, s := range f.Configuration().Servers {
 			if s.Suffrage == raft.Voter {
@@ -718,172 +720,172 @@
 		}
 	}
 	if votes*2 <= len(want) || len(want) == 0 {
-		return protocol.Errorf(protocol.CodeNoCouncil, "%d of %d voters have been taken in so far", votes, len(want))
+		return protocol.Errorf(protocol.CodeNoCouncil, "only %d of %d voters have joined the council so far", votes, len(want))
 	}
 	return nil
 }
 
-// Do has a command agreed on, if this voter leads. Acquire is decided here, by the lease.
+// Do commits a command if this voter leads. Whether an Acquire is proposed depends on the current lease.
 func (c *Council) Do(command duty.Command) (duty.Answer, error) {
-	l, err := c.leading()
+	sess, err := c.verifiedLeader()
 	if err != nil {
 		return duty.Answer{}, err
 	}
-	if err := l.full(); err != nil {
+	if err := sess.checkQuorum(); err != nil {
 		return duty.Answer{}, err
 	}
 	if command.Report != nil && command.Report.Asks {
-		// Nothing is written for it; the leader knows all, as a majority has just said.
+		// A query is not logged: the verified leader has the current state.
 		var r duty.Result
-		l.machine.look(func(s *duty.State) { r = s.Apply(duty.Command{Form: duty.Form, Report: command.Report}) })
+		sess.machine.read(func(s *duty.State) { r = s.Apply(duty.Command{Form: duty.Form, Report: command.Report}) })
 		if r.Err != nil {
 			return duty.Answer{}, r.Err
 		}
-		r.Told.Back = l.back(command.Report, time.Now())
+		r.Told.Back = sess.countRecentStarts(command.Report, time.Now())
 		return duty.Answer{Told: r.Told}, nil
 	}
 	if command.Acquire != nil {
-		return c.acquire(l, *command.Acquire)
+		return c.acquire(sess, *command.Acquire)
 	}
 	switch {
 	case command.Bootstrap != nil || command.Recovery != nil:
-		return duty.Answer{}, protocol.Errorf(protocol.CodeUsage, "a council founds itself")
+		return duty.Answer{}, protocol.Errorf(protocol.CodeUsage, "bootstrap and recovery can't be requested as commands")
 	case command.Restore != nil && command.Restore.Backup != nil:
 		if _, err := command.Restore.Backup.Check(c.cfg.Cluster); err != nil {
 			return duty.Answer{}, err
 		}
 	}
-	r, err := c.propose(l, command)
+	r, err := c.propose(sess, command)
 	if command.Change != nil && err == nil {
-		// The others hear with the next entry that this one is agreed on, and the duty's owner may be among them: an
-		// operator's ban does not wait for a heartbeat.
-		l.raft.Barrier(applyWithin)
+		// Followers learn of the commit with the next entry, and the owner of duty Fleet may be at a follower. The
+		// barrier is such an entry, so that an operator's ban does not wait for a heartbeat.
+		sess.raft.Barrier(applyTimeout)
 	}
 	if r.Told != nil {
-		r.Told.Back = l.back(command.Report, time.Now())
+		r.Told.Back = sess.countRecentStarts(command.Report, time.Now())
 	}
 	return duty.Answer{Token: r.Token, Job: r.Job, Told: r.Told, Kept: r.Kept, Fleet: r.Fleet}, err
 }
 
-// back counts the agents that have come back of late, one that reports a new start among them.
-// Nothing but the pace of starts hangs on it.
-func (l *life) back(r *duty.Report, now time.Time) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if came, known := l.came[r.Agent]; !known || came.starts != r.Starts || came.folder != r.Folder {
-		l.came[r.Agent] = comer{r.Starts, r.Folder, now}
+// countRecentStarts records the start in the report if it is new, and returns the number of agents that
+// started recently. The number only affects the rate at which agents start instances.
+func (sess *session) countRecentStarts(r *duty.Report, now time.Time) int {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if came, known := sess.agentStarts[r.Agent]; !known || came.starts != r.Starts || came.folder != r.Folder {
+		sess.agentStarts[r.Agent] = agentStart{r.Starts, r.Folder, now}
 	}
 	n := 0
-	for name, c := range l.came {
-		if now.Sub(c.at) <= backWithin {
+	for name, c := range sess.agentStarts {
+		if now.Sub(c.at) <= recentStartWindow {
 			n++
-		} else if len(l.came) > duty.MaxAgents {
-			delete(l.came, name)
+		} else if len(sess.agentStarts) > duty.MaxAgents {
+			delete(sess.agentStarts, name)
 		}
 	}
 	return n
 }
 
-// comer is an agent that came back.
-type comer struct {
+// agentStart is an agent's latest start.
+type agentStart struct {
 	starts uint64
 	folder string
 	at     time.Time
 }
 
-func (c *Council) acquire(l *life, a duty.Acquire) (duty.Answer, error) {
-	var is duty.Duty
-	l.machine.look(func(s *duty.State) { is = s.Duty(a.Duty) })
-	l.mu.Lock()
-	left, ok := l.leases.Remaining(a.Duty, c.cfg.Clock.Now())
-	l.mu.Unlock()
+func (c *Council) acquire(sess *session, a duty.Acquire) (duty.Answer, error) {
+	var current duty.Duty
+	sess.machine.read(func(s *duty.State) { current = s.Duty(a.Duty) })
+	sess.mu.Lock()
+	left, ok := sess.leases.Remaining(a.Duty, c.cfg.Clock.Now())
+	sess.mu.Unlock()
 	if !ok {
-		return duty.Answer{}, c.notLeader(l)
+		return duty.Answer{}, c.notLeader(sess)
 	}
-	if is.Owner != "" && is.Owner != a.Owner && left > 0 {
+	if current.Owner != "" && current.Owner != a.Owner && left > 0 {
 		return duty.Answer{Left: left}, nil
 	}
-	l.mu.Lock()
-	offer := l.offers[a.Owner]
+	sess.mu.Lock()
+	offer := sess.offers[a.Owner]
 	if offer == "" || a.Offer != offer {
-		if len(l.offers) >= offersMost {
-			clear(l.offers)
+		if len(sess.offers) >= maxOffers {
+			clear(sess.offers)
 		}
 		offer = rand.Text()
-		l.offers[a.Owner] = offer
-		l.mu.Unlock()
+		sess.offers[a.Owner] = offer
+		sess.mu.Unlock()
 		return duty.Answer{Offer: offer}, nil
 	}
-	delete(l.offers, a.Owner)
-	l.mu.Unlock()
-	a.After, a.Offer = is.Token, ""
-	r, err := c.propose(l, duty.Command{Acquire: &a})
+	delete(sess.offers, a.Owner)
+	sess.mu.Unlock()
+	a.After, a.Offer = current.Token, ""
+	r, err := c.propose(sess, duty.Command{Acquire: &a})
 	if err != nil {
 		return duty.Answer{}, err
 	}
-	l.mu.Lock()
-	l.leases.Granted(a.Duty, c.cfg.Clock.Now())
-	l.mu.Unlock()
-	c.log.Info("a duty has an owner", "duty", a.Duty, "owner", a.Owner, "token", r.Token, "before", is.Owner)
+	sess.mu.Lock()
+	sess.leases.Granted(a.Duty, c.cfg.Clock.Now())
+	sess.mu.Unlock()
+	c.log.Info("duty acquired", "duty", a.Duty, "owner", a.Owner, "token", r.Token, "before", current.Owner)
 	return duty.Answer{Token: r.Token}, nil
 }
 
-// Renew extends a duty's lease, if this voter leads. Nothing is written for it.
+// Renew extends a duty's lease if this voter leads. Renewals are not logged.
 func (c *Council) Renew(r duty.Renewal) error {
-	l, err := c.leading()
+	sess, err := c.verifiedLeader()
 	if err != nil {
 		return err
 	}
-	var is duty.Duty
-	l.machine.look(func(s *duty.State) { is = s.Duty(r.Duty) })
-	if is.Owner == "" || is.Token != r.Token {
-		return protocol.Errorf(protocol.CodeFenced, "token %v of %s is over: the latest is %v, of %q", r.Token, r.Duty, is.Token, is.Owner)
+	var current duty.Duty
+	sess.machine.read(func(s *duty.State) { current = s.Duty(r.Duty) })
+	if current.Owner == "" || current.Token != r.Token {
+		return protocol.Errorf(protocol.CodeFenced, "token %v of duty %s is over: the latest is %v, of %q", r.Token, r.Duty, current.Token, current.Owner)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.leases.Renew(r.Duty, c.cfg.Clock.Now()) {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	if !sess.leases.Renew(r.Duty, c.cfg.Clock.Now()) {
 		return protocol.Errorf(protocol.CodeFenced, "the lease of %s under token %v has ended", r.Duty, r.Token)
 	}
-	says := map[string]string{}
+	messages := map[string]string{}
 	for _, job := range slices.Sorted(maps.Keys(r.Says)) {
-		if len(says) == saysMost {
+		if len(messages) == maxMessages {
 			break
 		}
-		says[job] = r.Says[job]
+		messages[job] = r.Says[job]
 	}
-	l.says[r.Duty] = says // the duties are few: those that somebody owns
+	sess.messages[r.Duty] = messages // bounded by the number of owned duties
 	return nil
 }
 
-// View gives what this voter knows; it is current only if a majority says that it leads.
+// View returns this voter's view. It is current only if a majority confirms that the voter leads.
 func (c *Council) View() (duty.View, error) {
-	_, err := c.leading()
-	l := c.alive()
-	if l == nil {
+	_, err := c.verifiedLeader()
+	sess := c.currentSession()
+	if sess == nil {
 		return duty.View{}, c.notLeader(nil)
 	}
-	return c.known(l, err == nil), nil
+	return c.localView(sess, err == nil), nil
 }
 
-// Desired gives what this voter knows of what the fleet should be; it is current only if a majority says that
-// it leads.
+// Desired returns this voter's view of the fleet's desired state. It is current only if a majority confirms
+// that the voter leads.
 func (c *Council) Desired() (duty.FleetView, error) {
-	_, err := c.leading()
-	l := c.alive()
-	if l == nil {
+	_, err := c.verifiedLeader()
+	sess := c.currentSession()
+	if sess == nil {
 		return duty.FleetView{}, c.notLeader(nil)
 	}
 	v := duty.FleetView{From: c.cfg.Name, Current: err == nil}
-	l.machine.look(func(s *duty.State) { v.State, v.Owner = s.Desired(), s.Duty(duty.Fleet).Owner })
+	sess.machine.read(func(s *duty.State) { v.State, v.Owner = s.Desired(), s.Duty(duty.Fleet).Owner })
 	return v, nil
 }
 
-// KnownDesired gives the same without asking anybody, and whether it differs from the version that the caller
-// knows; nil if it does not, or the voter has stepped aside.
-func (c *Council) KnownDesired(but desired.Version) (state *desired.State) {
-	if l := c.alive(); l != nil {
-		l.machine.look(func(s *duty.State) {
-			if s.DesiredVersion() != but {
+// KnownDesired returns the local copy of the desired state without contacting other voters. It returns nil if
+// its version equals known, which the caller has already, or if the voter has stopped.
+func (c *Council) KnownDesired(known desired.Version) (state *desired.State) {
+	if sess := c.currentSession(); sess != nil {
+		sess.machine.read(func(s *duty.State) {
+			if s.DesiredVersion() != known {
 				state = s.Desired()
 			}
 		})
@@ -891,94 +893,94 @@
 	return state
 }
 
-// Known gives what this voter knows without asking anybody, for its own agent; false if it
-// has stepped aside.
+// Known returns the local view without contacting other voters, for this voter's own agent. It returns false
+// if the voter has stopped.
 func (c *Council) Known() (duty.View, bool) {
-	l := c.alive()
-	if l == nil {
+	sess := c.currentSession()
+	if sess == nil {
 		return duty.View{}, false
 	}
-	return c.known(l, false), true
+	return c.localView(sess, false), true
 }
 
-// Memories gives what the council keeps of agents, as this voter knows it.
+// Memories returns the local copy of the data that the council stores of agents.
 func (c *Council) Memories() (all map[string]duty.Memory) {
-	if l := c.alive(); l != nil {
-		l.machine.look(func(s *duty.State) { all = s.Agents() })
+	if sess := c.currentSession(); sess != nil {
+		sess.machine.read(func(s *duty.State) { all = s.Agents() })
 	}
 	return all
 }
 
-func (c *Council) known(l *life, current bool) duty.View {
+func (c *Council) localView(sess *session, current bool) duty.View {
 	v := duty.View{From: c.cfg.Name, Leader: c.Leader(), Current: current}
-	if at := l.raft.LastContact(); !current && !at.IsZero() {
+	if at := sess.raft.LastContact(); !current && !at.IsZero() {
 		v.Age = time.Since(at)
 	}
 	now := c.cfg.Clock.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.machine.look(func(s *duty.State) {
+	sess.mu.Lock()
+	defer sess.mu.Unlock()
+	sess.machine.read(func(s *duty.State) {
 		v.Duties, v.Jobs, v.Voters = []duty.Owned{}, s.Jobs(), s.Voters()
 		for _, d := range s.Duties() {
 			o := duty.Owned{Duty: d}
 			if v.Current && d.Owner != "" {
-				o.Left, o.Known = l.leases.Remaining(d.Name, now)
+				o.Left, o.Known = sess.leases.Remaining(d.Name, now)
 			}
 			v.Duties = append(v.Duties, o)
 		}
 	})
 	if v.Current {
 		v.Says = map[string]string{}
-		for _, says := range l.says {
-			maps.Copy(v.Says, says)
+		for _, messages := range sess.messages {
+			maps.Copy(v.Says, messages)
 		}
 	}
 	return v
 }
 
-// Status gives the voter's own state.
+// Status returns the voter's state.
 func (c *Council) Status() duty.Status {
 	c.mu.Lock()
-	s := duty.Status{Agent: c.cfg.Name, Cluster: c.cfg.Cluster, State: duty.Broken, Why: c.why, Members: []duty.Member{}}
+	s := duty.Status{Agent: c.cfg.Name, Cluster: c.cfg.Cluster, State: duty.Broken, Why: c.lastErr, Members: []duty.Member{}}
 	if time.Now().Before(c.slowUntil) {
 		s.SlowFor = c.slow
 	} else {
 		c.slow = 0
 	}
 	c.mu.Unlock()
-	l := c.alive()
-	if l == nil {
+	sess := c.currentSession()
+	if sess == nil {
 		return s
 	}
-	s.Server, s.Founding = l.id.server(), l.founding()
-	s.Leader, s.Term = c.Leader(), l.raft.CurrentTerm()
-	s.Writes = l.writes.Load()
-	s.Last, s.Applied = l.raft.LastIndex(), l.raft.AppliedIndex()
-	if f := l.raft.GetConfiguration(); f.Error() == nil {
+	s.Server, s.Founding = sess.id.serverID(), sess.councilID()
+	s.Leader, s.Term = c.Leader(), sess.raft.CurrentTerm()
+	s.Writes = sess.writes.Load()
+	s.Last, s.Applied = sess.raft.LastIndex(), sess.raft.AppliedIndex()
+	if f := sess.raft.GetConfiguration(); f.Error() == nil {
 		for _, m := range f.Configuration().Servers {
 			s.Members = append(s.Members, duty.Member{Server: string(m.ID), Votes: m.Suffrage == raft.Voter})
 		}
 	}
-	mine := slices.IndexFunc(s.Members, func(m duty.Member) bool { return m.Server == s.Server })
+	own := slices.IndexFunc(s.Members, func(m duty.Member) bool { return m.Server == s.Server })
 	switch {
-	case l.raft.State() == raft.Leader:
+	case sess.raft.State() == raft.Leader:
 		s.State = duty.Leader
 		return s
-	case l.raft.LastIndex() == 0 && s.Founding == "":
+	case sess.raft.LastIndex() == 0 && s.Founding == "":
 		s.State = duty.Blank
 		return s
 	case s.Leader == "":
 		s.State = duty.Alone
-	case mine >= 0 && !s.Members[mine].Votes:
+	case own >= 0 && !s.Members[own].Votes:
 		s.State = duty.Learner
 	default:
 		s.State = duty.Follower
 	}
-	if at := l.raft.LastContact(); !at.IsZero() {
+	if at := sess.raft.LastContact(); !at.IsZero() {
 		s.Contact = time.Since(at)
 	}
 	return s
 }
 
-// Folder gives the council's in an agent's state folder.
+// Folder returns the council's directory within an agent's state directory.
 func Folder(state string) string { return filepath.Join(state, "council") }
--- a/internal/fleet/council/council_test.go
+++ b/internal/fleet/council/council_test.go
@@ -24,20 +24,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// lease is short, as elections go by it, and long enough for a machine under load.
+// lease is short, as election timeouts derive from it, but long enough for a machine under load.
 const lease = 2 * time.Second
 
-// fleet is some voters on a network that can be cut.
+// fleet is a set of voters on a network whose links can be cut.
 type fleet struct {
 	t      testing.TB
 	dir    string
 	mu     sync.Mutex
 	voters map[string]*voter
-	cut    map[[2]string]bool // from, to
+	cut    map[[2]string]bool // cut links, from and to
 	conns  map[[2]string][]net.Conn
 }
 
-// voter is one with its disk; its process ends and begins again.
+// voter is a voter with its disk. It can be stopped and restarted.
 type voter struct {
 	*Council
 	cfg  Config
@@ -45,7 +45,7 @@
 	disk *disk
 }
 
-// disk fails on command.
+// disk is a Stores whose operations can be made to fail or to be slow.
 type disk struct {
 	Stores
 	mu   sync.Mutex
@@ -119,7 +119,7 @@
 
 func (f *fleet) start(name string, first bool) {
 	v := f.voters[name]
-	v.cfg.First, v.cfg.Peers = first, from{f, name}
+	v.cfg.First, v.cfg.Peers = first, peers{f, name}
 	c := New(v.cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -140,8 +140,9 @@
 	v.stop()
 }
 
-// sever cuts the way from one to another, streams that are open too; both ways is two calls.
-func (f *fleet) sever(from, to string, on bool) {
+// setCut cuts or heals the link from one voter to another, in this direction only. It closes the link's open
+// streams.
+func (f *fleet) setCut(from, to string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut[[2]string{from, to}] = on
@@ -151,24 +152,24 @@
 	f.conns[[2]string{from, to}] = nil
 }
 
-// apart cuts off some from the others.
-func (f *fleet) apart(on bool, names ...string) {
+// partition cuts or heals all links between the named voters and the others.
+func (f *fleet) partition(on bool, names ...string) {
 	for a := range f.voters {
 		for b := range f.voters {
 			if slices.Contains(names, a) != slices.Contains(names, b) {
-				f.sever(a, b, on)
+				f.setCut(a, b, on)
 			}
 		}
 	}
 }
 
-// from is one voter's way to the others.
-type from struct {
+// peers implements Peers for one voter.
+type peers struct {
 	*fleet
 	name string
 }
 
-func (p from) reach(to string) (*Council, error) {
+func (p peers) reach(to string) (*Council, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v := p.voters[to]
@@ -178,7 +179,7 @@
 	return v.Council, nil
 }
 
-func (p from) Stream(_ context.Context, to string, h duty.Hello) (net.Conn, error) {
+func (p peers) Stream(_ context.Context, to string, h duty.Hello) (net.Conn, error) {
 	c, err := p.reach(to)
 	if err != nil {
 		return nil, err
@@ -200,7 +201,7 @@
 		return nil, err
 	}
 	p.mu.Lock()
-	cut := p.cut[[2]string{p.name, to}] // meanwhile
+	cut := p.cut[[2]string{p.name, to}] // the link may have been cut in the meantime
 	p.conns[[2]string{p.name, to}] = append(p.conns[[2]string{p.name, to}], mine, theirs)
 	p.mu.Unlock()
 	if cut {
@@ -211,7 +212,7 @@
 	return mine, c.Accept(theirs)
 }
 
-func (p from) Status(_ context.Context, to string) (duty.Status, error) {
+func (p peers) Status(_ context.Context, to string) (duty.Status, error) {
 	c, err := p.reach(to)
 	if err != nil {
 		return duty.Status{}, err
@@ -219,7 +220,7 @@
 	return c.Status(), nil
 }
 
-// until waits for something that comes about by elections.
+// until waits up to a minute for a condition that depends on elections.
 func (f *fleet) until(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -233,12 +234,12 @@
 	f.t.Fatalf("not within a minute: %s", what)
 }
 
-// leader waits for a voter among the named ones that leads for sure, and gives it.
+// leader waits until one of the named voters is the verified leader with a quorum of members, and returns it.
 func (f *fleet) leader(names ...string) (found *voter) {
 	f.t.Helper()
 	f.until("a leader", func() bool {
 		for _, name := range names {
-			if _, err := f.voters[name].leading(); err == nil && f.voters[name].life.full() == nil {
+			if _, err := f.voters[name].verifiedLeader(); err == nil && f.voters[name].session.checkQuorum() == nil {
 				found = f.voters[name]
 				return true
 			}
@@ -248,8 +249,8 @@
 	return found
 }
 
-// whole waits until all the named ones vote.
-func (f *fleet) whole(names ...string) *voter {
+// allVote waits until all named voters vote, and returns the leader.
+func (f *fleet) allVote(names ...string) *voter {
 	f.t.Helper()
 	var l *voter
 	f.until("all vote", func() bool {
@@ -269,8 +270,8 @@
 	return duty.Command{Acquire: &duty.Acquire{Duty: duty.Rollouts, Owner: owner}}
 }
 
-// take asks for a duty, and again with the offer.
-func take(v *voter, c duty.Command) (duty.Answer, error) {
+// acquireWithOffer sends an Acquire, and again with the offer that it got.
+func acquireWithOffer(v *voter, c duty.Command) (duty.Answer, error) {
 	a, err := v.Do(c)
 	if err == nil && a.Offer != "" {
 		c.Acquire.Offer = a.Offer
@@ -279,10 +280,10 @@
 	return a, err
 }
 
-var three = []string{"m1", "m2", "m3"}
+var threeVoters = []string{"m1", "m2", "m3"}
 
 func others(not string) (names []string) {
-	for _, n := range three {
+	for _, n := range threeVoters {
 		if n != not {
 			names = append(names, n)
 		}
@@ -298,148 +299,148 @@
 	return ""
 }
 
-// Ownership goes on with the owner through a change of leaders, and to another only once the
-// lease is over; tokens rise across it all.
-func TestOwnershipOutlivesLeaders(t *testing.T) {
+// An owner keeps its duty across a leader change. Another candidate gets it only after the lease has ended.
+// Tokens increase throughout.
+func TestOwnershipSurvivesLeaderChange(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
-	for range 3 { // who never hears of an offer gets nothing
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
+	for range 3 { // a candidate that does not return the offer gets no duty
 		if a, err := l.Do(acquire("deaf")); err != nil || a.Offer == "" || a.Token != 0 {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
-	a, err := take(l, acquire("a"))
+	a, err := acquireWithOffer(l, acquire("a"))
 	if err != nil || a.Token != 1 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	if b, err := take(l, acquire("b")); err != nil || b.Token != 0 || b.Left <= 0 {
-		t.Errorf("taken from an owner with a lease: %+v, %v", b, err)
+	if b, err := acquireWithOffer(l, acquire("b")); err != nil || b.Token != 0 || b.Left <= 0 {
+		t.Errorf("acquired from an owner with a valid lease: %+v, %v", b, err)
 	}
 	f.stop(l.cfg.Name)
 	rest := others(l.cfg.Name)
 	next := f.leader(rest...)
-	led := time.Now()
+	leaderSince := time.Now()
 	if err := next.Renew(duty.Renewal{Fence: duty.Fence{Duty: duty.Rollouts, Token: 1}, Says: map[string]string{"j": "waits"}}); err != nil {
-		t.Errorf("not renewed by the next leader: %v", err)
+		t.Errorf("renewal at the next leader: %v", err)
 	}
 	if v, err := next.View(); err != nil || !v.Current || v.Duties[0].Owner != "a" || !v.Duties[0].Known || v.Says["j"] != "waits" {
 		t.Errorf("view %+v, %v", v, err)
 	}
 	var b duty.Answer
 	f.until("b owns", func() bool {
-		b, err = take(next, acquire("b"))
+		b, err = acquireWithOffer(next, acquire("b"))
 		return err == nil && b.Token != 0
 	})
-	if waited := time.Since(led); waited < lease || b.Token != 2 {
+	if waited := time.Since(leaderSince); waited < lease || b.Token != 2 {
 		t.Errorf("token %v after %v, want 2 after a whole lease", b.Token, waited)
 	}
 	if err := next.Renew(duty.Renewal{Fence: duty.Fence{Duty: duty.Rollouts, Token: 1}}); code(err) != protocol.CodeFenced {
-		t.Errorf("the former owner renews: %v", err)
+		t.Errorf("renewal by the former owner: %v", err)
 	}
 	if _, err := next.Do(duty.Command{Release: &duty.Release{Fence: duty.Fence{Duty: duty.Rollouts, Token: 2}}}); err != nil {
 		t.Error(err)
 	}
-	if c, err := take(next, acquire("c")); err != nil || c.Token != 3 {
-		t.Errorf("a released duty is not free at once: %+v, %v", c, err)
+	if c, err := acquireWithOffer(next, acquire("c")); err != nil || c.Token != 3 {
+		t.Errorf("a released duty could not be acquired at once: %+v, %v", c, err)
 	}
 }
 
-// Split two to one, with the leader on the smaller side: it grants and renews nothing, says
-// that its view may be old, and all is one again once healed.
-func TestSmallerSideBeginsNothing(t *testing.T) {
+// In a partition of two against one, a leader on the minority side grants and renews nothing and marks its
+// view as not current. After the partition heals it follows the new leader.
+func TestMinorityGrantsNothing(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
-	if _, err := take(l, acquire("a")); err != nil {
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
+	if _, err := acquireWithOffer(l, acquire("a")); err != nil {
 		t.Fatal(err)
 	}
-	f.apart(true, l.cfg.Name)
-	// A heartbeat's answer that was on its way may still say that it leads: it grants nothing by that.
-	f.until("the smaller side knows that it is", func() bool {
-		a, err := take(l, acquire("b"))
+	f.partition(true, l.cfg.Name)
+	// A heartbeat answer in transit may still confirm the leadership, but nothing may be granted.
+	f.until("the minority side knows that it does not lead", func() bool {
+		a, err := acquireWithOffer(l, acquire("b"))
 		if a.Token != 0 {
-			t.Fatalf("the smaller side grants %v", a.Token)
+			t.Fatalf("the minority side granted %v", a.Token)
 		}
 		return code(err) == protocol.CodeNoCouncil
 	})
 	for range 3 {
-		if _, err := take(l, acquire("b")); code(err) != protocol.CodeNoCouncil {
-			t.Fatalf("the smaller side answers %v", err)
+		if _, err := acquireWithOffer(l, acquire("b")); code(err) != protocol.CodeNoCouncil {
+			t.Fatalf("acquire at the minority side: %v", err)
 		}
 		if err := l.Renew(duty.Renewal{Fence: duty.Fence{Duty: duty.Rollouts, Token: 1}}); code(err) != protocol.CodeNoCouncil {
-			t.Fatalf("the smaller side renews: %v", err)
+			t.Fatalf("renewal at the minority side: %v", err)
 		}
 	}
 	if v, err := l.View(); err != nil || v.Current {
-		t.Errorf("a view from the smaller side: %+v, %v", v, err)
+		t.Errorf("view of the minority side: %+v, %v", v, err)
 	}
 	next := f.leader(others(l.cfg.Name)...)
 	var b duty.Answer
 	f.until("b owns", func() bool {
 		var err error
-		b, err = take(next, acquire("b"))
+		b, err = acquireWithOffer(next, acquire("b"))
 		return err == nil && b.Token != 0
 	})
-	f.apart(false, l.cfg.Name)
-	f.until("the old leader follows", func() bool {
+	f.partition(false, l.cfg.Name)
+	f.until("the former leader follows", func() bool {
 		v, err := l.View()
 		return err == nil && v.Leader == next.cfg.Name && v.Duties[0].Token == b.Token
 	})
 }
 
-// A voter's disk that fails at a write: it steps aside, the others go on, and nothing that was
-// acknowledged is lost when it is the one that is left with another.
-func TestDiskThatFailsStepsAside(t *testing.T) {
+// A voter whose disk fails on a write stops, and the others continue. After it has recovered and another voter
+// has stopped, no acknowledged entry is lost.
+func TestVoterStopsOnDiskFailure(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
 	l.disk.set(errors.New("no space left on device"), 0)
-	if _, err := take(l, acquire("a")); code(err) != protocol.CodeNoCouncil {
-		t.Errorf("agreed on with a full disk: %v", err)
+	if _, err := acquireWithOffer(l, acquire("a")); code(err) != protocol.CodeNoCouncil {
+		t.Errorf("committed with a full disk: %v", err)
 	}
 	next := f.leader(others(l.cfg.Name)...)
-	f.until("an owner at the others", func() bool {
+	f.until("the other voters assign the duty", func() bool {
 		next = f.leader(others(l.cfg.Name)...)
-		a, err := take(next, acquire("a"))
+		a, err := acquireWithOffer(next, acquire("a"))
 		return err == nil && a.Token == 1
 	})
-	f.until("it says why", func() bool {
+	f.until("its status has the reason", func() bool {
 		s := l.Status()
 		return s.State == duty.Broken && strings.Contains(s.Why, "no space left")
 	})
 	l.disk.set(nil, 0)
-	f.until("it is back", func() bool {
+	f.until("it has caught up", func() bool {
 		v, err := l.View()
 		return err == nil && len(v.Duties) == 1 && v.Duties[0].Owner == "a"
 	})
-	// The one that was aside and one other must know all.
+	// The voter that had failed and one other must have all entries.
 	f.stop(next.cfg.Name)
 	if v, err := f.leader(others(next.cfg.Name)...).View(); err != nil || v.Duties[0].Token != 1 {
 		t.Errorf("view %+v, %v", v, err)
 	}
 }
 
-// A leader whose disk is slow hands over, and says how slow.
-func TestSlowDiskHandsOver(t *testing.T) {
+// A leader with a slow disk transfers its leadership and reports the latency in its status.
+func TestSlowDiskTransfersLeadership(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
 	l.disk.set(nil, lease/2)
-	_, _ = take(l, acquire("a")) // it may be agreed on or not
-	f.until("another leads", func() bool { return f.leader(three...) != l })
+	_, _ = acquireWithOffer(l, acquire("a")) // it may or may not be committed
+	f.until("another leads", func() bool { return f.leader(threeVoters...) != l })
 	if s := l.Status(); s.SlowFor < lease/2 {
 		t.Errorf("status %+v", s)
 	}
 }
 
-// A voter whose folder is lost comes back under its name: it is another server, and the council
-// goes on only with a majority that remembers.
-func TestLostFolderDoesNotVoteForTheOldOne(t *testing.T) {
+// A voter that lost its directory returns under its name as another server. The council continues only if a
+// majority of the original stores is left.
+func TestLostStoreDoesNotVoteAsOldServer(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
-	if _, err := take(l, acquire("a")); err != nil {
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
+	if _, err := acquireWithOffer(l, acquire("a")); err != nil {
 		t.Fatal(err)
 	}
 	lost := others(l.cfg.Name)
@@ -451,7 +452,7 @@
 			t.Fatal(err)
 		}
 	}
-	// Two of three come back empty, and even say that they start for the first time.
+	// Two of three restart with empty directories, even with First set.
 	for _, name := range lost {
 		f.start(name, true)
 	}
@@ -459,22 +460,22 @@
 		return f.voters[lost[0]].Status().State == duty.Blank && f.voters[lost[1]].Status().State == duty.Blank
 	})
 	time.Sleep(lease)
-	for _, name := range three {
+	for _, name := range threeVoters {
 		if v, err := f.voters[name].View(); err == nil && v.Current {
-			t.Errorf("%s answers for a council of which two thirds are lost: %+v", name, v)
+			t.Errorf("%s gives a current view of a council that lost two of three stores: %+v", name, v)
 		}
 	}
 	if is := f.voters[lost[0]].Status().Server; is == was[lost[0]] {
-		t.Errorf("%s comes back as the same", is)
+		t.Errorf("%s restarted with the same server ID", is)
 	}
 }
 
-// One of three loses its folder, or has it put back from before what it has acknowledged: the
-// others take it in anew, as a learner first. A whole one comes back as it was.
-func TestLostFolderIsTakenInAnew(t *testing.T) {
+// One voter of three loses its directory, or has it restored from a copy that lacks acknowledged entries: the
+// others add it as a new server, first as a learner. With an intact directory it keeps its server ID.
+func TestLostStoreRejoinsAsNewServer(t *testing.T) {
 	for what, c := range map[string]struct {
-		lose func(dir, old string) error
-		anew bool
+		lose      func(dir, old string) error
+		newServer bool
 	}{
 		"lost":     {func(dir, _ string) error { return os.RemoveAll(dir) }, true},
 		"put back": {func(dir, old string) error { return errors.Join(os.RemoveAll(dir), os.CopyFS(dir, os.DirFS(old))) }, true},
@@ -486,8 +487,8 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, three...)
-			l := f.whole(three...)
+			f := newFleet(t, threeVoters...)
+			l := f.allVote(threeVoters...)
 			name := others(l.cfg.Name)[0]
 			dir, old := f.voters[name].cfg.Dir, t.TempDir()
 			f.stop(name)
@@ -495,14 +496,14 @@
 				t.Fatal(err)
 			}
 			f.start(name, false)
-			l = f.whole(three...)
+			l = f.allVote(threeVoters...)
 			if l.cfg.Name == name {
 				l = f.voters[others(name)[0]]
 			}
-			if _, err := take(f.leader(three...), acquire("a")); err != nil {
+			if _, err := acquireWithOffer(f.leader(threeVoters...), acquire("a")); err != nil {
 				t.Fatal(err)
 			}
-			f.until("it knows", func() bool {
+			f.until("it has the entry", func() bool {
 				v, err := f.voters[name].View()
 				return err == nil && len(v.Duties) == 1
 			})
@@ -514,9 +515,9 @@
 			f.start(name, false)
 			f.until("it votes again", func() bool {
 				s := f.voters[name].Status()
-				return slices.ContainsFunc(l.Status().Members, func(m duty.Member) bool { return m.Server == s.Server && m.Votes && (m.Server != was) == c.anew })
+				return slices.ContainsFunc(l.Status().Members, func(m duty.Member) bool { return m.Server == s.Server && m.Votes && (m.Server != was) == c.newServer })
 			})
-			f.until("it knows again", func() bool {
+			f.until("it has the entry again", func() bool {
 				v, err := f.voters[name].View()
 				return err == nil && len(v.Duties) == 1 && v.Duties[0].Owner == "a"
 			})
@@ -527,26 +528,26 @@
 	}
 }
 
-// A witness that is cut, damaged or another folder's accuses nobody; an older store is told from
-// a younger one in each of its figures.
-func TestWitness(t *testing.T) {
+// A progress file that is truncated, damaged or from another store gives no false alarm. A store that is behind
+// in any single value is detected.
+func TestProgressFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seen")
-	at := mark{"x", 4, 3, 200}
-	w := &witness{log: slog.New(slog.DiscardHandler)}
-	w.begin(path, at)
-	w.note(func(m *mark) { m.last = 201 })
-	w.Close()
-	w.note(func(m *mark) { m.last = 300 }) // behind its end
-	seen, ok, err := readMark(path)
-	if want := (mark{"x", 4, 3, 201}); err != nil || !ok || seen != want {
-		t.Fatalf("%+v, %v, %v", seen, ok, err)
-	}
-	for m, older := range map[mark]bool{
-		seen: false, {"x", 5, 5, 201}: false, {"x", 4, 3, 202}: false, {"y", 1, 0, 0}: false,
+	start := progress{"x", 4, 3, 200}
+	file := &progressFile{log: slog.New(slog.DiscardHandler)}
+	file.open(path, start)
+	file.update(func(p *progress) { p.lastIndex = 201 })
+	file.Close()
+	file.update(func(p *progress) { p.lastIndex = 300 }) // after Close
+	recorded, ok, err := readProgress(path)
+	if want := (progress{"x", 4, 3, 201}); err != nil || !ok || recorded != want {
+		t.Fatalf("%+v, %v, %v", recorded, ok, err)
+	}
+	for m, older := range map[progress]bool{
+		recorded: false, {"x", 5, 5, 201}: false, {"x", 4, 3, 202}: false, {"y", 1, 0, 0}: false,
 		{"x", 3, 3, 201}: true, {"x", 4, 2, 201}: true, {"x", 4, 3, 200}: true,
 	} {
-		if m.before(seen) != older {
-			t.Errorf("%+v: before is %v", m, !older)
+		if m.behind(recorded) != older {
+			t.Errorf("%+v: behind is %v", m, !older)
 		}
 	}
 	text, err := os.ReadFile(path)
@@ -557,25 +558,25 @@
 		if err := os.WriteFile(path, text[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if m, ok, err := readMark(path); ok || err != nil {
-			t.Errorf("cut at %d: %+v, %v", n, m, err)
+		if m, ok, err := readProgress(path); ok || err != nil {
+			t.Errorf("truncated at %d: %+v, %v", n, m, err)
 		}
 	}
 }
 
-// Voters are added as learners and removed one at a time, never below three or above five.
+// Voters are added as learners and removed one at a time, with at least three left.
 func TestVotersChange(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
 	do := func(name string, add bool) error {
-		_, err := f.leader(append(slices.Clone(three), "m4")...).Do(duty.Command{Voter: &duty.Voter{Name: name, Add: add, By: "ada"}})
+		_, err := f.leader(append(slices.Clone(threeVoters), "m4")...).Do(duty.Command{Voter: &duty.Voter{Name: name, Add: add, By: "ada"}})
 		return err
 	}
 	if err := do("m3", false); code(err) != protocol.CodeConflict {
-		t.Errorf("a council of two: %v", err)
+		t.Errorf("removal that leaves two voters: %v", err)
 	}
-	f.add("m4", three)
+	f.add("m4", threeVoters)
 	f.start("m4", false)
 	t.Cleanup(func() { f.stop("m4") })
 	if err := do("m4", true); err != nil {
@@ -586,18 +587,18 @@
 		t.Fatal(err)
 	}
 	rest := append(others(l.cfg.Name), "m4")
-	f.until("the former leader is out", func() bool {
+	f.until("the former leader is removed", func() bool {
 		next := f.leader(rest...)
 		return len(next.Status().Members) == 3 && next != l
 	})
 }
 
-// Streams of another fleet, of another council and to a folder that is gone are turned away.
-func TestForeignStreamsAreTurnedAway(t *testing.T) {
+// Streams of another fleet, of another council or to a lost store are refused.
+func TestForeignStreamsAreRefused(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
-	good := duty.Hello{Cluster: "test", Founding: l.life.founding(), From: "x/y", To: l.Status().Server}
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
+	good := duty.Hello{Cluster: "test", Founding: l.session.councilID(), From: "x/y", To: l.Status().Server}
 	if err := l.Check(good); err != nil {
 		t.Fatal(err)
 	}
@@ -613,12 +614,13 @@
 	}
 }
 
-// Folders of others, damaged ones and a log from a newer version are told, and nothing changes.
-func TestBadFolders(t *testing.T) {
+// A directory of another fleet or agent, a damaged identity and an entry of a newer version give an error, and
+// the identity file stays unchanged.
+func TestInvalidDirectories(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"other fleet": {`{"form":1,"cluster":"b","name":"m1","id":"x"}`, `belongs to the fleet "b"`},
 		"other agent": {`{"form":1,"cluster":"test","name":"m2","id":"x"}`, `belongs to the agent "m2"`},
-		"newer":       {`{"form":2,"cluster":"test","name":"m1","id":"x"}`, "form 2"},
+		"newer":       {`{"form":2,"cluster":"test","name":"m1","id":"x"}`, "format version 2"},
 		"cut":         {`{"form":1,`, "unexpected end"},
 	} {
 		dir := t.TempDir()
@@ -633,69 +635,69 @@
 			t.Errorf("%s: changed to %s, %v", name, text, err)
 		}
 	}
-	m := newMachine(func(error) {})
-	if r := m.Apply(&raft.Log{Index: 7, Data: []byte(`{"form":2}`)}).(duty.Result); r.Err == nil || !m.broken || !strings.Contains(r.Err.Error(), "entry 7: form 2") {
-		t.Errorf("an entry of a newer version: %v", r.Err)
+	m := newStateMachine(func(error) {})
+	if r := m.Apply(&raft.Log{Index: 7, Data: []byte(`{"form":2}`)}).(duty.Result); r.Err == nil || !m.broken || !strings.Contains(r.Err.Error(), "entry 7: format version 2") {
+		t.Errorf("entry of a newer format version: %v", r.Err)
 	}
 }
 
-// What waits to be taken up is bounded, and a sealed voter says nothing more.
-func TestStreamsAreBoundedAndSealed(t *testing.T) {
-	s := newStreams(nil)
+// The queue of pending streams is bounded, and after shutdown all streams are closed and new ones refused.
+func TestStreamLayerBoundAndShutdown(t *testing.T) {
+	s := newStreamLayer(nil)
 	var theirs []net.Conn
 	pipe := func() net.Conn {
 		a, b := net.Pipe()
 		theirs = append(theirs, b)
 		return a
 	}
-	for range waitingMost {
-		if err := s.offer(pipe()); err != nil {
+	for range maxPendingStreams {
+		if err := s.enqueue(pipe()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.offer(pipe()); err == nil {
-		t.Error("one too many was taken")
+	if err := s.enqueue(pipe()); err == nil {
+		t.Error("accepted a stream above the maximum")
 	}
-	s.seal()
+	s.shutdown()
 	for n, c := range theirs {
 		if _, err := c.Write([]byte("x")); err == nil {
 			t.Errorf("stream %d is still open", n)
 		}
 	}
-	if err := s.offer(pipe()); !errors.Is(err, errSealed) {
-		t.Errorf("behind the seal: %v", err)
+	if err := s.enqueue(pipe()); !errors.Is(err, errStopped) {
+		t.Errorf("stream offered after shutdown: %v", err)
 	}
 }
 
-// A snapshot of many jobs is taken and read again at a restart, and the log stays bounded.
+// A snapshot truncates the log, and the voter has all its entries after a restart.
 func TestLogIsBounded(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, three...)
-	l := f.whole(three...)
-	a, err := take(l, acquire("a"))
+	f := newFleet(t, threeVoters...)
+	l := f.allVote(threeVoters...)
+	a, err := acquireWithOffer(l, acquire("a"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range snapshotAt / 4 {
+	for range snapshotThreshold / 4 {
 		r, err := l.Do(duty.Command{Release: &duty.Release{Fence: duty.Fence{Duty: duty.Rollouts, Token: a.Token}}})
 		if err == nil {
-			a, err = take(l, acquire(fmt.Sprint("a", r.Token)))
+			a, err = acquireWithOffer(l, acquire(fmt.Sprint("a", r.Token)))
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.life.raft.Snapshot().Error(); err != nil {
+	if err := l.session.raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
 	first, err := l.disk.FirstIndex()
-	if err != nil || l.life.raft.LastIndex()-first > trailing+1 {
-		t.Errorf("the log begins at %d and ends at %d, %v", first, l.life.raft.LastIndex(), err)
+	if err != nil || l.session.raft.LastIndex()-first > trailingLogs+1 {
+		t.Errorf("the log begins at %d and ends at %d, %v", first, l.session.raft.LastIndex(), err)
 	}
 	name := l.cfg.Name
 	f.stop(name)
 	f.start(name, false)
-	f.until("it knows again", func() bool {
+	f.until("it has the entries again", func() bool {
 		v, err := f.voters[name].View()
 		return err == nil && len(v.Duties) == 1 && v.Duties[0].Token == a.Token
 	})
--- a/internal/fleet/council/identity.go
+++ b/internal/fleet/council/identity.go
@@ -13,21 +13,21 @@
 	"otterstep/internal/fleet/record"
 )
 
-// identityForm is the form of the identity's file.
-const identityForm = 1
+// identityFormat is the format version of the identity file.
+const identityFormat = 1
 
-// identity is who a voter's folder is. A folder that was lost is followed by one with another
-// id, which is another server to raft: it can't vote as the one before it, whose votes and
-// entries it does not know, until the others have taken it in.
+// identity identifies a voter's store. A store that replaces a lost one has another ID and so is another
+// server to raft. It does not have the lost store's votes and entries, so it can't vote in its place; it
+// votes only after the other voters have added it.
 type identity struct {
-	Form    int    `json:"form"`
+	Format  int    `json:"form"`
 	Cluster string `json:"cluster"`
 	Name    string `json:"name"`
 	ID      string `json:"id"`
-	// Founding is the council's own id, made when it was founded; "" as long as this folder
-	// has not been part of one.
-	Founding string `json:"founding,omitempty"`
-	Epoch    uint64 `json:"epoch,omitempty"`
+	// CouncilID is the ID that the council got when it was bootstrapped, "" while the store has not been part
+	// of a council.
+	CouncilID string `json:"founding,omitempty"`
+	Epoch     uint64 `json:"epoch,omitempty"`
 }
 
 const (
@@ -35,11 +35,11 @@
 	storeFile    = "raft.db"
 )
 
-// server is the identity as raft knows it, NAME/ID.
-func (i *identity) server() string { return i.Name + "/" + i.ID }
+// serverID returns the raft server ID, AGENT/STORE.
+func (i *identity) serverID() string { return i.Name + "/" + i.ID }
 
-// openIdentity reads the folder's identity, or makes one. lost says why an identity of before
-// was given up: the store that belonged to it is gone.
+// openIdentity reads the directory's identity, or creates one. lost is why an existing identity was replaced:
+// its store is missing.
 func openIdentity(dir, cluster, name string) (i *identity, lost string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("council: %w", err)
@@ -49,36 +49,36 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		if _, err := os.Stat(filepath.Join(dir, storeFile)); err == nil {
-			return nil, "", fmt.Errorf("council: %s has a store and no identity: put the folder aside, and this voter is taken in anew", dir)
+			return nil, "", fmt.Errorf("council: %s has a store but no identity: move the directory away, and this voter joins again with a new store", dir)
 		}
 	case err != nil:
 		return nil, "", fmt.Errorf("council: %w", err)
 	default:
 		i = &identity{}
 		if err := json.Unmarshal(text, i); err != nil {
-			return nil, "", fmt.Errorf("council: %s: %w: put the folder aside, and this voter is taken in anew", path, err)
+			return nil, "", fmt.Errorf("council: %s: %w: move the directory away, and this voter joins again with a new store", path, err)
 		}
 		switch {
-		case i.Form != identityForm:
-			return nil, "", fmt.Errorf("council: %s: form %d, this program knows form %d: bring this agent to the others' version", path, i.Form, identityForm)
+		case i.Format != identityFormat:
+			return nil, "", fmt.Errorf("council: %s: format version %d, this build supports %d: install the version that the other agents run", path, i.Format, identityFormat)
 		case i.Cluster != cluster:
-			return nil, "", fmt.Errorf("council: %s: it belongs to the fleet %q, council.cluster says %q", path, i.Cluster, cluster)
+			return nil, "", fmt.Errorf("council: %s: belongs to the fleet %q, but council.cluster is %q", path, i.Cluster, cluster)
 		case i.Name != name:
-			return nil, "", fmt.Errorf("council: %s: it belongs to the agent %q, this one is %q", path, i.Name, name)
+			return nil, "", fmt.Errorf("council: %s: belongs to the agent %q, this is agent %q", path, i.Name, name)
 		}
-		if i.Founding == "" {
+		if i.CouncilID == "" {
 			return i, "", nil
 		}
 		if _, err := os.Stat(filepath.Join(dir, storeFile)); err == nil {
 			return i, "", nil
 		}
-		lost = fmt.Sprintf("%s was part of a council and %s is gone", i.server(), storeFile)
+		lost = fmt.Sprintf("%s was part of a council, but its %s is missing", i.serverID(), storeFile)
 	}
-	i = &identity{Form: identityForm, Cluster: cluster, Name: name, ID: strings.ToLower(rand.Text()[:10])}
+	i = &identity{Format: identityFormat, Cluster: cluster, Name: name, ID: strings.ToLower(rand.Text()[:10])}
 	return i, lost, i.save(dir)
 }
 
-// save writes the identity whole or not at all.
+// save writes the identity file atomically.
 func (i *identity) save(dir string) error {
 	text, err := json.Marshal(i)
 	if err != nil {
--- a/internal/fleet/council/stores.go
+++ b/internal/fleet/council/stores.go
@@ -10,82 +10,83 @@
 	"go.etcd.io/bbolt"
 )
 
-// Stores are what a voter must not forget. Tests put failing disks in their place.
+// Stores is a voter's durable storage. Tests replace it by one that fails.
 type Stores interface {
 	raft.LogStore
 	raft.StableStore
 	Close() error
 }
 
-// openWithin is how long another process may hold the store's lock.
-const openWithin = time.Second
+// openTimeout bounds the wait for the store's lock, which another process may hold.
+const openTimeout = time.Second
 
-// OpenStores opens the usual stores, on bbolt.
+// OpenStores opens the default stores, on bbolt.
 func OpenStores(dir string) (Stores, error) {
-	s, err := boltdb.New(boltdb.Options{Path: filepath.Join(dir, storeFile), BoltOptions: &bbolt.Options{Timeout: openWithin}})
+	s, err := boltdb.New(boltdb.Options{Path: filepath.Join(dir, storeFile), BoltOptions: &bbolt.Options{Timeout: openTimeout}})
 	if err != nil {
 		return nil, fmt.Errorf("council: %s: %w", filepath.Join(dir, storeFile), err)
 	}
 	return s, nil
 }
 
-// watched tells of writes that failed or took long. raft ends the process when its term can't
-// be written; here the voter is sealed first, so that nobody hears of what was not written, and
-// then begins anew from what was.
-type watched struct {
+// monitoredStores reports the failure or the latency of each write. raft ends the process when its term can't
+// be written. Here the voter's streams are closed first, so that nothing unwritten is sent to other
+// voters, and then the voter restarts from what is in the store.
+type monitoredStores struct {
 	Stores
-	failed  func(error)
-	took    func(time.Duration)
-	witness *witness
+	onFailure    func(error)
+	onWrite      func(time.Duration)
+	progressFile *progressFile
 }
 
-func (w *watched) write(what string, do func() error) error {
-	began := time.Now()
+func (ms *monitoredStores) write(what string, do func() error) error {
+	start := time.Now()
 	err := do()
 	if err != nil {
 		err = fmt.Errorf("%s: %w", what, err)
-		w.failed(err)
+		ms.onFailure(err)
 		return err
 	}
-	w.took(time.Since(began))
+	ms.onWrite(time.Since(start))
 	return nil
 }
 
 // StoreLog implements raft.LogStore.
-func (w *watched) StoreLog(l *raft.Log) error { return w.StoreLogs([]*raft.Log{l}) }
+func (ms *monitoredStores) StoreLog(l *raft.Log) error { return ms.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs implements raft.LogStore.
-func (w *watched) StoreLogs(l []*raft.Log) error {
-	err := w.write("log", func() error { return w.Stores.StoreLogs(l) })
+func (ms *monitoredStores) StoreLogs(l []*raft.Log) error {
+	err := ms.write("log", func() error { return ms.Stores.StoreLogs(l) })
 	if err == nil && len(l) > 0 {
-		w.witness.note(func(m *mark) { m.last = max(m.last, l[len(l)-1].Index) })
+		ms.progressFile.update(func(p *progress) { p.lastIndex = max(p.lastIndex, l[len(l)-1].Index) })
 	}
 	return err
 }
 
 // DeleteRange implements raft.LogStore.
-func (w *watched) DeleteRange(from, to uint64) error {
-	if last, err := w.LastIndex(); err == nil && to >= last { // entries that were never agreed on
-		w.witness.note(func(m *mark) { m.last = min(m.last, max(from, 1)-1) })
+func (ms *monitoredStores) DeleteRange(from, to uint64) error {
+	if last, err := ms.LastIndex(); err == nil && to >= last { // entries that were never committed
+		ms.progressFile.update(func(p *progress) { p.lastIndex = min(p.lastIndex, max(from, 1)-1) })
 	}
-	return w.write("log", func() error { return w.Stores.DeleteRange(from, to) })
+	return ms.write("log", func() error { return ms.Stores.DeleteRange(from, to) })
 }
 
-// Set implements raft.StableStore. A failure has sealed the voter and is not passed on.
-func (w *watched) Set(key, value []byte) error {
-	_ = w.write("vote", func() error { return w.Stores.Set(key, value) })
+// Set implements raft.StableStore. A failure stops the voter and is not returned to raft, which would end the
+// process.
+func (ms *monitoredStores) Set(key, value []byte) error {
+	_ = ms.write("vote", func() error { return ms.Stores.Set(key, value) })
 	return nil
 }
 
-// SetUint64 implements raft.StableStore, as Set.
-func (w *watched) SetUint64(key []byte, value uint64) error {
-	if w.write("term", func() error { return w.Stores.SetUint64(key, value) }) == nil {
-		w.witness.note(func(m *mark) {
+// SetUint64 implements raft.StableStore, with failures handled as in Set.
+func (ms *monitoredStores) SetUint64(key []byte, value uint64) error {
+	if ms.write("term", func() error { return ms.Stores.SetUint64(key, value) }) == nil {
+		ms.progressFile.update(func(p *progress) {
 			switch string(key) {
 			case keyTerm:
-				m.term = value
-			case keyVoted:
-				m.voted = value
+				p.term = value
+			case keyVotedTerm:
+				p.votedTerm = value
 			}
 		})
 	}
--- a/internal/fleet/council/streams.go
+++ b/internal/fleet/council/streams.go
@@ -11,75 +11,75 @@
 	"github.com/hashicorp/raft"
 )
 
-// waitingMost bounds the streams that were accepted and not yet taken up.
-const waitingMost = 64
+// maxPendingStreams bounds the streams that wait for raft to accept them.
+const maxPendingStreams = 64
 
-var errSealed = errors.New("council: this voter has stepped aside")
+var errStopped = errors.New("council: this voter has stopped")
 
-// streams is raft's transport layer over the agents' own listeners. Sealed, it closes all
-// streams and lets no further byte out or in: what a voter could not write down stays unsaid.
-type streams struct {
+// streamLayer is raft's transport layer on top of the agents' own listeners. Once closed, it has closed all
+// streams and opens no new ones, so that a voter can't send what it failed to write.
+type streamLayer struct {
 	dial func(ctx context.Context, server string) (net.Conn, error)
 
-	mu     sync.Mutex
-	sealed bool
-	open   map[*stream]bool
-	in     chan net.Conn
-	done   chan struct{}
+	mu      sync.Mutex
+	closed  bool
+	open    map[*trackedStream]bool
+	pending chan net.Conn
+	done    chan struct{}
 }
 
-func newStreams(dial func(ctx context.Context, server string) (net.Conn, error)) *streams {
-	return &streams{dial: dial, open: map[*stream]bool{}, in: make(chan net.Conn, waitingMost), done: make(chan struct{})}
+func newStreamLayer(dial func(ctx context.Context, server string) (net.Conn, error)) *streamLayer {
+	return &streamLayer{dial: dial, open: map[*trackedStream]bool{}, pending: make(chan net.Conn, maxPendingStreams), done: make(chan struct{})}
 }
 
-// stream is one that is known to be open.
-type stream struct {
+// trackedStream is a stream that is in streamLayer.open until it is closed.
+type trackedStream struct {
 	net.Conn
-	of *streams
+	layer *streamLayer
 }
 
 // Close implements net.Conn.
-func (s *stream) Close() error {
-	s.of.mu.Lock()
-	delete(s.of.open, s)
-	s.of.mu.Unlock()
+func (s *trackedStream) Close() error {
+	s.layer.mu.Lock()
+	delete(s.layer.open, s)
+	s.layer.mu.Unlock()
 	return s.Conn.Close()
 }
 
-func (s *streams) keep(c net.Conn) (net.Conn, error) {
+func (s *streamLayer) track(c net.Conn) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sealed {
+	if s.closed {
 		c.Close()
-		return nil, errSealed
+		return nil, errStopped
 	}
-	kept := &stream{c, s}
-	s.open[kept] = true
-	return kept, nil
+	tracked := &trackedStream{c, s}
+	s.open[tracked] = true
+	return tracked, nil
 }
 
-// offer hands in a stream that another voter has begun.
-func (s *streams) offer(c net.Conn) error {
-	kept, err := s.keep(c)
+// enqueue queues a stream that another voter has opened, for Accept.
+func (s *streamLayer) enqueue(c net.Conn) error {
+	tracked, err := s.track(c)
 	if err != nil {
 		return err
 	}
 	select {
-	case s.in <- kept:
+	case s.pending <- tracked:
 		return nil
 	case <-s.done:
-		kept.Close()
-		return errSealed
+		tracked.Close()
+		return errStopped
 	default:
-		kept.Close()
-		return fmt.Errorf("council: %d streams wait already", waitingMost)
+		tracked.Close()
+		return fmt.Errorf("council: too many pending streams, the maximum is %d", maxPendingStreams)
 	}
 }
 
 // Accept implements net.Listener.
-func (s *streams) Accept() (net.Conn, error) {
+func (s *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-s.in:
+	case c := <-s.pending:
 		return c, nil
 	case <-s.done:
 		return nil, net.ErrClosed
@@ -87,19 +87,19 @@
 }
 
 // Close implements net.Listener.
-func (s *streams) Close() error {
-	s.seal()
+func (s *streamLayer) Close() error {
+	s.shutdown()
 	return nil
 }
 
-// seal closes all streams for good.
-func (s *streams) seal() {
+// shutdown closes all streams permanently.
+func (s *streamLayer) shutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sealed {
+	if s.closed {
 		return
 	}
-	s.sealed = true
+	s.closed = true
 	close(s.done)
 	for c := range s.open {
 		c.Conn.Close()
@@ -108,10 +108,10 @@
 }
 
 // Addr implements net.Listener.
-func (s *streams) Addr() net.Addr { return addr("council") }
+func (s *streamLayer) Addr() net.Addr { return addr("council") }
 
-// Dial implements raft.StreamLayer; an address is a server's NAME/ID.
-func (s *streams) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+// Dial implements raft.StreamLayer. The address is a server ID.
+func (s *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	stop := make(chan struct{})
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.keep(c)
+	return s.track(c)
 }
 
 type addr string
