--- a/internal/fleet/owner/owner.go
+++ b/internal/fleet/owner/owner.go
@@ -1,7 +1,8 @@
-// Package owner carries out the fleet's jobs at whichever agent owns the duty for it. What is
-// next is package rollout's to decide, what has been done stands in the council; here are the
-// calls. An owner that is cut off, stopped or slow loses the duty to another one: what it
-// still sends is refused at the agents by its token, so nothing here has to be on time.
+// Package owner executes a duty at the agent that owns it: Rollouts, which runs the fleet's jobs, and Fleet,
+// which reconciles the fleet with its desired state. Packages rollout and reconcile decide the next
+// steps, and the council stores progress; this package makes the calls. An owner that is partitioned,
+// stopped or slow loses its duty to another agent. Agents then refuse its orders by their token, so that
+// correctness does not depend on timing here.
 package owner
 
 import (
@@ -27,48 +28,48 @@
 )
 
 const (
-	idleEvery  = 250 * time.Millisecond
-	leastWait  = 50 * time.Millisecond
-	decideEach = 50 * time.Millisecond
-	// lookEvery is how often each agent is looked at, lookWithin how long it may take; what is
-	// older than freshFor is not known any more.
-	lookEvery  = 250 * time.Millisecond
-	lookWithin = time.Second
-	freshFor   = 2 * time.Second
-	healthEach = time.Second
-	baseLooks  = 2 // behind the first one: a second's answers
-	againAfter = 200 * time.Millisecond
-	heldAfter  = time.Second // between two tries at an instance that somebody else holds
+	idleInterval     = 250 * time.Millisecond
+	minWait          = 50 * time.Millisecond
+	decisionInterval = 50 * time.Millisecond
+	// pollInterval is how often each agent is polled, callTimeout bounds a call to it. A result older than
+	// freshFor is stale.
+	pollInterval   = 250 * time.Millisecond
+	callTimeout    = time.Second
+	freshFor       = 2 * time.Second
+	healthPeriod   = time.Second
+	baselinePolls  = 2 // after the initial poll: one second of answers
+	retryDelay     = 200 * time.Millisecond
+	heldRetryDelay = time.Second // delay before the next attempt at an instance that is held by another operation
 )
 
-// The steps of an order, before each of which Options.Step is called.
+// Points in the processing of an order and of a fleet call at which Options.Step is called.
 const (
-	BeforeIntent  = "intent"   // the intent is written
-	BeforeSend    = "send"     // the order is sent
-	AfterSend     = "sent"     // it was accepted
-	AfterEnd      = "answered" // its end is known
-	BetweenOrders = "between"  // its outcome is written
-
-	BeforeWord = "word" // the fleet's word is told to an agent, or it is looked at
-	AfterWord  = "told" // it has answered, or not
+	BeforeIntent  = "intent"   // before the intent is written
+	BeforeSend    = "send"     // before the order is sent
+	AfterSend     = "sent"     // after the order was accepted and its operation has ended or failed
+	AfterEnd      = "answered" // after the outcome is known
+	BetweenOrders = "between"  // after the outcome is written
+
+	BeforeWord = "word" // before the desired state is sent to an agent, or the agent is polled
+	AfterWord  = "told" // after the agent has answered or the call has failed
 )
 
-// Council is the way to the council.
+// Council gives access to the council.
 type Council interface {
 	Do(ctx context.Context, c duty.Command) (duty.Answer, error)
 	Renew(ctx context.Context, r duty.Renewal) error
-	// Known gives what this agent's voter knows, and Changed tells of changes in it.
+	// Known returns the view of this agent's voter. Changed returns a channel that is closed at the next
+	// change of it.
 	Known() (duty.View, bool)
 	Changed() <-chan struct{}
-	// Memories gives what the council keeps of agents: what there is at those that this owner
-	// has never reached.
+	// Memories returns the data that the council stores of agents, which lists the instances of agents that
+	// this owner has never reached.
 	Memories() map[string]duty.Memory
-	// KnownDesired gives what this agent's voter knows of what the fleet should be, if that is another version
-	// than the given one; else nil.
-	KnownDesired(but desired.Version) *desired.State
+	// KnownDesired returns the desired state as known to this agent's voter, or nil if its version equals known.
+	KnownDesired(known desired.Version) *desired.State
 }
 
-// Options are what New needs.
+// Options configures an Owner or a Keeper.
 type Options struct {
 	Name    string
 	Lease   time.Duration
@@ -76,210 +77,210 @@
 	Council Council
 	Fleet   *group.Fleet
 	Log     *slog.Logger
-	Step    func(step, instance string) // for tests; may be nil
+	Step    func(step, instance string) // test hook; may be nil
 }
 
-// Owner is an agent that may come to own the duty. Run it with Run.
+// Owner executes duty Rollouts while its agent owns it. Run it with Run.
 type Owner struct{ opt Options }
 
-// New makes one.
-func New(opt Options) *Owner { return &Owner{opt.filled()} }
+// New returns an Owner.
+func New(opt Options) *Owner { return &Owner{opt.withDefaults()} }
 
-// filled gives options with what was left out.
-func (o Options) filled() Options {
+// withDefaults returns the options with defaults for unset fields.
+func (o Options) withDefaults() Options {
 	if o.Step == nil {
 		o.Step = func(string, string) {}
 	}
 	return o
 }
 
-// Run takes the duty whenever there is work and nobody has it, until ctx ends.
+// Run acquires the duty whenever there are open jobs and it has no owner, until ctx ends.
 func (o *Owner) Run(ctx context.Context) {
-	take(ctx, o.opt, duty.Rollouts, func() bool {
+	contend(ctx, o.opt, duty.Rollouts, func() bool {
 		v, ok := o.opt.Council.Known()
-		return ok && open(v.Jobs)
-	}, o.own)
+		return ok && anyOpen(v.Jobs)
+	}, o.runJobs)
 }
 
-func open(jobs []*duty.Job) bool {
+func anyOpen(jobs []*duty.Job) bool {
 	return slices.ContainsFunc(jobs, func(j *duty.Job) bool { return j.Open() })
 }
 
-// look is what an agent said last behind this owner's token.
-type look struct {
+// pollResult is an agent's latest answer since it accepted this owner's token.
+type pollResult struct {
 	at        time.Time
 	instances []protocol.Instance
 }
 
-// tenure is one ownership of Rollouts.
-type tenure struct {
-	*holding
-	ends   chan end
-	health map[string]*health // by job; the loop's own
-	// version is that of the fleet's document that bounds are of; the loop's own too.
+// jobRunner executes jobs during one ownership of duty Rollouts.
+type jobRunner struct {
+	*tenure
+	results chan stepResult
+	health  map[string]*jobHealth // by job; used by loop only
+	// version is the desired-state version from which bounds was read. Both are used by loop only.
 	version desired.Version
 	bounds  rollout.Limits
 
 	mu    sync.Mutex
-	looks map[string]look // by agent: those that were raised
+	polls map[string]pollResult // by agent; only agents that accepted the token
 }
 
-// health is what a job's instances answer, looked at beside the loop.
-type health struct {
-	stop   context.CancelFunc
-	judged int // the loop's own: the look that was judged last
+// jobHealth polls the answer counts of a job's instances concurrently with loop.
+type jobHealth struct {
+	cancel context.CancelFunc
+	judged int // the number of the poll that was judged last; used by loop only
 
 	mu     sync.Mutex
 	latest rollout.Counts
-	looks  int
+	polls  int
 }
 
-// end is how an order ended.
-type end struct {
+// stepResult is how the execution of a step ended.
+type stepResult struct {
 	job, key  string
-	err       error // the instance did not come back
-	withdrawn bool  // nothing was begun
+	err       error // the order failed
+	withdrawn bool  // no order was started, or its outcome is left to the next owner
 }
 
-// forgotten is why an order fails at an agent that lost its memory after the intent.
-const forgotten = "its agent has lost its memory since the order was intended: whether it was done can't be told; jobs resume tries it again"
+// outcomeUnknown is the text of a failed order whose agent lost its state after the intent was written.
+const outcomeUnknown = "the agent lost its state after the order was planned: whether it was done can't be told; use jobs resume to retry"
 
-// own carries out what there is until the duty is lost, ctx ends or nothing is left.
-func (o *Owner) own(ctx context.Context, h *holding) {
-	t := &tenure{holding: h, ends: make(chan end), health: map[string]*health{}, looks: map[string]look{}}
+// runJobs executes open jobs until the duty is lost, ctx ends or no job is open.
+func (o *Owner) runJobs(ctx context.Context, t *tenure) {
+	jr := &jobRunner{tenure: t, results: make(chan stepResult), health: map[string]*jobHealth{}, polls: map[string]pollResult{}}
 	for _, a := range o.opt.Fleet.All() {
-		t.work.Go(func() { t.attend(ctx, a) })
+		jr.work.Go(func() { jr.pollAgent(ctx, a) })
 	}
-	t.loop(ctx)
+	jr.loop(ctx)
 }
 
-// attend raises the token at an agent, and looks at it from then on.
-func (t *tenure) attend(ctx context.Context, a *client.Client) {
-	every := time.NewTicker(lookEvery)
-	defer every.Stop()
+// pollAgent sends the token to an agent until it accepts it, and polls its instances from then on.
+func (jr *jobRunner) pollAgent(ctx context.Context, a *client.Client) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	raised := false
 	for {
-		limit, cancel := context.WithTimeout(ctx, lookWithin)
-		began := time.Now() // what an answer tells may be as old as its question
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		start := time.Now() // the answer may reflect the state at the time of the request
 		var list []protocol.Instance
 		var err error
 		if raised {
-			list, err = a.Instances(limit)
+			list, err = a.Instances(callCtx)
 		} else {
 			var r protocol.Raised
-			r, err = a.Raise(limit, t.fence)
+			r, err = a.Raise(callCtx, jr.fence)
 			list = r.Instances
 		}
 		cancel()
 		switch {
 		case err == nil:
 			raised = true
-			t.mu.Lock()
-			t.looks[a.Name()] = look{began, list}
-			t.mu.Unlock()
+			jr.mu.Lock()
+			jr.polls[a.Name()] = pollResult{start, list}
+			jr.mu.Unlock()
 		case fenced(err):
-			t.lost(err)
+			jr.cancel(err)
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// seen gives all instances as they were last seen. Of agents that were never reached there is
-// what the council has heard of them.
-func (t *tenure) seen() (map[string]rollout.Seen, map[string]protocol.Instance) {
+// latestInstances returns all instances as last polled, as package rollout needs them and as the agents
+// reported them. Instances of agents that were never reached are taken from the council's data.
+func (jr *jobRunner) latestInstances() (map[string]rollout.Seen, map[string]protocol.Instance) {
 	all, raw := map[string]rollout.Seen{}, map[string]protocol.Instance{}
-	for agent, m := range t.opt.Council.Memories() {
+	for agent, m := range jr.opt.Council.Memories() {
 		for name, d := range m.Instances {
 			all[duty.Target{Agent: agent, Instance: name}.Key()] = rollout.Seen{Group: d.Group}
 		}
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for agent, l := range t.looks {
-		maps.DeleteFunc(all, func(key string, _ rollout.Seen) bool { return strings.HasPrefix(key, agent+"/") }) // it has told better
+	jr.mu.Lock()
+	defer jr.mu.Unlock()
+	for agent, l := range jr.polls {
+		maps.DeleteFunc(all, func(key string, _ rollout.Seen) bool { return strings.HasPrefix(key, agent+"/") }) // the agent's own answer replaces the council's data
 		for _, i := range l.instances {
 			key := duty.Target{Agent: agent, Instance: i.Name}.Key()
 			raw[key] = i
 			all[key] = rollout.Seen{
 				Group: i.Group, Reached: time.Since(l.at) < freshFor,
-				Serves: i.State == protocol.StateUp && i.Operation == "", Drained: i.Desired == "down", Zone: i.Labels["zone"], Stuck: stuck(i),
+				Serves: i.State == protocol.StateUp && i.Operation == "", Drained: i.Desired == "down", Zone: i.Labels["zone"], Stuck: stuckReason(i),
 			}
 		}
 	}
 	return all, raw
 }
 
-// stuck tells why an instance does not come back by itself, if it does not.
-func stuck(i protocol.Instance) string {
+// stuckReason returns why an instance does not recover by itself, or "" if it may.
+func stuckReason(i protocol.Instance) string {
 	switch i.State {
 	case protocol.StateGaveUp:
 		return "crashed too often"
 	case protocol.StateHeld:
-		return "is held, as nobody knows what is desired of it"
+		return "is held, as its desired state is unknown"
 	case protocol.StateUnknown:
-		return "can't be told from another process"
+		return "can't be distinguished from another process"
 	}
 	return ""
 }
 
-// limits gives the fleet's, as this agent's voter knows them.
-func (t *tenure) limits() rollout.Limits {
-	if s := t.opt.Council.KnownDesired(t.version); s != nil {
-		t.version, t.bounds = s.Document.Version, rollout.Limits{Zone: s.Document.Budgets.Zone, Starts: s.Document.Budgets.Starts}
+// limits returns the fleet's rollout limits as known to this agent's voter.
+func (jr *jobRunner) limits() rollout.Limits {
+	if s := jr.opt.Council.KnownDesired(jr.version); s != nil {
+		jr.version, jr.bounds = s.Document.Version, rollout.Limits{Zone: s.Document.Budgets.Zone, Starts: s.Document.Budgets.Starts}
 	}
-	return t.bounds
+	return jr.bounds
 }
 
-// loop decides and begins until the tenure ends.
-func (t *tenure) loop(ctx context.Context) {
+// loop decides on steps and starts them until the ownership ends.
+func (jr *jobRunner) loop(ctx context.Context) {
 	desk := rollout.NewDesk()
-	every := time.NewTicker(decideEach)
-	defer every.Stop()
+	ticker := time.NewTicker(decisionInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-t.ends:
+		case e := <-jr.results:
 			if e.withdrawn {
 				desk.Withdrawn(e.job, e.key)
 			} else {
 				desk.Ended(time.Now(), e.job, e.key, e.err)
 			}
-		case <-every.C:
+		case <-ticker.C:
 		}
-		v, ok := t.opt.Council.Known()
-		if !t.sees(v, ok) {
-			continue // this voter has yet to hear what the leader knows
+		v, ok := jr.opt.Council.Known()
+		if !jr.voterHasApplied(v, ok) {
+			continue // the local voter has not yet applied this ownership
 		}
-		if !open(v.Jobs) && desk.Busy() == 0 {
-			t.lost(errNoWork)
+		if !anyOpen(v.Jobs) && desk.Busy() == 0 {
+			jr.cancel(errNoWork)
 			return
 		}
-		t.observe(ctx, v.Jobs, desk)
-		if !t.good() {
+		jr.observe(ctx, v.Jobs, desk)
+		if !jr.checkLease() {
 			continue
 		}
-		seen, raw := t.seen()
-		to := desk.Next(time.Now(), v.Jobs, seen, t.limits())
-		t.say(to.Says)
-		for _, step := range to.Leave {
-			_, _ = t.mark(ctx, step, duty.Left, "it is drained, and stays so") // or at the next turn
+		seen, raw := jr.latestInstances()
+		decision := desk.Next(time.Now(), v.Jobs, seen, jr.limits())
+		jr.setMessages(decision.Says)
+		for _, step := range decision.Leave {
+			_, _ = jr.mark(ctx, step, duty.Left, "the instance is drained and stays drained") // if it fails, the next iteration retries
 		}
-		for job, why := range to.Stop {
-			t.log.Warn("a job is stopped", "job", job, "why", why)
-			_, _ = t.opt.Council.Do(ctx, duty.Command{Stop: &duty.Stop{Token: t.fence.Token, Job: job, Why: why}}) // or at the next turn
+		for job, why := range decision.Stop {
+			jr.log.Warn("stopping job", "job", job, "why", why)
+			_, _ = jr.opt.Council.Do(ctx, duty.Command{Stop: &duty.Stop{Token: jr.fence.Token, Job: job, Why: why}}) // if it fails, the next iteration retries
 		}
-		for _, step := range to.Begin {
+		for _, step := range decision.Begin {
 			i := raw[step.Target.Key()]
-			t.work.Go(func() {
-				e := t.carry(ctx, step, i)
+			jr.work.Go(func() {
+				e := jr.runStep(ctx, step, i)
 				select {
-				case t.ends <- e:
+				case jr.results <- e:
 				case <-ctx.Done():
 				}
 			})
@@ -287,169 +288,170 @@
 	}
 }
 
-// observe looks at what each open job's instances answer. What it was before a job began is
-// written down by its first owner, and judged by from then on.
-func (t *tenure) observe(ctx context.Context, jobs []*duty.Job, desk *rollout.Desk) {
+// observe polls the answer counts of each open job's instances. A job's first owner stores the baseline from
+// before the job started; later counts are judged against it.
+func (jr *jobRunner) observe(ctx context.Context, jobs []*duty.Job, desk *rollout.Desk) {
 	for _, j := range jobs {
-		h := t.health[j.ID]
+		h := jr.health[j.ID]
 		switch {
 		case !j.Open() && h != nil:
-			h.stop()
-			delete(t.health, j.ID)
+			h.cancel()
+			delete(jr.health, j.ID)
 		case !j.Open():
 		case h == nil:
-			h = &health{}
-			var looking context.Context
-			looking, h.stop = context.WithCancel(ctx)
-			t.health[j.ID] = h
-			t.work.Go(func() { h.look(looking, group.NewHealth(t.opt.Fleet), func() []group.Row { return t.reached(j) }) })
+			h = &jobHealth{}
+			var pollCtx context.Context
+			pollCtx, h.cancel = context.WithCancel(ctx)
+			jr.health[j.ID] = h
+			jr.work.Go(func() { h.poll(pollCtx, group.NewHealth(jr.opt.Fleet), func() []group.Row { return jr.rows(j) }) })
 		default:
-			c, looks := h.get()
+			c, polls := h.get()
 			switch {
-			case looks == 0 || looks == h.judged:
-			case j.Before == nil && looks >= baseLooks:
-				h.judged = looks
-				base := duty.Base{Token: t.fence.Token, Job: j.ID, Answers: c}
-				if _, err := t.opt.Council.Do(ctx, duty.Command{Base: &base}); err != nil {
-					t.log.Debug("what was before is not written yet", "job", j.ID, "err", err)
+			case polls == 0 || polls == h.judged:
+			case j.Before == nil && polls >= baselinePolls:
+				h.judged = polls
+				base := duty.Base{Token: jr.fence.Token, Job: j.ID, Answers: c}
+				if _, err := jr.opt.Council.Do(ctx, duty.Command{Base: &base}); err != nil {
+					jr.log.Debug("storing the baseline failed; retrying", "job", j.ID, "err", err)
 				}
 			case j.Before != nil:
-				h.judged = looks
+				h.judged = polls
 				desk.Observe(j.ID, c)
 			}
 		}
 	}
 }
 
-// reached gives a job's instances at agents that answer: others would only be waited for. Those
-// under an order are left alone: one that drains would wait for whoever looks at it.
-func (t *tenure) reached(j *duty.Job) []group.Row {
-	if is, ok := t.job(j.ID); ok {
-		j = is
+// rows returns a job's instances at agents that answer, as polling others would only wait for a
+// timeout. Instances with an order in progress are omitted: a draining instance would wait for the
+// connection of the poll.
+func (jr *jobRunner) rows(j *duty.Job) []group.Row {
+	if latest, ok := jr.job(j.ID); ok {
+		j = latest
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	jr.mu.Lock()
+	defer jr.mu.Unlock()
 	var rows []group.Row
 	for i, target := range j.Targets {
-		if l, known := t.looks[target.Agent]; known && time.Since(l.at) < freshFor && j.Steps[i].Phase != duty.Intent {
+		if l, known := jr.polls[target.Agent]; known && time.Since(l.at) < freshFor && j.Steps[i].Phase != duty.Intent {
 			rows = append(rows, group.Row{Agent: target.Agent, Instance: protocol.Instance{Name: target.Instance}})
 		}
 	}
 	return rows
 }
 
-// look looks until ctx ends. The first look is only where counting begins.
-func (h *health) look(ctx context.Context, of *group.Health, rows func() []group.Row) {
-	every := time.NewTicker(healthEach / 2)
-	defer every.Stop()
+// poll polls until ctx ends. The first poll only gives the start values of the counters.
+func (h *jobHealth) poll(ctx context.Context, health *group.Health, rows func() []group.Row) {
+	ticker := time.NewTicker(healthPeriod / 2)
+	defer ticker.Stop()
 	for n := 0; ; n++ {
-		c := of.Look(ctx, rows())
+		c := health.Look(ctx, rows())
 		h.mu.Lock()
-		h.latest, h.looks = c, n
+		h.latest, h.polls = c, n
 		h.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// get gives the latest counts, and how many looks they have been behind the first.
-func (h *health) get() (rollout.Counts, int) {
+// get returns the latest counts, and the number of polls after the first.
+func (h *jobHealth) get() (rollout.Counts, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.latest, h.looks
+	return h.latest, h.polls
 }
 
-// mark writes a step of a job down, as often as it takes, and gives it as it is then.
-func (t *tenure) mark(ctx context.Context, step rollout.Step, phase, text string) (duty.Step, error) {
-	m := duty.Mark{Token: t.fence.Token, Job: step.Job.ID, Key: step.Target.Key(), Phase: phase, Text: text, Forgotten: text == forgotten}
+// mark sets a step's phase at the council, retrying while the council is unavailable, and returns the step.
+func (jr *jobRunner) mark(ctx context.Context, step rollout.Step, phase, text string) (duty.Step, error) {
+	m := duty.Mark{Token: jr.fence.Token, Job: step.Job.ID, Key: step.Target.Key(), Phase: phase, Text: text, Forgotten: text == outcomeUnknown}
 	if phase == duty.Intent {
 		m.IntendedAt = time.Now().Truncate(time.Millisecond)
 	}
 	for {
-		a, err := t.opt.Council.Do(ctx, duty.Command{Mark: &m})
+		a, err := jr.opt.Council.Do(ctx, duty.Command{Mark: &m})
 		var refused *protocol.Error
 		switch {
 		case fenced(err):
-			t.lost(err)
+			jr.cancel(err)
 			return duty.Step{}, err
 		case err == nil:
-			is, _ := a.Job.Step(m.Key)
-			return is, nil
+			marked, _ := a.Job.Step(m.Key)
+			return marked, nil
 		case errors.As(err, &refused) && refused.Code != protocol.CodeNoCouncil:
 			return duty.Step{}, err
 		}
 		select {
 		case <-ctx.Done():
 			return duty.Step{}, context.Cause(ctx)
-		case <-time.After(againAfter):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// orderID is that of a job's order to an instance, the same whoever sends it, so that its
-// agent carries it out once.
-func orderID(job, key string, is duty.Step) string {
+// orderID returns the ID of a job's order to an instance. It is the same for every owner that sends the order,
+// so that the agent executes it once.
+func orderID(job, key string, step duty.Step) string {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, job+" "+key)
-	return protocol.NewID(is.IntendedAt, h.Sum64())
+	return protocol.NewID(step.IntendedAt, h.Sum64())
 }
 
-// carry carries one instance of a job through: intent, order, outcome.
-func (t *tenure) carry(ctx context.Context, step rollout.Step, i protocol.Instance) end {
+// runStep executes one step of a job: it writes the intent, sends the order and writes the outcome.
+func (jr *jobRunner) runStep(ctx context.Context, step rollout.Step, i protocol.Instance) stepResult {
 	key := step.Target.Key()
-	e := end{job: step.Job.ID, key: key}
-	t.opt.Step(BeforeIntent, key)
-	if !t.good() {
+	e := stepResult{job: step.Job.ID, key: key}
+	jr.opt.Step(BeforeIntent, key)
+	if !jr.checkLease() {
 		e.withdrawn = true
 		return e
 	}
-	is, err := t.mark(ctx, step, duty.Intent, "")
+	marked, err := jr.mark(ctx, step, duty.Intent, "")
 	if err != nil {
-		e.withdrawn = true // paused, cancelled or somebody else's by now
+		e.withdrawn = true // the job was paused or cancelled, or the duty was lost
 		return e
 	}
-	a := t.opt.Fleet.Agent(step.Target.Agent)
+	a := jr.opt.Fleet.Agent(step.Target.Agent)
 	if a == nil {
 		e.err = fmt.Errorf("agent %s is not in [council]", step.Target.Agent)
-		_, _ = t.mark(ctx, step, duty.Failed, e.err.Error()) // or the next owner does
+		_, _ = jr.mark(ctx, step, duty.Failed, e.err.Error()) // if it fails, the next owner retries
 		return e
 	}
-	phase, text := t.order(ctx, a, step, i, orderID(step.Job.ID, key, is))
-	t.opt.Step(AfterEnd, key)
+	phase, text := jr.sendOrder(ctx, a, step, i, orderID(step.Job.ID, key, marked))
+	jr.opt.Step(AfterEnd, key)
 	if phase == "" && ctx.Err() != nil {
-		e.withdrawn = true // its intent stays, and the next owner looks what became of it
+		e.withdrawn = true // the intent stays, and the next owner checks the order's outcome
 		return e
 	}
 	if phase == duty.Failed {
 		e.err = errors.New(text)
 	}
 	e.withdrawn = phase == duty.Waiting
-	if _, err := t.mark(ctx, step, phase, text); err != nil {
+	if _, err := jr.mark(ctx, step, phase, text); err != nil {
 		e.withdrawn = true
 		return e
 	}
-	t.log.Info("an order has ended", "job", step.Job.ID, "instance", key, "phase", phase, "text", text)
-	t.opt.Step(BetweenOrders, key)
+	jr.log.Info("order ended", "job", step.Job.ID, "instance", key, "phase", phase, "text", text)
+	jr.opt.Step(BetweenOrders, key)
 	return e
 }
 
-// order sends an order and waits for its end. The phase is Waiting if nothing was begun.
-func (t *tenure) order(ctx context.Context, a *client.Client, step rollout.Step, i protocol.Instance, id string) (phase, text string) {
+// sendOrder sends an order and waits for its end. The phase is Waiting if the order was not started.
+func (jr *jobRunner) sendOrder(ctx context.Context, a *client.Client, step rollout.Step, i protocol.Instance, id string) (phase, text string) {
 	name := step.Target.Instance
 	for {
 		if i.Desired == "down" {
-			if done, phase, text := t.drained(ctx, a, id, name); done {
+			if done, phase, text := jr.resolveDrained(ctx, a, id, name); done {
 				return phase, text
 			}
 		}
-		t.opt.Step(BeforeSend, step.Target.Key())
-		if !t.good() {
+		jr.opt.Step(BeforeSend, step.Target.Key())
+		if !jr.checkLease() {
 			return duty.Waiting, ""
 		}
-		fence := t.fence
+		fence := jr.fence
 		_, err := a.Open(ctx, protocol.CommandRequest{
 			ID: id, Kind: step.Job.Kind, Instances: []protocol.Seen{{Name: name, Generation: i.Generation}},
 			Plan: fmt.Sprintf(`{"job":%q}`, step.Job.ID), Resume: true, Fence: &fence, OnBehalf: step.Job.Operator, Program: step.Job.Program,
@@ -458,51 +460,51 @@
 		switch {
 		case err == nil:
 			o, err := group.Operate(ctx, a, id, name)
-			t.opt.Step(AfterSend, step.Target.Key())
-			return t.outcome(ctx, a, id, o, err)
+			jr.opt.Step(AfterSend, step.Target.Key())
+			return jr.outcome(ctx, a, id, o, err)
 		case fenced(err):
-			t.lost(err)
+			jr.cancel(err)
 			return duty.Waiting, ""
 		case errors.As(err, &refused) && refused.Code == protocol.CodeConflict:
-			// Somebody holds it, or it has changed since it was looked at.
-			t.note(step.Job.ID, "waits: "+refused.Text)
-			if j, ok := t.job(step.Job.ID); ok && j.State != duty.Active && !step.Again {
+			// The instance is held by another operation, or has changed since it was polled.
+			jr.setMessage(step.Job.ID, "waits: "+refused.Text)
+			if j, ok := jr.job(step.Job.ID); ok && j.State != duty.Active && !step.Again {
 				return duty.Waiting, ""
 			}
 		case errors.As(err, &refused) && refused.Code == protocol.CodeTooOld:
 			if started(ctx, a, id, name) {
 				return duty.Done, ""
 			}
-			return duty.Failed, forgotten
+			return duty.Failed, outcomeUnknown
 		case errors.As(err, &refused) && refused.Code != protocol.CodeRecord && refused.Code != protocol.CodeForgetful:
 			return duty.Failed, refused.Text
 		}
 		select {
 		case <-ctx.Done():
 			return duty.Waiting, ""
-		case <-time.After(heldAfter):
+		case <-time.After(heldRetryDelay):
 		}
-		if _, raw := t.seen(); raw[step.Target.Key()].Name != "" {
+		if _, raw := jr.latestInstances(); raw[step.Target.Key()].Name != "" {
 			i = raw[step.Target.Key()]
 		}
 	}
 }
 
-// started tells whether a process was started for an order, by the run file of its instance: that
-// knows also where the agent has lost its memory.
+// started reports whether a process was started for an order, by the instance's run file, which is available
+// even if the agent has lost its state.
 func started(ctx context.Context, a *client.Client, id, name string) bool {
 	list, err := a.Instances(ctx)
 	return err == nil && slices.ContainsFunc(list, func(i protocol.Instance) bool { return i.Name == name && i.Order == id })
 }
 
-// drained settles an order to an instance that is meant to be down by now: what was begun goes
-// on to its end, and nothing else does.
-func (t *tenure) drained(ctx context.Context, a *client.Client, id, name string) (done bool, phase, text string) {
+// resolveDrained decides on an order to an instance that is desired to be down by now: an operation that was
+// started runs to its end, and no other is started. done is false if the order is to be sent.
+func (jr *jobRunner) resolveDrained(ctx context.Context, a *client.Client, id, name string) (done bool, phase, text string) {
 	c, err := a.Command(ctx, id)
 	var refused *protocol.Error
 	switch {
 	case errors.As(err, &refused) && refused.Code == protocol.CodeNotFound:
-		return true, duty.Left, "it was drained before the order came"
+		return true, duty.Left, "the instance was drained before the order was sent"
 	case err != nil:
 		return false, "", ""
 	}
@@ -510,30 +512,30 @@
 		switch {
 		case o.Instance != name:
 		case o.State == protocol.Done:
-			return true, duty.Done, "it was drained afterwards"
+			return true, duty.Done, "the instance was drained afterwards"
 		case o.State != protocol.Running:
-			return true, duty.Left, "it was drained while the order was " + o.State
+			return true, duty.Left, "the instance was drained; the order was " + o.State
 		default:
 			return false, "", ""
 		}
 	}
-	return true, duty.Left, "it was drained before the order was begun"
+	return true, duty.Left, "the instance was drained before the order was started"
 }
 
-// outcome gives the phase of an operation that has ended.
-func (t *tenure) outcome(ctx context.Context, a *client.Client, id string, o protocol.Operation, err error) (phase, text string) {
+// outcome returns the phase and text of an operation that has ended.
+func (jr *jobRunner) outcome(ctx context.Context, a *client.Client, id string, o protocol.Operation, err error) (phase, text string) {
 	var refused *protocol.Error
 	switch {
 	case fenced(err):
-		t.lost(err)
+		jr.cancel(err)
 		return duty.Waiting, ""
 	case errors.As(err, &refused):
 		return duty.Failed, refused.Text
-	case err != nil: // the tenure has ended under it
+	case err != nil: // ctx ended before the operation did
 		return "", err.Error()
 	}
 	if _, err := a.CloseCommand(ctx, id, "done"); err != nil {
-		t.log.Debug("a command was not closed, its lease runs out", "command", id, "err", err)
+		jr.log.Debug("closing the command failed; its lease will expire", "command", id, "err", err)
 	}
 	if o.State == protocol.Done {
 		return duty.Done, o.Reason
@@ -544,8 +546,8 @@
 	return duty.Failed, o.Reason
 }
 
-func (t *tenure) job(id string) (*duty.Job, bool) {
-	v, ok := t.opt.Council.Known()
+func (jr *jobRunner) job(id string) (*duty.Job, bool) {
+	v, ok := jr.opt.Council.Known()
 	if !ok {
 		return nil, false
 	}
