--- a/internal/comeback/comeback.go
+++ b/internal/comeback/comeback.go
@@ -1,6 +1,6 @@
-// Package comeback decides whether a client asks again after an answer that it did not
-// want, and when: the habits of clients, the same in virtual time and on sockets. It does
-// no I/O and has no clock.
+// Package comeback models how clients retry: whether a client sends a request again after
+// a refusal or a failure, and after which delay. The simulator and the load generator share
+// it, so it does no I/O and reads no clock.
 package comeback
 
 import (
@@ -8,47 +8,48 @@
 	"time"
 )
 
-// leastLeft is what a client has left when it asks again.
-const leastLeft = 50 * time.Millisecond
+// minTimeLeft is the least time before its deadline with which a client still retries.
+const minTimeLeft = 50 * time.Millisecond
 
-// Habits are those of all clients.
+// Habits configures the retry behavior of the whole client population.
 type Habits struct {
-	Tries int     // of a request, the first one too; 0: one
-	Heed  float64 // share of clients that come back after a refusal's Retry-After; the rest leave
-	Rash  float64 // share that ask again at once, refused or failed, whatever they were told
+	Tries int     // attempts per request, including the first; 0 means 1
+	Heed  float64 // share of clients that retry after a refusal's Retry-After; the others give up
+	Rash  float64 // share of clients that retry immediately after a refusal or failure, ignoring Retry-After
 }
 
-// Client is one of them. Draw makes it.
+// Client is the retry behavior of one client, created by Habits.Draw.
 type Client struct {
-	tries       int
-	heeds, rash bool
+	maxAttempts                          int
+	honorsRetryAfter, retriesImmediately bool
 }
 
-// Draw gives a client at random.
+// Draw returns a randomly chosen client.
 func (h Habits) Draw(rng *rand.Rand) Client {
-	return Client{tries: max(1, h.Tries), heeds: rng.Float64() < h.Heed, rash: rng.Float64() < h.Rash}
+	return Client{maxAttempts: max(1, h.Tries), honorsRetryAfter: rng.Float64() < h.Heed, retriesImmediately: rng.Float64() < h.Rash}
 }
 
-// Answer is what a client was answered.
+// Answer describes the outcome of a client's latest attempt.
 type Answer struct {
-	Tries      int  // so far
-	Refused    bool // trying again is harmless; else it failed
-	Unsafe     bool // the request must not run twice, so that only a refusal allows another try
+	Tries      int  // attempts made so far
+	Refused    bool // the request did not run, so a retry is safe; false means that it failed
+	Unsafe     bool // the request must not run twice, so only a refusal permits a retry
 	RetryAfter time.Duration
-	Left       time.Duration // until the client's time is up
+	Left       time.Duration // until the client's deadline
 }
 
-// Again tells whether the client asks again, and how long it waits before: Retry-After and
-// up to half of it more, so that those who were refused together don't return so.
+// Again reports whether the client retries and how long it waits first. The wait is
+// Retry-After plus up to 50% random jitter, so that clients refused at the same time do
+// not retry at the same time.
 func (c Client) Again(a Answer, rng *rand.Rand) (wait time.Duration, again bool) {
 	switch {
-	case a.Tries >= c.tries || a.Left <= leastLeft || a.Unsafe && !a.Refused:
+	case a.Tries >= c.maxAttempts || a.Left <= minTimeLeft || a.Unsafe && !a.Refused:
 		return 0, false
-	case c.rash:
+	case c.retriesImmediately:
 		return 0, true
-	case !c.heeds || !a.Refused:
+	case !c.honorsRetryAfter || !a.Refused:
 		return 0, false
 	}
 	wait = a.RetryAfter + time.Duration(float64(a.RetryAfter)*rng.Float64()/2)
-	return wait, wait+leastLeft < a.Left
+	return wait, wait+minTimeLeft < a.Left
 }
--- a/internal/comeback/comeback_test.go
+++ b/internal/comeback/comeback_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Whoever comes back may: never beyond its tries or its time, never with unsafe work that
-// may have run, and those who heed an answer wait for at least as long as it says.
-func TestNobodyComesBackWhoMustNot(t *testing.T) {
+// A client never retries beyond its attempt limit or deadline, never retries an unsafe
+// request that may have run, and waits at least Retry-After where it honors it.
+func TestRetryRules(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	came := map[string]int{}
+	outcomes := map[string]int{}
 	for range 200_000 {
 		h := Habits{Tries: rng.IntN(4), Heed: rng.Float64(), Rash: rng.Float64() / 2}
 		a := Answer{
@@ -20,27 +20,27 @@
 		c := h.Draw(rng)
 		wait, again := c.Again(a, rng)
 		if !again {
-			came["left"]++
+			outcomes["left"]++
 			continue
 		}
-		late := a.Left-wait < leastLeft
+		late := a.Left-wait < minTimeLeft
 		switch {
 		case a.Tries >= max(1, h.Tries), late, a.Unsafe && !a.Refused:
-			t.Fatalf("%+v comes back after %v of %+v", c, wait, a)
-		case wait == 0 && c.rash:
-			came["at once"]++
-		case !c.heeds, !a.Refused, wait < a.RetryAfter, wait > a.RetryAfter*3/2:
-			t.Fatalf("%+v comes back after %v of %+v", c, wait, a)
+			t.Fatalf("client %+v retries after %v following %+v", c, wait, a)
+		case wait == 0 && c.retriesImmediately:
+			outcomes["at once"]++
+		case !c.honorsRetryAfter, !a.Refused, wait < a.RetryAfter, wait > a.RetryAfter*3/2:
+			t.Fatalf("client %+v retries after %v following %+v", c, wait, a)
 		default:
-			came["later"]++
+			outcomes["later"]++
 		}
 	}
 	for _, how := range []string{"left", "at once", "later"} {
-		if came[how] < 1000 {
-			t.Errorf("%s: %d", how, came[how])
+		if outcomes[how] < 1000 {
+			t.Errorf("outcome %q drawn %d times, want at least 1000", how, outcomes[how])
 		}
 	}
-	if _, again := (Client{tries: 3, heeds: true}).Again(Answer{Tries: 1, Refused: true, RetryAfter: 100 * time.Millisecond, Left: time.Second}, rng); !again {
-		t.Error("one that may and would does not come back")
+	if _, again := (Client{maxAttempts: 3, honorsRetryAfter: true}).Again(Answer{Tries: 1, Refused: true, RetryAfter: 100 * time.Millisecond, Left: time.Second}, rng); !again {
+		t.Error("a client that honors Retry-After and has attempts and time left does not retry")
 	}
 }
