--- a/internal/passing/passing.go
+++ b/internal/passing/passing.go
@@ -1,5 +1,5 @@
-// Package passing hands an answer that still comes from the attempt that reads it to the
-// goroutine that writes it to the client. Fronts that stream share it.
+// Package passing hands a streamed answer from the attempt that reads it from the server to
+// the goroutine that writes it to the client. All fronts that stream answers share it.
 package passing
 
 import (
@@ -15,70 +15,69 @@
 	"otterstep/policy"
 )
 
-// Answer goes to the client while it comes. Its attempt waits for End.
+// Answer is a server's answer that is streamed to the client. Its attempt waits until End is called.
 type Answer struct {
 	h1.Head
 	h1.Body
-	Tunnel *conns.Conn // for a change of protocols
-	Half   bool        // the client's body is not all sent yet
+	Tunnel *conns.Conn // the server connection after a protocol switch
+	Half   bool        // the request body has not been fully sent yet
 
-	end chan policy.Status // what came of it; room for one
+	result chan policy.Status // receives the final status; has a buffer of one
 }
 
-// End tells the attempt what came of the answer; once for each.
-func (a *Answer) End(s policy.Status) { a.end <- s }
+// End reports the answer's final status to its attempt. It must be called exactly once.
+func (a *Answer) End(s policy.Status) { a.result <- s }
 
-// Hand is where an exchange's one answer is handed over. Make it with New.
+// Hand transfers the single streamed answer of an exchange. Create it with New.
 type Hand struct {
 	mu      sync.Mutex
-	over    bool // nobody takes an answer any more
+	closed  bool // no answer is accepted any more
 	answers chan *Answer
 }
 
-// New makes one.
 func New() *Hand { return &Hand{answers: make(chan *Answer, 1)} }
 
-// Pass hands an answer over and waits until it has ended.
+// Pass hands the answer over and blocks until it has been written or given up.
 func (h *Hand) Pass(a *Answer) policy.Status {
-	a.end = make(chan policy.Status, 1)
+	a.result = make(chan policy.Status, 1)
 	h.mu.Lock()
-	if h.over {
+	if h.closed {
 		h.mu.Unlock()
 		return policy.Cancelled
 	}
-	h.answers <- a // has room: one attempt passes
+	h.answers <- a // does not block: at most one attempt hands over an answer
 	h.mu.Unlock()
-	return <-a.end
+	return <-a.result
 }
 
-// Answers gives the one that was handed over.
+// Answers returns the channel on which the answer arrives.
 func (h *Hand) Answers() <-chan *Answer { return h.answers }
 
-// Close has no answer handed over any more; one that crosses it is given up.
+// Close rejects further answers and cancels one that was handed over but not yet received.
 func (h *Hand) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.over = true
+	h.closed = true
 	select {
 	case a := <-h.answers:
-		a.end <- policy.Cancelled
+		a.result <- policy.Cancelled
 	default:
 	}
 }
 
-// Causes of an answer that did not end whole; the client must be able to tell, so its
-// connection, or stream, is to be broken.
+// Reasons for an incomplete answer. The caller must abort the client's connection or stream,
+// so that the client can tell that the answer is truncated.
 var (
-	ErrGone = errors.New("the client went away")
-	ErrCut  = errors.New("the server broke its answer off")
+	ErrGone      = errors.New("client closed the connection before the answer was complete")
+	ErrTruncated = errors.New("server ended its answer before it was complete")
 )
 
-// Copy writes the body to the client while it comes, by way of buf. Each write may take
-// stall. It is flushed whenever nothing more is at hand: nothing is held back. ctx ends with
-// the exchange.
+// Copy streams the body to the client using buf. Each write may take up to stall. Output is
+// flushed whenever no more input is available, so nothing is held back. ctx ends with the
+// exchange.
 func (a *Answer) Copy(ctx context.Context, w http.ResponseWriter, stall time.Duration, buf []byte) error {
 	control := http.NewResponseController(w)
-	defer func() { _ = control.SetWriteDeadline(time.Time{}) }() // the next answer has its own
+	defer func() { _ = control.SetWriteDeadline(time.Time{}) }() // the next answer sets its own
 	for {
 		n, err := a.Read(buf)
 		if n > 0 {
@@ -86,8 +85,8 @@
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return ErrGone
 			}
-			// A full buffer says that more is at hand; an answer of unknown length may pause
-			// behind any part.
+			// A full buffer means that more input is available. An answer of unknown length
+			// may pause after any part, so it is always flushed.
 			if (a.Length < 0 || n < len(buf)) && control.Flush() != nil {
 				return ErrGone
 			}
@@ -98,10 +97,10 @@
 		case err == nil:
 		case errors.Is(err, io.EOF):
 			return nil
-		case ctx.Err() != nil: // the client's leaving has ended the attempt
+		case ctx.Err() != nil: // the client's disconnect canceled the attempt
 			return ErrGone
 		default:
-			return ErrCut
+			return ErrTruncated
 		}
 	}
 }
