--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,7 +1,7 @@
-// Package conns keeps connections to servers: each carries one request at a time, and one
-// that has gone stale is not used. It does so by hand because net/http's Transport sends a
-// GET, or anything with an Idempotency-Key, once more by itself when a kept connection
-// turns out dead: an attempt that the decision module knows nothing of.
+// Package conns pools connections to servers. Each connection carries one request at a time,
+// and stale connections are not reused. net/http's Transport is not used because it resends
+// a GET, or any request with an Idempotency-Key, on its own when a pooled connection turns
+// out dead, and the decision module would not know of that attempt.
 package conns
 
 import (
@@ -20,51 +20,50 @@
 	"otterstep/internal/core"
 )
 
-// Options bound a Pool.
+// Options configures a Pool.
 type Options struct {
-	// IdleFor is how long a connection is kept idle at most: well below what servers do,
-	// as a request that crosses a server's close ends as a reset that may have run.
+	// IdleFor is the maximum idle time of a connection. It should be well below the servers'
+	// own, because a request that races with a server's close ends in a reset and may have run.
 	IdleFor time.Duration
-	Connect time.Duration // a connection may take to come up, its TLS handshake too
-	// Settle is how long a connection rests before its next request. What a server sent
-	// behind its answer has come by then and shows; on a connection used again at once it
-	// would be read as the next request's answer.
+	Connect time.Duration // timeout for connecting, including the TLS handshake
+	// Settle is the minimum idle time of a connection before its next request. Bytes that a
+	// server sent after its response have arrived by then and are detected; on a connection
+	// reused immediately they would be read as the next request's response.
 	Settle time.Duration
-	Most   int         // connections, idle ones included
+	Most   int         // maximum number of connections, including idle ones
 	TLS    *tls.Config // nil for plain TCP
 }
 
-// Pool keeps connections to many servers. It is safe for concurrent use.
+// Pool holds connections to many servers. It is safe for concurrent use.
 type Pool struct {
 	opt Options
 
 	mu   sync.Mutex
-	idle map[core.Server][]*Conn // the latest used last
+	idle map[core.Server][]*Conn // most recently used last
 	open int
 }
 
-// Conn is a connection to one life of a server.
+// Conn is a connection to one incarnation of a server: a restart makes it another one.
 type Conn struct {
 	net.Conn
-	In     *bufio.Reader    // reads within Budget
-	Budget io.LimitedReader // what may still be read, to be set ahead of each answer
+	In     *bufio.Reader    // buffers reads from Budget
+	Budget io.LimitedReader // limits the bytes read; N is set before each response
 
 	to        core.Server
 	tcp       *net.TCPConn
 	idleSince time.Time
 }
 
-// readBuffer is a connection's.
 const readBuffer = 4 << 10
 
-// ErrNone means that all connections are in use: that says nothing of the server.
-var ErrNone = errors.New("all connections to servers are in use")
+// ErrNone means that the pool's limit is reached; it says nothing about the server.
+var ErrNone = errors.New("connection pool exhausted: all connections to servers are in use")
 
-// New makes an empty one.
+// New returns an empty pool.
 func New(o Options) *Pool { return &Pool{opt: o, idle: map[core.Server][]*Conn{}} }
 
-// Get gives an idle connection that has settled, is young and open still, or a
-// new one. Give it back with Put.
+// Get returns an idle connection that has settled, is not too old and is still open, or else
+// a new one. The caller returns it with Put.
 func (p *Pool) Get(ctx context.Context, to core.Server) (*Conn, error) {
 	p.mu.Lock()
 	for {
@@ -78,7 +77,7 @@
 		}
 		c := list[i]
 		p.idle[to] = slices.Delete(list, i, i+1)
-		if time.Since(c.idleSince) < p.opt.IdleFor && c.quiet() {
+		if time.Since(c.idleSince) < p.opt.IdleFor && c.reusable() {
 			p.mu.Unlock()
 			return c, nil
 		}
@@ -122,7 +121,7 @@
 	return c, nil
 }
 
-// Put takes a connection back, or closes it if it is of no further use.
+// Put returns a connection to the pool, or closes it if it is not reusable.
 func (p *Pool) Put(c *Conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,18 +130,19 @@
 		return
 	}
 	c.idleSince = time.Now()
-	if p.idle[c.to] = append(p.idle[c.to], c); p.open > p.opt.Most { // it was lowered meanwhile
+	if p.idle[c.to] = append(p.idle[c.to], c); p.open > p.opt.Most { // the limit was lowered meanwhile
 		p.evict()
 	}
 }
 
-// close needs the lock.
+// close closes a connection; p.mu must be held.
 func (p *Pool) close(c *Conn) {
 	p.open--
 	c.Close()
 }
 
-// evict closes the connection that has been idle longest; it needs the lock.
+// evict closes the connection that has been idle longest and reports whether there was one;
+// p.mu must be held.
 func (p *Pool) evict() bool {
 	var oldest *Conn
 	for _, list := range p.idle {
@@ -158,7 +158,7 @@
 	return true
 }
 
-// Drop closes the idle connections to a server that is gone.
+// Drop closes the idle connections to a server that was removed.
 func (p *Pool) Drop(to core.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,15 +168,15 @@
 	delete(p.idle, to)
 }
 
-// Sweep closes idle connections that are old or that the server has closed, so
-// that they don't go on holding descriptors.
+// Sweep closes idle connections that are too old or that the server has closed, to free
+// their file descriptors.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for to, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if time.Since(c.idleSince) < p.opt.IdleFor && c.quiet() {
+			if time.Since(c.idleSince) < p.opt.IdleFor && c.reusable() {
 				kept = append(kept, c)
 			} else {
 				p.close(c)
@@ -189,7 +189,7 @@
 	}
 }
 
-// Close closes all idle connections; those in use end with their requests.
+// Close closes all idle connections. Those in use are not affected.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,8 +201,8 @@
 	clear(p.idle)
 }
 
-// SetMost changes the bound on connections. Idle ones beyond it are closed; those in use end
-// with their requests.
+// SetMost changes the maximum number of connections. Idle connections beyond it are closed
+// immediately; those in use stay open until they are returned.
 func (p *Pool) SetMost(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// Count gives the connections, and how many of them are idle.
+// Count returns the number of connections and how many of them are idle.
 func (p *Pool) Count() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,9 +221,9 @@
 	return p.open, idle
 }
 
-// quiet tells that an idle connection is open and that nothing has come on it: a
-// look without waiting. A close that is seen here costs no request.
-func (c *Conn) quiet() bool {
+// reusable reports, without blocking, whether an idle connection is still open and has no
+// unread data. A close detected here does not cost a request.
+func (c *Conn) reusable() bool {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return false
