--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -1,6 +1,6 @@
-// Package h1 reads servers' answers in HTTP/1.1 (RFC 9112), for all fronts that speak it:
-// strictly, as an answer whose end two readers could see at two places can't be told from the
-// next one's beginning.
+// Package h1 parses HTTP/1.1 responses (RFC 9112) from servers for all fronts that speak
+// HTTP/1.1. Parsing is strict: if two parsers could disagree on where a response ends, the
+// rest of it could be taken for the next response.
 package h1
 
 import (
@@ -18,28 +18,29 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// InterimMost is how many 1xx answers may come ahead of the one that counts.
+// InterimMost is the maximum number of 1xx responses before the final one.
 const InterimMost = 16
 
-// ErrSpoilt is wrapped by whatever is wrong with an answer.
-var ErrSpoilt = errors.New("spoilt answer")
+// ErrMalformed is wrapped by all errors about malformed responses.
+var ErrMalformed = errors.New("malformed HTTP/1.1 response")
 
-// Spoilt words what is wrong with an answer.
+// Spoilt returns an error that wraps ErrMalformed and describes the malformation.
 func Spoilt(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrSpoilt, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Head is a server's answer without its body.
+// Head is a response's status code and header fields.
 type Head struct {
 	Code   int
 	Header http.Header
-	Closes bool // the server ends the connection behind the answer
-	// Trails tells of trailers beside a length, which HTTP/2 may have and HTTP/1.1 may not.
+	Closes bool // the server closes the connection after this response
+	// Trails reports that trailers follow although a length is given, which HTTP/2 permits and
+	// HTTP/1.1 does not.
 	Trails bool
 }
 
-// ReadHead reads the head of one answer, strictly (RFC 9112, section 4): what two readers
-// could take differently is an error.
+// ReadHead reads the status line and header fields of one response (RFC 9112, section 4).
+// Anything that two parsers could interpret differently is an error.
 func ReadHead(in *bufio.Reader) (h Head, err error) {
 	text := textproto.NewReader(in)
 	line, err := text.ReadLine()
@@ -49,59 +50,59 @@
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || len(code) != 3 {
-		return h, Spoilt("status line %.40q", line)
+		return h, Spoilt("invalid status line %.40q", line)
 	}
 	if h.Code, err = strconv.Atoi(code); err != nil || h.Code < 100 {
-		return h, Spoilt("status line %.40q", line)
+		return h, Spoilt("invalid status line %.40q", line)
 	}
 	fields, err := text.ReadMIMEHeader()
 	if err != nil {
 		return h, err
 	}
 	h.Header = http.Header(fields)
-	if err := checkFields(h.Header); err != nil {
+	if err := validateFields(h.Header); err != nil {
 		return h, err
 	}
 	h.Closes = version == "HTTP/1.0" || httpguts.HeaderValuesContainsToken(h.Header["Connection"], "close")
 	return h, nil
 }
 
-func checkFields(h http.Header) error {
+func validateFields(h http.Header) error {
 	for name, values := range h {
 		if !httpguts.ValidHeaderFieldName(name) {
-			return Spoilt("a field called %.40q", name)
+			return Spoilt("invalid field name %.40q", name)
 		}
 		for _, v := range values {
 			if !httpguts.ValidHeaderFieldValue(v) {
-				return Spoilt("field %s", name)
+				return Spoilt("invalid value of field %s", name)
 			}
 		}
 	}
 	return nil
 }
 
-// Body reads an answer's body as it comes; its end is io.EOF only if it is whole.
+// Body streams a response body. Read returns io.EOF only if the body is complete.
 type Body struct {
 	io.Reader
-	Length  int64 // -1: not known ahead
-	Trailer func() (http.Header, error)
-	ToClose bool // it ends with its connection
+	Length     int64 // -1 if not known in advance
+	Trailer    func() (http.Header, error)
+	UntilClose bool // the body extends to the end of the connection
 }
 
-// Framed gives the body behind a head (RFC 9112, section 6.3). An answer with two lengths,
-// or a coding other than chunked, is an error: its end can't be told from the next one's
-// beginning.
+// Framed returns the body that follows the head (RFC 9112, section 6.3). More than one
+// length, or a transfer coding other than chunked, is an error because the end of such a body
+// is ambiguous.
 func (h *Head) Framed(in *bufio.Reader, method string) (Body, error) {
 	lengths, codings := h.Header["Content-Length"], h.Header["Transfer-Encoding"]
 	none := func() (http.Header, error) { return nil, nil }
 	if len(codings) > 0 && (len(lengths) > 0 || len(codings) > 1 || !strings.EqualFold(codings[0], "chunked")) {
-		return Body{}, Spoilt("%d lengths beside coding %.40q", len(lengths), codings)
+		return Body{}, Spoilt("%d Content-Length fields with Transfer-Encoding %.40q", len(lengths), codings)
 	}
 	length := int64(-1)
 	for i, text := range lengths {
 		n, err := strconv.ParseUint(text, 10, 63)
 		if err != nil || i > 0 {
-			return Body{}, Spoilt("length %.40q", lengths)
+			return Body{}, Spoilt("invalid Content-Length %.40q", lengths)
 		}
 		length = int64(n)
 	}
@@ -112,35 +113,35 @@
 		return Body{httputil.NewChunkedReader(in), -1, func() (http.Header, error) {
 			fields, err := textproto.NewReader(in).ReadMIMEHeader()
 			if err == nil {
-				err = checkFields(http.Header(fields))
+				err = validateFields(http.Header(fields))
 			}
 			return http.Header(fields), err
 		}, false}, nil
 	case length >= 0:
-		return Body{&exactly{in, length}, length, none, false}, nil
+		return Body{&exactReader{in, length}, length, none, false}, nil
 	}
 	h.Closes = true
 	return Body{in, -1, none, true}, nil
 }
 
-// exactly reads so many bytes; fewer are io.ErrUnexpectedEOF.
-type exactly struct {
-	in   io.Reader
-	left int64
+// exactReader reads exactly the remaining bytes; an earlier end of the input is io.ErrUnexpectedEOF.
+type exactReader struct {
+	in        io.Reader
+	remaining int64
 }
 
 // Read implements io.Reader.
-func (e *exactly) Read(p []byte) (int, error) {
-	if e.left == 0 {
+func (e *exactReader) Read(p []byte) (int, error) {
+	if e.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := e.in.Read(p[:min(int64(len(p)), e.left)])
-	e.left -= int64(n)
-	if errors.Is(err, io.EOF) && e.left > 0 {
+	n, err := e.in.Read(p[:min(int64(len(p)), e.remaining)])
+	e.remaining -= int64(n)
+	if errors.Is(err, io.EOF) && e.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// Unbounded is what a connection may read of a body: its reader bounds what it holds.
+// Unbounded is a connection's read limit for a body, whose size the caller bounds itself.
 const Unbounded = math.MaxInt64
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// read takes in one answer whole.
+// read parses one complete response.
 func read(text, method string) (h Head, body string, err error) {
 	in := bufio.NewReader(strings.NewReader(text))
 	if h, err = ReadHead(in); err != nil {
@@ -42,13 +42,13 @@
 		{"HTTP/1.1 204 No Content\r\n\r\n", "GET", "", false, nil},
 		{ok + "Content-Length: 3\r\n\r\nab", "GET", "", false, io.ErrUnexpectedEOF},
 		{ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nab", "GET", "", false, io.ErrUnexpectedEOF},
-		{ok + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "GET", "", false, ErrSpoilt},
-		{ok + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "GET", "", false, ErrSpoilt},
-		{ok + "Transfer-Encoding: gzip\r\n\r\n", "GET", "", false, ErrSpoilt},
-		{ok + "Content-Length: -3\r\n\r\n", "GET", "", false, ErrSpoilt},
-		{"ICY 200 OK\r\n\r\n", "GET", "", false, ErrSpoilt},
-		{"HTTP/1.1 20 OK\r\n\r\n", "GET", "", false, ErrSpoilt},
-		{"HTTP/1.1 099 OK\r\n\r\n", "GET", "", false, ErrSpoilt},
+		{ok + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "GET", "", false, ErrMalformed},
+		{ok + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "GET", "", false, ErrMalformed},
+		{ok + "Transfer-Encoding: gzip\r\n\r\n", "GET", "", false, ErrMalformed},
+		{ok + "Content-Length: -3\r\n\r\n", "GET", "", false, ErrMalformed},
+		{"ICY 200 OK\r\n\r\n", "GET", "", false, ErrMalformed},
+		{"HTTP/1.1 20 OK\r\n\r\n", "GET", "", false, ErrMalformed},
+		{"HTTP/1.1 099 OK\r\n\r\n", "GET", "", false, ErrMalformed},
 	} {
 		h, body, err := read(c.text, c.method)
 		if !errors.Is(err, c.err) || c.err == nil && (body != c.body || h.Closes != c.closes) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// What is taken for whole is what net/http takes, which reads more.
+// Every response that this package accepts as complete is read identically by net/http,
+// which is more lenient.
 func FuzzAgainstNetHTTP(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n",
@@ -67,16 +68,16 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		h, body, err := read(text, http.MethodGet)
-		if err != nil || h.Code < 200 { // interim answers have no body to look for
+		if err != nil || h.Code < 200 { // interim responses have no body to compare
 			return
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 		if err != nil {
-			return // it is stricter about some fields, which say nothing of the end
+			return // net/http is stricter about some fields that do not affect the framing
 		}
 		all, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != h.Code || string(all) != body {
-			t.Errorf("%q: %d %q, net/http has %d %q, %v", text, h.Code, body, resp.StatusCode, all, err)
+			t.Errorf("%q: read as %d %q, net/http reads %d %q, %v", text, h.Code, body, resp.StatusCode, all, err)
 		}
 	})
 }
--- a/internal/node/ahead.go
+++ b/internal/node/ahead.go
@@ -8,54 +8,54 @@
 	"time"
 )
 
-// aheadMost bounds what is read ahead on one connection, in bytes. PROTOCOL's clients send one request at a
-// time, so that whoever sends more behind an open one is none of them.
-const aheadMost = 16 << 10
+// maxReadAhead limits the bytes read ahead on one connection. The protocol has clients send one request at a
+// time, so a client that sends more than this after an open request does not follow it.
+const maxReadAhead = 16 << 10
 
-// errFlood ends a connection on which more came behind an open request than is kept.
-var errFlood = errors.New("over 16 KiB behind an open request")
+// errReadAheadLimit ends a connection on which more than maxReadAhead bytes followed an open request.
+var errReadAheadLimit = errors.New("client sent more than 16 KiB after an open request")
 
-// aheadConn is a client's connection that goes on reading behind an open request once it is told to. net/http
-// looks for the client's leaving with a read of one byte: where bytes of another request follow, it would see
-// no close behind them, and the request would be served behind its client's back.
+// readAheadConn is a client's connection that, once told to, keeps reading after an open request. net/http
+// detects a client's disconnect with a one-byte read. If bytes of another request follow, that read does not
+// see the close after them, and the request would be served although its client is gone.
 //
-// Read is for one goroutine at a time; the rest is safe for concurrent use.
-type aheadConn struct {
+// Read must not be called concurrently; the other methods are safe for concurrent use.
+type readAheadConn struct {
 	net.Conn
 
-	mu       sync.Mutex
-	deadline time.Time     // of reads, as it was set last
-	reading  chan struct{} // closed when the reading ahead has ended; nil: there is none
-	stopping bool
-	buf      []byte
-	flooded  bool  // what came behind buf was dropped
-	err      error // what the reading ahead ended with
+	mu             sync.Mutex
+	deadline       time.Time     // latest read deadline set by the caller
+	readAheadEnded chan struct{} // closed when reading ahead has ended; nil if it is not active
+	stopping       bool
+	buf            []byte
+	overflowed     bool  // bytes beyond buf were dropped
+	err            error // error that ended reading ahead
 }
 
-// watch reads ahead until the next Read. left is called if the connection ends meanwhile.
-func (c *aheadConn) watch(left func()) {
+// startReadAhead reads ahead until the next Read. onDisconnect is called if the connection ends before that.
+func (c *readAheadConn) startReadAhead(onDisconnect func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = make(chan struct{})
-	go c.readAhead(c.reading, left)
+	c.readAheadEnded = make(chan struct{})
+	go c.readAhead(c.readAheadEnded, onDisconnect)
 }
 
-func (c *aheadConn) readAhead(ended chan struct{}, left func()) {
+func (c *readAheadConn) readAhead(ended chan struct{}, onDisconnect func()) {
 	defer close(ended)
 	piece := make([]byte, 512)
 	for {
 		n, err := c.Conn.Read(piece)
 		c.mu.Lock()
-		kept := min(n, aheadMost-len(c.buf))
+		kept := min(n, maxReadAhead-len(c.buf))
 		c.buf = append(c.buf, piece[:kept]...)
-		c.flooded = c.flooded || kept < n
+		c.overflowed = c.overflowed || kept < n
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.err = err
 		}
-		gone := c.err != nil
+		closed := c.err != nil
 		c.mu.Unlock()
-		if gone {
-			left()
+		if closed {
+			onDisconnect()
 		}
 		if err != nil {
 			return
@@ -63,40 +63,40 @@
 	}
 }
 
-// Read gives what was read ahead first.
-func (c *aheadConn) Read(b []byte) (int, error) {
-	if n, err := c.kept(b); n > 0 || err != nil {
+// Read returns the bytes read ahead before it reads from the connection.
+func (c *readAheadConn) Read(b []byte) (int, error) {
+	if n, err := c.readBuffered(b); n > 0 || err != nil {
 		return n, err
 	}
 	return c.Conn.Read(b)
 }
 
-// kept ends the reading ahead and gives what is left of it; nothing where there was none.
-func (c *aheadConn) kept(b []byte) (n int, err error) {
+// readBuffered stops reading ahead and returns its buffered bytes, its error, or nothing if there are neither.
+func (c *readAheadConn) readBuffered(b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ended := c.reading; ended != nil {
-		c.reading, c.stopping = nil, true
-		_ = c.Conn.SetReadDeadline(longAgo) // a connection that can't has ended, and the read with it
+	if ended := c.readAheadEnded; ended != nil {
+		c.readAheadEnded, c.stopping = nil, true
+		_ = c.Conn.SetReadDeadline(pastTime) // an error means that the connection and the read have ended
 		c.mu.Unlock()
 		<-ended
 		c.mu.Lock()
 		c.stopping = false
-		_ = c.Conn.SetReadDeadline(c.deadline) // likewise
+		_ = c.Conn.SetReadDeadline(c.deadline) // an error means the same here
 	}
 	switch n = copy(b, c.buf); {
 	case n > 0:
 		c.buf = c.buf[n:]
-	case c.flooded:
-		err = errFlood
+	case c.overflowed:
+		err = errReadAheadLimit
 	default:
 		c.buf, err = nil, c.err
 	}
 	return n, err
 }
 
-// SetReadDeadline is net.Conn's; it does not keep reading ahead from being stopped.
-func (c *aheadConn) SetReadDeadline(at time.Time) error {
+// SetReadDeadline implements net.Conn. While reading ahead is being stopped it only records the deadline.
+func (c *readAheadConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.deadline = at; c.stopping {
@@ -105,7 +105,7 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// SetDeadline is net.Conn's.
-func (c *aheadConn) SetDeadline(at time.Time) error {
+// SetDeadline implements net.Conn.
+func (c *readAheadConn) SetDeadline(at time.Time) error {
 	return errors.Join(c.SetReadDeadline(at), c.SetWriteDeadline(at))
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -14,9 +14,9 @@
 	"otterstep/internal/operator"
 )
 
-// BenchmarkRequest gives what a request through a node costs in one process: client, node,
-// server and discovery, one request at a time on a connection that stays, with a body of so
-// many bytes both ways.
+// BenchmarkRequest measures the cost of a request through a node with client, node and server
+// in one process, one request at a time on a persistent connection, with bodies of the given
+// size in both directions.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []int{100, 16 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -61,7 +61,7 @@
 			}
 			defer c.Close()
 			in := bufio.NewReader(c)
-			time.Sleep(200 * time.Millisecond) // the first call of discovery has failed
+			time.Sleep(200 * time.Millisecond) // until the first call to discovery has failed
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
--- a/internal/node/bodies.go
+++ b/internal/node/bodies.go
@@ -9,91 +9,94 @@
 	"time"
 )
 
-// The memory of clients' bodies. What does not fit is sent on while it comes: such a request
-// has one attempt.
+// Limits for request bodies. A body that does not fit into the memory budget is streamed to
+// the server as it arrives; such a request has only one attempt.
 const (
-	smallBody  = 4 << 10  // fits into what a connection takes anyway
-	largeBody  = 64 << 10 // a larger one never takes the last quarter of the memory
-	bodyPiece  = 32 << 10
-	bodyGrace  = 2 * time.Second // a client may say nothing for so long in all,
-	discardFor = 3 * time.Second // what is left of a body behind its answer is read
-	bodyPerSec = 32 << 10        // and send the rest at this rate at least: half of what the platform's do
+	smallBody      = 4 << 10  // not counted: no more than a connection's other buffers
+	largeBody      = 64 << 10 // a larger body cannot use the last quarter of the budget
+	bodyChunk      = 32 << 10
+	bodyGrace      = 2 * time.Second // time a client may take for a body in addition to what minBodyRate permits
+	discardTimeout = 3 * time.Second // how long the rest of a body is read and discarded after an early answer
+	minBodyRate    = 32 << 10        // minimum rate of a body in bytes per second: half of what the platform's clients send
 )
 
-// budget bounds a sum of bytes.
-type budget struct {
-	most atomic.Int64
-	held atomic.Int64
+// byteBudget limits the total number of bytes reserved.
+type byteBudget struct {
+	most     atomic.Int64
+	reserved atomic.Int64
 }
 
-func (b *budget) take(n int64) bool { return b.within(n, b.most.Load()) }
+func (b *byteBudget) reserve(n int64) bool { return b.reserveWithin(n, b.most.Load()) }
 
-// takeLarge leaves the last quarter to smaller bodies.
-func (b *budget) takeLarge(n int64) bool { return b.within(n, b.most.Load()/4*3) }
+// reserveLarge reserves bytes from the first three quarters only; the rest is for smaller bodies.
+func (b *byteBudget) reserveLarge(n int64) bool { return b.reserveWithin(n, b.most.Load()/4*3) }
 
-func (b *budget) within(n, most int64) bool {
-	if b.held.Add(n) > most {
-		b.held.Add(-n)
+func (b *byteBudget) reserveWithin(n, most int64) bool {
+	if b.reserved.Add(n) > most {
+		b.reserved.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (b *budget) giveBack(n int64) { b.held.Add(-n) }
+func (b *byteBudget) release(n int64) { b.reserved.Add(-n) }
 
-// body is a client's: what is kept of it, which attempts share, and what follows, which one
-// attempt reads. Its owner calls release when no attempt reads any more.
+// body is a request body. It consists of a buffered part, which all attempts can send, and
+// possibly a rest that is still arriving, which only one attempt can read. The owner calls
+// release after the last attempt.
 type body struct {
-	kept   [][]byte
-	length int64    // of all of it; -1: not known ahead
-	rest   *patient // nil if kept is all
-
-	budget *budget
-	held   int64 // of it
-	taken  atomic.Bool
-	reads  sync.WaitGroup // of rest
+	buffered [][]byte
+	length   int64          // total length; -1 if not known in advance
+	rest     *minRateReader // nil if the whole body is buffered
+
+	budget      *byteBudget
+	reserved    int64 // bytes reserved from budget
+	restClaimed atomic.Bool
+	restReaders sync.WaitGroup // attempts that read rest
 }
 
-// release gives back the memory. A read that still waits is ended: its attempt is over.
+// release returns the reserved memory. It interrupts a read that is still waiting, since its
+// attempt is over.
 func (b *body) release() {
 	if b.rest != nil {
-		b.taken.Store(true)
+		b.restClaimed.Store(true)
 		b.rest.stop()
-		b.reads.Wait()
+		b.restReaders.Wait()
 	}
-	b.budget.giveBack(b.held)
+	b.budget.release(b.reserved)
 }
 
-// discard reads what is left for a while, behind an answer that came early: a client still
-// sending does not look for one, and its last byte may be on its way. Attempts are over.
+// discard reads the rest of the body for up to discardTimeout after an early answer, because many
+// clients read no answer before they have sent the whole body. All attempts must be over.
 func (b *body) discard(w http.ResponseWriter) {
-	b.taken.Store(true)
-	b.reads.Wait()
+	b.restClaimed.Store(true)
+	b.restReaders.Wait()
 	if http.NewResponseController(w).Flush() != nil {
 		return
 	}
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
-	for until := time.Now().Add(discardFor); time.Now().Before(until); {
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
+	for until := time.Now().Add(discardTimeout); time.Now().Before(until); {
 		if _, err := b.rest.Read(*buf); err != nil {
 			return
 		}
 	}
 }
 
-// take claims the rest for one attempt; false if another one had it. Done of reads follows.
-func (b *body) take() bool {
-	b.reads.Add(1)
-	if b.taken.Swap(true) {
-		b.reads.Done()
+// claimRest reserves the rest for one attempt and reports whether it was still available. If
+// so, the caller calls restReaders.Done when it has finished reading.
+func (b *body) claimRest() bool {
+	b.restReaders.Add(1)
+	if b.restClaimed.Swap(true) {
+		b.restReaders.Done()
 		return false
 	}
 	return true
 }
 
-// writeTo sends the body. Errors of reading the client are errShort.
+// writeTo sends the body. Errors in reading from the client are returned as errIncompleteBody.
 func (b *body) writeTo(w io.Writer) error {
-	for _, piece := range b.kept {
+	for _, piece := range b.buffered {
 		if _, err := w.Write(piece); err != nil {
 			return err
 		}
@@ -101,9 +104,9 @@
 	if b.rest == nil {
 		return nil
 	}
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
-	for sent := b.keptLength(); ; {
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
+	for sent := b.bufferedLength(); ; {
 		n, err := b.rest.Read(*buf)
 		if n > 0 {
 			if _, werr := w.Write((*buf)[:n]); werr != nil {
@@ -115,61 +118,61 @@
 		case errors.Is(err, io.EOF) && (b.length < 0 || sent == b.length):
 			return nil
 		case err != nil:
-			return errShort
+			return errIncompleteBody
 		}
 	}
 }
 
-func (b *body) keptLength() (n int64) {
-	for _, piece := range b.kept {
+func (b *body) bufferedLength() (n int64) {
+	for _, piece := range b.buffered {
 		n += int64(len(piece))
 	}
 	return n
 }
 
-var errShort = &clientError{http.StatusRequestTimeout, "body: it did not come whole, or came too slowly"}
+var errIncompleteBody = &clientError{http.StatusRequestTimeout, "body: it did not come whole, or came too slowly"}
 
-// buffers are for what passes through.
-var buffers = sync.Pool{New: func() any { b := make([]byte, bodyPiece); return &b }}
+// copyBuffers holds buffers for streaming bodies.
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, bodyChunk); return &b }}
 
-// keep reads a body as far as there is memory for it. full tells that a body of a size that
-// is always kept found none: nothing of it was read.
-func (f *front) keep(w http.ResponseWriter, r *http.Request) (b *body, full bool, err error) {
-	in := &patient{from: r.Body, control: http.NewResponseController(w)}
+// readBody buffers a body as far as the memory budget permits. full reports that there was no
+// memory for a body of a size that is always buffered; nothing of it was read then.
+func (f *front) readBody(w http.ResponseWriter, r *http.Request) (b *body, full bool, err error) {
+	in := &minRateReader{src: r.Body, control: http.NewResponseController(w)}
 	b = &body{length: r.ContentLength, budget: &f.bodies}
 	defer func(b *body) {
 		if err != nil {
-			b.budget.giveBack(b.held)
+			b.budget.release(b.reserved)
 		}
 	}(b)
 	if n := r.ContentLength; n >= 0 && n <= largeBody {
 		if n > smallBody {
-			if !f.bodies.take(n) {
+			if !f.bodies.reserve(n) {
 				return nil, true, nil
 			}
-			b.held = n
+			b.reserved = n
 		}
 		all := make([]byte, n)
 		if _, err := io.ReadFull(in, all); err != nil {
-			return nil, false, errShort
+			return nil, false, errIncompleteBody
 		}
-		b.kept = [][]byte{all}
+		b.buffered = [][]byte{all}
 		return b, false, nil
 	}
-	for size := int64(smallBody); size == smallBody || f.bodies.takeLarge(size); size = bodyPiece {
+	for size := int64(smallBody); size == smallBody || f.bodies.reserveLarge(size); size = bodyChunk {
 		if size > smallBody {
-			b.held += size
+			b.reserved += size
 		}
-		piece, err := readPiece(in, size)
-		b.kept = append(b.kept, piece)
-		kept := b.keptLength()
+		piece, err := readChunk(in, size)
+		b.buffered = append(b.buffered, piece)
+		kept := b.bufferedLength()
 		switch {
 		case errors.Is(err, io.EOF) && (b.length < 0 || kept == b.length):
 			b.length = kept
 			return b, false, nil
 		case err != nil:
-			return nil, false, errShort
-		case kept == b.length: // there is no more, and the client waits for its answer
+			return nil, false, errIncompleteBody
+		case kept == b.length: // complete; reading on would wait for io.EOF while the client awaits its answer
 			return b, false, nil
 		}
 		if kept >= f.bodies.most.Load()/4 {
@@ -180,8 +183,8 @@
 	return b, false, nil
 }
 
-// readPiece reads up to size bytes. Only io.EOF says that the body has ended whole.
-func readPiece(in io.Reader, size int64) ([]byte, error) {
+// readChunk reads up to size bytes. Only io.EOF means that the body is complete.
+func readChunk(in io.Reader, size int64) ([]byte, error) {
 	piece := make([]byte, 0, size)
 	for int64(len(piece)) < size {
 		n, err := in.Read(piece[len(piece):size])
@@ -193,32 +196,32 @@
 	return piece, nil
 }
 
-// patient reads a client's body for as long as the client sends at a fair rate. Time in which
-// nobody reads does not count.
-type patient struct {
-	from    io.Reader
-	control *http.ResponseController
-	read    int64
-	waited  time.Duration
-	ended   atomic.Bool // no read begins any more
+// minRateReader reads a request body as long as the client sends at least at minBodyRate. Only
+// time spent in Read counts.
+type minRateReader struct {
+	src      io.Reader
+	control  *http.ResponseController
+	received int64
+	waited   time.Duration
+	stopped  atomic.Bool // all further reads fail
 }
 
-// stop ends a read that waits, and all that follow.
-func (p *patient) stop() {
-	p.ended.Store(true)
-	_ = p.control.SetReadDeadline(time.Unix(1, 0)) // a connection that can't has ended
+// stop interrupts a pending read and makes all further ones fail.
+func (p *minRateReader) stop() {
+	p.stopped.Store(true)
+	_ = p.control.SetReadDeadline(time.Unix(1, 0)) // an error means that the connection has ended
 }
 
 // Read implements io.Reader.
-func (p *patient) Read(b []byte) (int, error) {
+func (p *minRateReader) Read(b []byte) (int, error) {
 	began := time.Now()
-	allowed := bodyGrace + time.Duration(float64(p.read)/bodyPerSec*float64(time.Second))
-	_ = p.control.SetReadDeadline(began.Add(allowed - p.waited)) // a connection that can't shows it at the read
-	if p.ended.Load() {
-		return 0, errShort
+	allowed := bodyGrace + time.Duration(float64(p.received)/minBodyRate*float64(time.Second))
+	_ = p.control.SetReadDeadline(began.Add(allowed - p.waited)) // a broken connection fails in the read
+	if p.stopped.Load() {
+		return 0, errIncompleteBody
 	}
-	n, err := p.from.Read(b)
-	p.read += int64(n)
+	n, err := p.src.Read(b)
+	p.received += int64(n)
 	p.waited += time.Since(began)
 	return n, err
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -17,61 +17,62 @@
 )
 
 const (
-	// A connection that was idle for less than this is one that a client goes
-	// through in turn: a request may be on its way already, and would be lost.
-	evictAfter = time.Second
-	// Clients that connect to ask do so at once: their first head was seen to come
-	// within 2 ms. One that has sent none for so long gives way when room is needed.
-	silentAfter = 50 * time.Millisecond
-	evictEvery  = 25 * time.Millisecond
+	// Minimum idle time before eviction. A connection that was idle for less is probably in
+	// rotation in its client's pool: a request may be in flight already and would be lost.
+	evictIdleAfter = time.Second
+	// Minimum age of a connection without a request before eviction. Clients that connect to
+	// send a request do so immediately: their first head was measured to arrive within 2 ms.
+	evictSilentAfter = 50 * time.Millisecond
+	evictInterval    = 25 * time.Millisecond
 )
 
-// clients keeps the connections of clients within the node's descriptors. A
-// connection that is not accepted would wait in the kernel, where its request
-// counts as taken and goes unanswered. So while few are left, answers close
-// their connections; beyond most those go that have sent no whole head yet, then
-// the longest idle ones. If that won't do, because so many requests are open,
-// further ones are refused at once. More than most+spare are never accepted.
+// clients keeps the number of clients' connections within the node's file descriptors. A
+// connection that is not accepted would wait in the kernel's queue, where its request counts
+// as accepted but goes unanswered. Therefore, while few descriptors are left, answers close
+// their connections. Beyond most connections, those that have not sent a complete head yet are
+// evicted first, then those that have been idle longest. If that does not suffice because too
+// many requests are open, further requests are refused immediately. More than most+spare
+// connections are never accepted.
 type clients struct {
 	most, spare int // under mu
 
 	mu      sync.Mutex
 	conns   map[*client]struct{}
-	silent  list.List // of *client with no head yet, the oldest first
-	idle    list.List // of *client, the longest idle first
-	leaving int       // evicted and not closed yet
+	silent  list.List // *client without a complete head yet, oldest first
+	idle    list.List // *client, longest idle first
+	evicted int       // number of connections evicted but not closed yet
 }
 
-// client is a client's connection. Closing one between two requests may cross the
-// next request, which then has reached the node's machine and gets no answer. So it
-// is never closed from outside: eviction ends the wait for data instead, and data
-// that has come by then wins.
+// client is a client's connection. Closing it between two requests could race with the next
+// request, which would have reached the node's machine and get no answer. Therefore eviction
+// does not close it, but interrupts the wait for data; data that has arrived by then cancels
+// the eviction.
 type client struct {
 	net.Conn
 	group   *clients
-	in      *list.List // silent or idle; nil while a request is open
-	place   *list.Element
-	since   time.Time // when it went there
-	leaving bool      // evicted, unless data comes first
-	active  bool      // a request is open
-	begun   bool      // bytes of a request's head have come, and not all of it
-	framing framing   // the reader's
-
-	socket syscall.RawConn    // nil where there is none to look at
-	ahead  *aheadConn         // Conn
-	left   context.CancelFunc // ends the context of the connection's requests; nil: it has none
+	list    *list.List // the list that holds it, silent or idle; nil while a request is open
+	element *list.Element
+	since   time.Time      // when it was added to the list
+	evicted bool           // evicted, unless data arrives first
+	active  bool           // a request is open
+	begun   bool           // a request's head has arrived in part
+	framing framingChecker // used by the reading goroutine
+
+	socket    syscall.RawConn    // nil if the connection has none
+	readAhead *readAheadConn     // the same as Conn
+	cancel    context.CancelFunc // cancels the context of the connection's requests; nil if there is none
 }
 
 type clientKey struct{}
 
-// withClient is http.Server's ConnContext.
+// withClient is used as http.Server.ConnContext.
 func withClient(ctx context.Context, conn net.Conn) context.Context {
 	c := conn.(*client)
-	ctx, c.left = context.WithCancel(context.WithValue(ctx, clientKey{}, c))
+	ctx, c.cancel = context.WithCancel(context.WithValue(ctx, clientKey{}, c))
 	return ctx
 }
 
-// clientOf gives the client's connection that a request came on; nil if it is not known.
+// clientOf returns the client connection of a request, or nil if ctx has none.
 func clientOf(ctx context.Context) *client {
 	c, _ := ctx.Value(clientKey{}).(*client)
 	return c
@@ -82,7 +83,7 @@
 	return &clients{most: descriptors - spare, spare: spare, conns: map[*client]struct{}{}}
 }
 
-// clientListener accepts clients.
+// clientListener wraps accepted connections in client.
 type clientListener struct {
 	net.Listener
 	group *clients
@@ -92,7 +93,7 @@
 	return clientListener{l, g}
 }
 
-// setDescriptors changes how many descriptors there are for clients.
+// setDescriptors changes the number of descriptors available to clients.
 func (g *clients) setDescriptors(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,60 +102,60 @@
 	g.evict()
 }
 
-// filled tells that the descriptors are all in use.
-func (g *clients) filled() bool {
+// atCapacity reports whether all descriptors are in use.
+func (g *clients) atCapacity() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns) >= g.most+g.spare
 }
 
 func (l clientListener) Accept() (net.Conn, error) {
-	for l.group.filled() { // net/http accepts by one goroutine, so that one at a time gets past here
-		time.Sleep(evictEvery)
+	for l.group.atCapacity() { // net/http accepts in a single goroutine, so the limit cannot be exceeded
+		time.Sleep(evictInterval)
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	ahead := &aheadConn{Conn: conn}
-	c := &client{Conn: ahead, ahead: ahead, group: l.group}
+	ahead := &readAheadConn{Conn: conn}
+	c := &client{Conn: ahead, readAhead: ahead, group: l.group}
 	if s, ok := conn.(syscall.Conn); ok {
-		c.socket, _ = s.SyscallConn() // nil on an error: then nobody looks at it
+		c.socket, _ = s.SyscallConn() // nil on an error, which disables the disconnect check
 	}
-	c.framing.begin()
+	c.framing.reset()
 	return c, nil
 }
 
-var longAgo = time.Unix(1, 0)
+var pastTime = time.Unix(1, 0)
 
-// Read looks once more when the wait for a request is over, be it by eviction or by
-// net/http's time limit for idle connections: a node that gets little CPU may have
-// been stopped between that limit and here for long enough.
+// Read tries once more when the wait for a request has timed out, through eviction or
+// net/http's idle timeout: on a node short of CPU, a request may have arrived between the
+// timeout and this point.
 func (c *client) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.waits() {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.awaitingRequest() {
 		c.Conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 		n, err = c.Conn.Read(b)
 	}
 	if n > 0 {
-		c.stay()
-		c.framing.see(b[:n])
+		c.dataArrived()
+		c.framing.observe(b[:n])
 	}
-	if n == 1 && len(b) == 1 && c.open() { // net/http looks for the client's leaving no further than this
-		c.ahead.watch(c.left)
+	if n == 1 && len(b) == 1 && c.hasOpenRequest() { // net/http's disconnect detection reads no further than this byte
+		c.readAhead.startReadAhead(c.cancel)
 	}
 	return n, err
 }
 
-// gone looks without waiting whether the client has closed or reset its connection, be there bytes ahead of that or not.
-// net/http's own look may come to run behind an attempt's first byte: where a client had left before it was accepted,
-// both are due at once.
-func (c *client) gone() bool {
+// disconnected reports, without blocking, whether the client has closed or reset its connection, even if unread bytes
+// precede the close. net/http's own detection may run only after an attempt's first byte: if a client disconnected
+// before it was accepted, both become runnable at the same time.
+func (c *client) disconnected() bool {
 	if c.socket == nil {
 		return false
 	}
 	gone := false
-	err := c.socket.Control(func(fd uintptr) { // Read would wait for net/http's look
+	err := c.socket.Control(func(fd uintptr) { // socket.Read would wait for net/http's pending read
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
@@ -162,7 +163,7 @@
 			gone = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 		case n == 0:
 			gone = true
-		default: // the close may stand behind what is there
+		default: // a close may follow the unread bytes
 			look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 			n, err := unix.Poll(look, 0)
 			gone = err == nil && n > 0 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
@@ -171,52 +172,52 @@
 	return gone || err != nil
 }
 
-// open tells that a request is open, and that its context can be ended.
-func (c *client) open() bool {
+// hasOpenRequest reports whether a request is open and its context can be canceled.
+func (c *client) hasOpenRequest() bool {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
-	return c.active && c.left != nil
+	return c.active && c.cancel != nil
 }
 
-// SetReadDeadline is net/http's; it does not undo an eviction.
+// SetReadDeadline is called by net/http; it does not undo an eviction.
 func (c *client) SetReadDeadline(at time.Time) error {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
-	if c.leaving {
-		at = longAgo
+	if c.evicted {
+		at = pastTime
 	}
 	return c.Conn.SetReadDeadline(at)
 }
 
-func (c *client) waits() bool {
+func (c *client) awaitingRequest() bool {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
-	return c.in != nil || c.leaving
+	return c.list != nil || c.evicted
 }
 
-// stay notes that data has come: an idle connection is none any more, though its request's
-// head may not be whole, and an eviction is undone.
-func (c *client) stay() {
+// dataArrived records that data has arrived: the connection is no longer idle, although the
+// request's head may be incomplete, and an eviction is undone.
+func (c *client) dataArrived() {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
-	if c.in == &c.group.idle {
+	if c.list == &c.group.idle {
 		c.move(nil)
 	}
 	c.begun = !c.active
-	c.remain()
+	c.undoEviction()
 }
 
-// remain undoes an eviction; it needs the lock.
-func (c *client) remain() {
-	if c.leaving {
-		c.leaving = false
-		c.group.leaving--
+// undoEviction undoes an eviction; the group's mu must be held.
+func (c *client) undoEviction() {
+	if c.evicted {
+		c.evicted = false
+		c.group.evicted--
 		c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
 	}
 }
 
-// state is http.Server's ConnState.
-func (g *clients) state(conn net.Conn, s http.ConnState) {
+// connState is used as http.Server.ConnState.
+func (g *clients) connState(conn net.Conn, s http.ConnState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := conn.(*client)
@@ -227,38 +228,38 @@
 		g.conns[c] = struct{}{}
 		c.move(&g.silent)
 	case http.StateActive:
-		// An eviction may have crossed the end of the head. net/http would take the read that
-		// it ends for the client's leaving, and the request would go unanswered.
-		c.remain()
+		// An eviction may have raced with the end of the head. net/http would take the read
+		// that the eviction interrupts for a disconnect, and the request would go unanswered.
+		c.undoEviction()
 	case http.StateIdle:
 		c.move(&g.idle)
 	case http.StateClosed, http.StateHijacked:
 		delete(g.conns, c)
-		if c.leaving {
-			c.leaving = false
-			g.leaving--
+		if c.evicted {
+			c.evicted = false
+			g.evicted--
 		}
-		if c.left != nil {
-			c.left()
+		if c.cancel != nil {
+			c.cancel()
 		}
 	}
 	g.evict()
 }
 
-// move puts a connection into a list, or into none.
+// move moves the connection to a list, or out of any if to is nil; the group's mu must be held.
 func (c *client) move(to *list.List) {
-	if c.in != nil {
-		c.in.Remove(c.place)
+	if c.list != nil {
+		c.list.Remove(c.element)
 	}
-	if c.in = to; to != nil {
-		c.place, c.since = to.PushBack(c), time.Now()
+	if c.list = to; to != nil {
+		c.element, c.since = to.PushBack(c), time.Now()
 	}
 }
 
-// run evicts as connections come of age, when no change of state would; and all that are idle
-// while the node is quiesced for long.
+// run evicts connections once they are old enough, as eviction otherwise happens only on state
+// changes. It also evicts all idle connections when the node has been quiesced for long enough.
 func (g *clients) run(ctx context.Context, state *life.Life) {
-	for every := time.Tick(evictEvery); ctx.Err() == nil; <-every {
+	for every := time.Tick(evictInterval); ctx.Err() == nil; <-every {
 		if state.Leaves(time.Now()) {
 			g.leave()
 		}
@@ -268,12 +269,12 @@
 	}
 }
 
-// count gives the connections that stay; it needs the lock.
-func (g *clients) count() int { return len(g.conns) - g.leaving }
+// count returns the number of connections not evicted; mu must be held.
+func (g *clients) count() int { return len(g.conns) - g.evicted }
 
-// evict makes room beyond most as far as that is safe; it needs the lock.
+// evict evicts connections beyond most as far as that is safe; mu must be held.
 func (g *clients) evict() {
-	for g.count() > g.most && (g.evictFrom(&g.silent, silentAfter) || g.evictFrom(&g.idle, evictAfter)) {
+	for g.count() > g.most && (g.evictFrom(&g.silent, evictSilentAfter) || g.evictFrom(&g.idle, evictIdleAfter)) {
 	}
 }
 
@@ -290,16 +291,16 @@
 	return true
 }
 
-// evict needs the lock.
+// evict interrupts the connection's wait for data; the group's mu must be held.
 func (c *client) evict() {
 	c.move(nil)
-	c.leaving = true
-	c.group.leaving++
-	c.Conn.SetReadDeadline(longAgo)
+	c.evicted = true
+	c.group.evicted++
+	c.Conn.SetReadDeadline(pastTime)
 }
 
-// leave evicts all that have no request open nor begun; a request that has come by then is
-// answered. http.Server's Shutdown would cut it off.
+// leave evicts all connections on which no request is open or has begun. A request that has
+// arrived by then is answered, whereas http.Server.Shutdown would cut it off.
 func (g *clients) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -313,35 +314,35 @@
 	}
 }
 
-// trim evicts those that have been idle for so long that few requests cross. The others end
-// behind their next answer: a client that goes through its connections in turn would meet
-// many closes at once.
+// trim evicts connections that have been idle long enough for a race with a request to be
+// rare. The others are closed after their next answer; evicting them too would make a client
+// that uses its connections in rotation hit many closes at once.
 func (g *clients) trim() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for g.evictFrom(&g.idle, evictAfter) {
+	for g.evictFrom(&g.idle, evictIdleAfter) {
 	}
 }
 
-// full tells that open requests alone take up all there is.
+// full reports whether open requests alone exceed the limit.
 func (g *clients) full() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.count()-g.silent.Len()-g.idle.Len() > g.most
 }
 
-// connected counts the connections.
+// connected returns the number of connections, including evicted ones.
 func (g *clients) connected() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns)
 }
 
-// empty tells that no client is connected.
+// empty reports whether no client is connected.
 func (g *clients) empty() bool { return g.connected() == 0 }
 
-// crowded tells that few descriptors are left.
-func (g *clients) crowded() bool {
+// nearLimit reports whether few descriptors are left.
+func (g *clients) nearLimit() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.count() > g.most*3/4
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -16,16 +16,16 @@
 	"otterstep/internal/wire"
 )
 
-// raw sends bytes on a connection of its own and gives what comes back until its
-// end: a whole answer's code, or 0 for a mere close.
-func raw(t *testing.T, addr, text string) (code int) {
+// sendRaw sends text on a new connection and reads to its end. It returns the status code of a
+// complete answer, or 0 if the connection is closed without one.
+func sendRaw(t *testing.T, addr, text string) (code int) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	go io.WriteString(c, text) // the node may stop reading at any place
+	go io.WriteString(c, text) // the node may stop reading at any point
 	c.SetReadDeadline(time.Now().Add(patience))
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -36,18 +36,18 @@
 		return 0
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return 0 // cut by a close while this side still sent
+		return 0 // truncated by a close while this side was still sending
 	}
 	if _, err := in.ReadByte(); err == nil {
-		t.Errorf("more behind answer %d", resp.StatusCode)
+		t.Errorf("more data after answer %d", resp.StatusCode)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Errorf("the connection stays open behind answer %d", resp.StatusCode)
+		t.Errorf("the connection stays open after answer %d", resp.StatusCode)
 	}
 	return resp.StatusCode
 }
 
-// written gives a request as bytes, with further header lines.
-func written(t *testing.T, class string, lines ...string) string {
+// requestTextWith serializes a request with additional header lines.
+func requestTextWith(t *testing.T, class string, lines ...string) string {
 	t.Helper()
 	var b bytes.Buffer
 	if err := clientRequest(t, "api", class, "2.5").Write(&b); err != nil {
@@ -57,35 +57,35 @@
 	return head + "\r\n" + strings.Join(append(lines, ""), "\r\n") + "\r\n" + body
 }
 
-// Guards against clients that hold connections with what can't be used: each has an
-// error or a close in time, whatever it goes on sending, and nothing goes on to a
-// server. Two lengths could hide a second request in the first one's body (seen on
-// the bench: 72 such requests went on).
-func TestBadClientsAreTurnedAway(t *testing.T) {
+// Guards against clients that occupy connections with invalid or incomplete requests: each gets
+// an error or a close in time, whatever it sends next, and nothing is forwarded to a server. Two
+// lengths could smuggle a second request in the first one's body; in a trial 72 such requests
+// were forwarded.
+func TestInvalidConnectionsAreRejected(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
-	hidden := written(t, "read")
+	hidden := requestTextWith(t, "read")
 	for name, c := range map[string]struct {
 		text  string
 		codes []int
 	}{
-		"silence":            {"", []int{0, 408}},
-		"half a head":        {"GET /read/1 HTTP/1.1\r\nHost: ap", []int{0, 408}},
-		"half a body":        {strings.TrimSuffix(written(t, "book"), "load"), []int{0, 408}},
-		"noise":              {"\x00\x01\xff\xfe\r\n\r\n\r\n", []int{0, 400}},
-		"head without end":   {strings.TrimSuffix(written(t, "read"), "\r\n") + strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
-		"line with no colon": {written(t, "read", "no colon"), []int{400}},
-		"both lengths":       {strings.Replace(written(t, "book", "Transfer-Encoding: chunked"), "payload", "0\r\n\r\n"+hidden, 1), []int{400}},
-		"negative length":    {strings.Replace(written(t, "book"), "Length: 7", "Length: -7", 1), []int{400}},
-		"length no number":   {strings.Replace(written(t, "book"), "Length: 7", "Length: ten", 1), []int{400}},
-		"two lengths":        {written(t, "book", "Content-Length: 9"), []int{400}},
-		"huge length":        {strings.Replace(written(t, "book"), "Length: 7", "Length: 99999999999999", 1), []int{0, 413}},
-		"70 MB":              {strings.Replace(written(t, "book"), "Length: 7", "Length: 73400320", 1) + strings.Repeat("b", 1<<20), []int{0, 413}},
-		"hundreds at once":   {strings.Repeat("GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n", 500), []int{400}},
+		"silence":                      {"", []int{0, 408}},
+		"half a head":                  {"GET /read/1 HTTP/1.1\r\nHost: ap", []int{0, 408}},
+		"half a body":                  {strings.TrimSuffix(requestTextWith(t, "book"), "load"), []int{0, 408}},
+		"random bytes":                 {"\x00\x01\xff\xfe\r\n\r\n\r\n", []int{0, 400}},
+		"head without end":             {strings.TrimSuffix(requestTextWith(t, "read"), "\r\n") + strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
+		"line with no colon":           {requestTextWith(t, "read", "no colon"), []int{400}},
+		"both lengths":                 {strings.Replace(requestTextWith(t, "book", "Transfer-Encoding: chunked"), "payload", "0\r\n\r\n"+hidden, 1), []int{400}},
+		"negative length":              {strings.Replace(requestTextWith(t, "book"), "Length: 7", "Length: -7", 1), []int{400}},
+		"length not a number":          {strings.Replace(requestTextWith(t, "book"), "Length: 7", "Length: ten", 1), []int{400}},
+		"two lengths":                  {requestTextWith(t, "book", "Content-Length: 9"), []int{400}},
+		"huge length":                  {strings.Replace(requestTextWith(t, "book"), "Length: 7", "Length: 99999999999999", 1), []int{0, 413}},
+		"70 MB":                        {strings.Replace(requestTextWith(t, "book"), "Length: 7", "Length: 73400320", 1) + strings.Repeat("b", 1<<20), []int{0, 413}},
+		"hundreds of requests at once": {strings.Repeat("GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n", 500), []int{400}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			code := raw(t, addr, c.text)
+			code := sendRaw(t, addr, c.text)
 			for _, want := range c.codes {
 				if code == want {
 					return
@@ -96,14 +96,14 @@
 	}
 	t.Cleanup(func() {
 		if n := s.requests.Load(); n != 0 {
-			t.Errorf("%d requests went on, want 0", n)
+			t.Errorf("%d requests were forwarded, want 0", n)
 		}
 	})
 }
 
-// Guards rules 1 and 2: a second request with an open or late id must not share
-// the first one's answer, and must not disturb it.
-func TestAnIDIsTakenOnce(t *testing.T) {
+// Guards against mixed-up answers: a request that reuses the id of an open or recently answered
+// one must not get that request's answer, run, or disturb it.
+func TestDuplicateIDIsRejected(t *testing.T) {
 	came, release := make(chan struct{}, 1), make(chan struct{})
 	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		came <- struct{}{}
@@ -137,13 +137,13 @@
 		t.Errorf("answered %d right after the first, want 409", code)
 	}
 	if n := s.requests.Load(); n != 1 {
-		t.Errorf("%d requests went on, want 1", n)
+		t.Errorf("%d requests were forwarded, want 1", n)
 	}
 }
 
-// Guards against a node that silent connections shut: new ones never became idle,
-// so hundreds filled the cap and stalled the listener for seconds.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+// Guards against denial of service by silent connections: as they never became idle and so were
+// not evicted, hundreds of them filled the limit and stalled the listener for seconds.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
 	var silent []net.Conn
@@ -153,22 +153,22 @@
 	}
 	_, ask := dialClient(t, addr)
 	if code, err := ask(); code != http.StatusOK || err != nil {
-		t.Errorf("answered %d, %v behind silent connections; want 200", code, err)
+		t.Errorf("answered %d, %v after silent connections; want 200", code, err)
 	}
 	for _, c := range silent {
 		c.SetReadDeadline(time.Now().Add(patience))
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Fatal("a silent connection is sent something")
+			t.Fatal("a silent connection receives data")
 		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			t.Fatal("a silent connection stays open")
 		}
 	}
 }
 
-// Guards rule 1 where few descriptors are left: the error is flushed before the
-// connection is cut, and must be whole all the same (seen on the bench: a usual
-// client whose id another had taken got a chunked answer with no end).
-func TestCrowdedErrorIsWhole(t *testing.T) {
+// Guards against truncated errors while few descriptors are left: the error is flushed before
+// the connection is aborted and must be complete. In a trial, a regular client whose id was in
+// use got a chunked answer without its last chunk.
+func TestErrorIsCompleteNearDescriptorLimit(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
 	for range mostClients*3/4 + 1 {
@@ -177,60 +177,60 @@
 			t.Fatalf("answered %d, %v; want 200", code, err)
 		}
 	}
-	if code := raw(t, addr, "GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n"); code != http.StatusBadRequest {
+	if code := sendRaw(t, addr, "GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n"); code != http.StatusBadRequest {
 		t.Errorf("answered %d, want 400", code)
 	}
 }
 
-// Guards rule 1 when a connection makes room for a new one: one in use lately is
-// left alone, and a request that has come by then is read, not cut off.
-func TestEvictionLosesToData(t *testing.T) {
+// Guards against requests lost to eviction: a recently used connection is not evicted, and a
+// request that has arrived by the time of the eviction is read rather than cut off.
+func TestDataUndoesEviction(t *testing.T) {
 	g := newClients(1)
 	add := func() (*client, net.Conn) {
 		ours, theirs := net.Pipe()
 		t.Cleanup(func() { ours.Close(); theirs.Close() })
 		c := &client{Conn: ours, group: g}
-		g.state(c, http.StateNew)
-		g.state(c, http.StateIdle)
+		g.connState(c, http.StateNew)
+		g.connState(c, http.StateIdle)
 		return c, theirs
 	}
 	first, peer := add()
 	second, _ := add()
-	if g.leaving != 0 {
-		t.Error("a connection in use lately is evicted")
+	if g.evicted != 0 {
+		t.Error("a recently used connection was evicted")
 	}
-	first.since = time.Now().Add(-2 * evictAfter)
-	g.state(second, http.StateActive)
-	if !first.leaving || second.leaving {
-		t.Fatal("the longest idle connection stays")
+	first.since = time.Now().Add(-2 * evictIdleAfter)
+	g.connState(second, http.StateActive)
+	if !first.evicted || second.evicted {
+		t.Fatal("the longest idle connection was not evicted")
 	}
-	if first.SetReadDeadline(time.Time{}); !first.leaving { // as net/http does
-		t.Error("a new time limit undoes the eviction")
+	if first.SetReadDeadline(time.Time{}); !first.evicted { // as net/http does
+		t.Error("a new read deadline undid the eviction")
 	}
 	go io.WriteString(peer, "GET")
-	waitFor(t, "data that wins", func() bool {
+	waitFor(t, "data that undoes the eviction", func() bool {
 		b := make([]byte, 3)
 		n, _ := first.Read(b)
 		return string(b[:n]) == "GET"
 	})
-	if first.leaving || g.count() != 2 {
-		t.Error("the connection is still to go")
+	if first.evicted || g.count() != 2 {
+		t.Error("the eviction was not undone by data")
 	}
-	g.state(first, http.StateIdle)
-	first.since = time.Now().Add(-2 * evictAfter)
-	g.state(second, http.StateActive)
-	if _, err := first.Read(make([]byte, 1)); err == nil || !first.leaving {
-		t.Errorf("read %v, want the wait of an evicted connection to end", err)
+	g.connState(first, http.StateIdle)
+	first.since = time.Now().Add(-2 * evictIdleAfter)
+	g.connState(second, http.StateActive)
+	if _, err := first.Read(make([]byte, 1)); err == nil || !first.evicted {
+		t.Errorf("read: %v, want the wait of an evicted connection to be interrupted", err)
 	}
-	g.state(first, http.StateClosed)
-	if g.count() != 1 || g.leaving != 0 {
-		t.Errorf("%d connections, %d leaving; want 1, 0", g.count(), g.leaving)
+	g.connState(first, http.StateClosed)
+	if g.count() != 1 || g.evicted != 0 {
+		t.Errorf("%d connections, %d evicted; want 1, 0", g.count(), g.evicted)
 	}
 }
 
-// Guards rule 1 at the end of a drain: idle connections end, but one on which a
-// request has come by then is left to answer it.
-func TestLeavingLosesToData(t *testing.T) {
+// Guards against requests lost at the end of a drain: idle connections are evicted, but one on
+// which a request has arrived by then stays open to answer it.
+func TestDataUndoesEvictionAtDrain(t *testing.T) {
 	g := newClients(8)
 	var conns [2]*client
 	var peers [2]net.Conn
@@ -239,69 +239,70 @@
 		defer ours.Close()
 		defer theirs.Close()
 		conns[i], peers[i] = &client{Conn: ours, group: g}, theirs
-		g.state(conns[i], http.StateNew)
-		g.state(conns[i], http.StateIdle)
+		g.connState(conns[i], http.StateNew)
+		g.connState(conns[i], http.StateIdle)
 	}
 	g.leave()
 	go io.WriteString(peers[0], "GET")
-	waitFor(t, "data that wins", func() bool {
+	waitFor(t, "data that undoes the eviction", func() bool {
 		n, _ := conns[0].Read(make([]byte, 3))
 		return n == 3
 	})
-	if _, err := conns[1].Read(make([]byte, 1)); err == nil || g.leaving != 1 {
-		t.Errorf("read %v, %d leaving; want the other connection to go", err, g.leaving)
+	if _, err := conns[1].Read(make([]byte, 1)); err == nil || g.evicted != 1 {
+		t.Errorf("read: %v, %d evicted; want the idle connection to be evicted", err, g.evicted)
 	}
 }
 
-// Guards rule 1: an eviction that crosses a request is undone, be it while the head comes, or
-// between its end and net/http's word that the request is open. net/http takes a read that
-// ends for the client's leaving, and the request would get no answer.
-func TestEvictionThatCrossesARequest(t *testing.T) {
+// Guards against a lost answer when an eviction races with a request: the eviction is undone
+// both while the head arrives and between the end of the head and net/http's report of the
+// active state. net/http takes an interrupted read for a disconnect, so the request would get
+// no answer.
+func TestEvictionRacingWithRequest(t *testing.T) {
 	g := newClients(8)
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	c := &client{Conn: near, group: g}
-	c.framing.begin()
-	g.state(c, http.StateNew)
+	c.framing.reset()
+	g.connState(c, http.StateNew)
 	go io.WriteString(far, "GET")
 	if n, err := c.Read(make([]byte, 3)); n != 3 {
 		t.Fatal(n, err)
 	}
-	if g.leave(); g.leaving != 0 {
-		t.Error("a new connection whose first head comes was evicted")
+	if g.leave(); g.evicted != 0 {
+		t.Error("a new connection was evicted while its first head was arriving")
 	}
-	g.state(c, http.StateActive)
-	g.state(c, http.StateIdle)
+	g.connState(c, http.StateActive)
+	g.connState(c, http.StateIdle)
 	go io.WriteString(far, "GET")
 	if n, err := c.Read(make([]byte, 3)); n != 3 {
 		t.Fatal(n, err)
 	}
 	g.leave()
-	if g.leaving != 0 {
-		t.Error("a connection whose next head comes was evicted")
+	if g.evicted != 0 {
+		t.Error("a connection was evicted while its next head was arriving")
 	}
-	g.state(c, http.StateIdle)
-	g.leave() // crosses the head's end
-	if g.leaving != 1 {
+	g.connState(c, http.StateIdle)
+	g.leave() // races with the end of the head
+	if g.evicted != 1 {
 		t.Fatal("an idle connection was not evicted")
 	}
-	g.state(c, http.StateActive)
-	if g.leaving != 0 || c.leaving {
-		t.Error("the eviction stands while a request is open")
+	g.connState(c, http.StateActive)
+	if g.evicted != 0 || c.evicted {
+		t.Error("the eviction is not undone while a request is open")
 	}
 	go func() {
 		time.Sleep(20 * time.Millisecond)
 		io.WriteString(far, "x")
 	}()
 	if n, err := c.Read(make([]byte, 1)); n != 1 {
-		t.Errorf("net/http's look for the client's leaving ends: %v", err)
+		t.Errorf("net/http's disconnect detection was interrupted: %v", err)
 	}
 }
 
-// Guards the memory limit: bodies are bounded together, by their declared lengths
-// and before any of it is read.
-func TestLargeBodiesHaveABudget(t *testing.T) {
+// Guards the memory limit: the total of all bodies is limited by their declared lengths, which
+// are reserved before any of a body is read.
+func TestBodyBudgetIsReservedBeforeReading(t *testing.T) {
 	f := newFront(idle(t), nil, wire.Site{Classes: []string{"book"}}, newClients(8), 10<<10, new(life.Life), false)
 	f.site.Settings.Classes = siteOf(t, settings).Settings.Classes[2:]
 	ask := func() (code int, read int64) {
@@ -313,22 +314,22 @@
 		f.ServeHTTP(w, r)
 		return w.Code, body.n
 	}
-	if !f.bodies.take(6 << 10) {
-		t.Fatal("no room at all")
+	if !f.bodies.reserve(6 << 10) {
+		t.Fatal("the budget has no room for the first body")
 	}
 	if code, read := ask(); code != http.StatusServiceUnavailable || read != 0 {
-		t.Errorf("answered %d after %d bytes, want a refusal unread", code, read)
+		t.Errorf("answered %d after %d bytes, want 503 with the body unread", code, read)
 	}
-	f.bodies.giveBack(6 << 10)
+	f.bodies.release(6 << 10)
 	if code, read := ask(); code != http.StatusRequestTimeout || read == 0 {
-		t.Errorf("answered %d after %d bytes, want the short body to be read", code, read)
+		t.Errorf("answered %d after %d bytes, want 408 after reading the truncated body", code, read)
 	}
-	if n := f.bodies.held.Load(); n != 0 {
-		t.Errorf("%d bytes are still booked", n)
+	if n := f.bodies.reserved.Load(); n != 0 {
+		t.Errorf("%d bytes are still reserved", n)
 	}
 }
 
-// countingReader gives a little and ends.
+// countingReader returns one byte and then io.EOF.
 type countingReader struct{ n int64 }
 
 func (c *countingReader) Read(b []byte) (int, error) {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -19,195 +19,195 @@
 )
 
 const (
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 400 * time.Millisecond
-	maxList      = 4 << 20
-	olderMost    = 3 // answers of an older version, then the whole list is asked for
+	minBackoff      = 50 * time.Millisecond
+	maxBackoff      = 400 * time.Millisecond
+	maxListSize     = 4 << 20 // maximum size of a list in bytes
+	maxOlderAnswers = 3       // consecutive answers with an older version before the full list is requested
 )
 
-// listTimes are how long a node waits for discovery. Whatever becomes of a call, a change counts as told
-// toldAfter from when discovery had it and could be reached; a watch that has fallen silent counts as told
-// toldBehind its own wait, if that is later.
-type listTimes struct {
-	wait  time.Duration // a watch answers after this at the latest, be there changes or not
-	watch time.Duration // a watch is taken for silent, and opened anew
-	whole time.Duration // a call that need not wait is taken for silent
+// callTimeouts are the timeouts for calls to discovery. A node is required to learn of a change within
+// maxChangeDelay of discovery having it and being reachable, whatever happens to a call. If a watch does not
+// answer, the limit is the watch's wait plus watchMargin, if that is later.
+type callTimeouts struct {
+	watchWait    time.Duration // how long discovery may hold a watch open when there are no changes
+	watchTimeout time.Duration // timeout of a watch, after which it is reopened
+	listTimeout  time.Duration // timeout of a call for the full list, which discovery answers at once
 }
 
 const (
-	toldAfter  = 6 * time.Second
-	toldBehind = 2 * time.Second
+	maxChangeDelay = 6 * time.Second
+	watchMargin    = 2 * time.Second
 )
 
-// timesFor gives the times. An agent on the node's own machine answers at once and at no cost, so that watches of
-// it are short enough for a silent one to be found out within toldAfter. Where one service is asked by all, each
-// call costs it as much as many lines, and it works through calls in turn: watches are as long as it can bear,
-// which toldBehind allows for, and what it has not got to is not taken for silence.
-func timesFor(asked bool) listTimes {
+// timeoutsFor returns the timeouts. An agent on the node's own machine answers immediately and cheaply, so its
+// watches are short enough for a silent one to be detected within maxChangeDelay. A single service for all nodes
+// processes calls one after the other, and each call costs it as much as many list entries. Its watches are as long
+// as watchMargin permits, and calls that are still queued there do not count as unanswered.
+func timeoutsFor(asked bool) callTimeouts {
 	if asked {
 		const wait = 10 * time.Second
-		return listTimes{wait: wait, watch: wait + toldBehind/2, whole: 5 * time.Second}
+		return callTimeouts{watchWait: wait, watchTimeout: wait + watchMargin/2, listTimeout: 5 * time.Second}
 	}
-	const watch = toldAfter - 1500*time.Millisecond // the rest is for the new call
-	return listTimes{wait: watch - 500*time.Millisecond, watch: watch, whole: time.Second}
+	const watch = maxChangeDelay - 1500*time.Millisecond // leaves 1.5 s for the next call
+	return callTimeouts{watchWait: watch - 500*time.Millisecond, watchTimeout: watch, listTimeout: time.Second}
 }
 
-// discovery follows the list of servers: once as a whole, then by a watch that
-// is re-armed at once, so that no change falls between two calls.
+// discovery keeps the list of servers up to date: it requests the full list once, then
+// watches for changes since the last known version, so that none is missed between calls.
 type discovery struct {
-	addr  string
-	asked bool // discovery is one service for all: the module says when to call again
-	zones []string
-	kinds []string
-	clock core.Clock
-	log   *slog.Logger
-	// members hands a list on; endpoints go with the entries.
+	addr      string
+	onRequest bool // discovery is one service for all nodes; the decision module schedules retries
+	zones     []string
+	kinds     []string
+	clock     core.Clock
+	log       *slog.Logger
+	// members receives each list; endpoints[i] belongs to entries[i].
 	members func(kind policy.ListKind, entries []policy.Entry, endpoints []string)
-	// apart gets those servers that are of model, and members the rest, where another
-	// front has servers of its own in the list.
+	// apart receives the servers whose model is model, and members the others, if another
+	// front has its own servers in the list. It is nil otherwise.
 	apart func(kind policy.ListKind, entries []policy.Entry, endpoints []string)
 	model string
-	// listed is told of all lines as they came, ahead of members; nil if nobody cares.
+	// listed, if not nil, is called with all targets of an answer before members is.
 	listed func(all bool, targets []target)
-	// heard is told of each answer once it is in place; nil if nobody cares.
+	// heard, if not nil, is called with the version of each answer after it was applied.
 	heard func(rev int64)
-	// first is called once the first list is in place, or the first call has
-	// failed and the known list has to do.
+	// first is called once, after the first list was applied or the first call has failed
+	// and the cached list is used instead.
 	first func()
 
-	// limit ends a call that takes too long; it is context.WithTimeout but in tests.
-	limit func(context.Context, time.Duration) (context.Context, context.CancelFunc)
+	// withTimeout sets the timeout of a call: context.WithTimeout, except in tests.
+	withTimeout func(context.Context, time.Duration) (context.Context, context.CancelFunc)
 
-	client  http.Client
-	wanted  chan struct{} // the module wants a watch
-	moves   chan string   // new addresses of discovery
-	started bool          // first was called
-	rev     int64
-	current bool // rev is discovery's own
-	older   int  // answers in a row with a version from before rev
-	known   bool // there is a list of before, which serves until the first call
-	doubted bool // what is handed on is of before, and nobody has confirmed it
+	client       http.Client
+	requested    chan struct{} // the decision module requests a call
+	newAddrs     chan string   // new addresses of discovery, from reloads
+	firstCalled  bool          // first has been called
+	rev          int64
+	revKnown     bool // rev is from the present discovery service
+	olderAnswers int  // consecutive answers with a version below rev
+	cached       bool // a cached list is in use until the first call
+	unconfirmed  bool // the entries being delivered are cached and unconfirmed
 }
 
 func newDiscovery(addr string, site wire.Site, c core.Clock, log *slog.Logger) *discovery {
 	return &discovery{
-		addr: addr, asked: site.Settings.ListAsked, zones: site.Zones, kinds: site.Kinds, clock: c, log: log,
-		wanted: make(chan struct{}, 1), moves: make(chan string),
-		limit:  context.WithTimeout,
-		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		addr: addr, onRequest: site.Settings.ListAsked, zones: site.Zones, kinds: site.Kinds, clock: c, log: log,
+		requested: make(chan struct{}, 1), newAddrs: make(chan string),
+		withTimeout: context.WithTimeout,
+		client:      http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 	}
 }
 
-// watch asks for a call after a failed one; it never blocks.
+// watch requests the next call after a failed one; it never blocks.
 func (d *discovery) watch() {
 	select {
-	case d.wanted <- struct{}{}:
+	case d.requested <- struct{}{}:
 	default:
 	}
 }
 
-// run follows the list until ctx ends, and at each move starts over at the new
-// address: the call under way is broken off, as a watch would go on for seconds and
-// hear nothing more, and the version is forgotten, as another service counts its own.
+// run follows the list until ctx ends. When the address changes it starts over at the new
+// one: the pending call is canceled, since a watch could wait for seconds at the old address,
+// and the version is reset, since each service has its own version numbers.
 func (d *discovery) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
+		callCtx, cancel := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			d.follow(here)
+			d.follow(callCtx)
 		}()
 		var next string
 		select {
-		case next = <-d.moves:
+		case next = <-d.newAddrs:
 		case <-ctx.Done():
 		}
-		leave()
+		cancel()
 		<-ended
 		d.client.CloseIdleConnections()
-		d.addr, d.rev, d.current, d.older = next, 0, false, 0
+		d.addr, d.rev, d.revKnown, d.olderAnswers = next, 0, false, 0
 	}
 }
 
-// move makes run go on at another address.
+// move makes run continue at another address.
 func (d *discovery) move(ctx context.Context, addr string) {
 	select {
-	case d.moves <- addr:
+	case d.newAddrs <- addr:
 	case <-ctx.Done():
 	}
 }
 
 // follow follows the list at one address until ctx ends.
 func (d *discovery) follow(ctx context.Context) {
-	backoff, down := backoffFirst, false
-	if d.asked && d.known { // the module says when to make the first call of all
-		d.known = false
-		d.ready()
-		d.await(ctx)
+	backoff, down := minBackoff, false
+	if d.onRequest && d.cached { // the decision module also schedules the first call
+		d.cached = false
+		d.notifyFirst()
+		d.awaitRequest(ctx)
 	}
 	for ctx.Err() == nil {
 		err := d.call(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		d.ready()
+		d.notifyFirst()
 		if err == nil {
 			if down {
 				d.log.Info("discovery is back", "rev", d.rev)
 			}
-			backoff, down = backoffFirst, false
+			backoff, down = minBackoff, false
 			continue
 		}
 		if !down {
 			down = true
-			d.log.Warn("discovery is down, keeping the list", "rev", d.rev, "err", err)
+			d.log.Warn("discovery is down, keeping the last known list", "rev", d.rev, "err", err)
 		}
-		if errors.Is(err, errSilent) { // it is opened anew at once: calls can't come thicker than their time-out
+		if errors.Is(err, errWatchTimeout) { // retry immediately: the watch timeout already limits the rate of calls
 			continue
 		}
-		if d.asked { // its calls cost all nodes: the module spreads them
-			for len(d.wanted) > 0 {
-				<-d.wanted
+		if d.onRequest { // calls load the shared service, so the decision module spreads them
+			for len(d.requested) > 0 {
+				<-d.requested
 			}
 			d.members(policy.ListFailed, nil, nil)
-			d.await(ctx)
+			d.awaitRequest(ctx)
 			continue
 		}
 		select {
 		case <-time.After(backoff):
 		case <-ctx.Done():
 		}
-		backoff = min(2*backoff, backoffMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// ready lets first know, once.
-func (d *discovery) ready() {
-	if !d.started {
-		d.started = true
+// notifyFirst calls first, once.
+func (d *discovery) notifyFirst() {
+	if !d.firstCalled {
+		d.firstCalled = true
 		d.first()
 	}
 }
 
-// await waits until the module wants a watch.
-func (d *discovery) await(ctx context.Context) {
+// awaitRequest waits until the decision module requests a call.
+func (d *discovery) awaitRequest(ctx context.Context) {
 	select {
-	case <-d.wanted:
+	case <-d.requested:
 	case <-ctx.Done():
 	}
 }
 
-// call makes one call, of the whole list at first and then of what is newer.
+// call makes one call: for the full list if the version is unknown, else for changes since it.
 func (d *discovery) call(ctx context.Context) error {
 	address := url.URL{Scheme: "http", Host: d.addr, Path: "/discovery/hosts"}
-	times := timesFor(d.asked)
-	wait := times.whole
-	if d.current {
-		wait = times.watch
+	times := timeoutsFor(d.onRequest)
+	wait := times.listTimeout
+	if d.revKnown {
+		wait = times.watchTimeout
 		address.RawQuery = "since=" + strconv.FormatInt(d.rev, 10) +
-			"&timeout_ms=" + strconv.FormatInt(times.wait.Milliseconds(), 10)
+			"&timeout_ms=" + strconv.FormatInt(times.watchWait.Milliseconds(), 10)
 	}
-	ctx, cancel := d.limit(ctx, wait)
+	ctx, cancel := d.withTimeout(ctx, wait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
 	if err != nil {
@@ -215,39 +215,39 @@
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		return d.failed(ctx, err)
+		return d.callError(ctx, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		if resp.StatusCode/100 == 4 {
-			d.current = false // it does not know our version: start over
+			d.revKnown = false // discovery does not know our version: request the full list
 		}
 		return fmt.Errorf("list: status %s", resp.Status)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListSize))
 	if err != nil {
-		return d.failed(ctx, err)
+		return d.callError(ctx, err)
 	}
 	list, err := parseList(text)
 	switch {
 	case err != nil:
 		return err
-	case !d.current && !list.All:
-		return errors.New("list: all: changes in place of the whole list")
-	case d.current && list.Rev < d.rev:
-		if d.older++; d.older >= olderMost { // not a late answer: it counts anew
-			d.current = false
+	case !d.revKnown && !list.All:
+		return errors.New("list: all: got changes, want the full list")
+	case d.revKnown && list.Rev < d.rev:
+		if d.olderAnswers++; d.olderAnswers >= maxOlderAnswers { // not a delayed answer: discovery has restarted its version numbers
+			d.revKnown = false
 		}
 		return fmt.Errorf("list: rev: %d is older than %d", list.Rev, d.rev)
 	}
-	d.older = 0
-	d.current, d.rev = true, list.Rev
+	d.olderAnswers = 0
+	d.revKnown, d.rev = true, list.Rev
 	kind := policy.ListDelta
 	if list.All {
 		kind = policy.ListFull
 	}
-	if list.All || len(list.Targets) > 0 || d.asked {
-		d.hand(kind, list.Targets)
+	if list.All || len(list.Targets) > 0 || d.onRequest {
+		d.deliver(kind, list.Targets)
 	}
 	if d.heard != nil {
 		d.heard(d.rev)
@@ -255,38 +255,39 @@
 	return nil
 }
 
-// errSilent is wrapped where a watch has said nothing for longer than it may wait.
-var errSilent = errors.New("the watch has fallen silent")
+// errWatchTimeout is wrapped by errors of a watch that did not answer in time.
+var errWatchTimeout = errors.New("watch timed out without an answer")
 
-// failed words what became of a call that gave no answer.
-func (d *discovery) failed(ctx context.Context, err error) error {
-	if d.current && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return fmt.Errorf("list: %w: %w", errSilent, err)
+// callError wraps the error of a call that gave no answer.
+func (d *discovery) callError(ctx context.Context, err error) error {
+	if d.revKnown && errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return fmt.Errorf("list: %w: %w", errWatchTimeout, err)
 	}
 	return fmt.Errorf("list: %w", err)
 }
 
-// recall takes the list that this node kept. Whether discovery has begun anew since is not known, so that
-// nothing but the whole list confirms it.
+// recall applies the list that this node had saved. Discovery may have restarted its version numbers since, so
+// only a full list confirms the entries.
 func (d *discovery) recall(targets []target) {
-	d.known = true
-	d.doubted = true
-	d.hand(policy.ListCached, targets)
-	d.doubted = false
+	d.cached = true
+	d.unconfirmed = true
+	d.deliver(policy.ListCached, targets)
+	d.unconfirmed = false
 }
 
-// begin takes the list of before, which may be old. Where discovery is asked, the first call is for what
-// is newer: it costs the one service less than the whole list, and more than one call a start.
+// begin applies the list given at the start, which may be outdated. If discovery is one service for all nodes, the
+// first call asks for changes since that list, which costs the service less than the full list would, and saves
+// it a second call for each start of a node.
 func (d *discovery) begin(known hostList) {
-	d.known = known.All && len(known.Targets) > 0
-	if d.asked && d.known {
-		d.current, d.rev = true, known.Rev
+	d.cached = known.All && len(known.Targets) > 0
+	if d.onRequest && d.cached {
+		d.revKnown, d.rev = true, known.Rev
 	}
-	d.hand(policy.ListCached, known.Targets)
+	d.deliver(policy.ListCached, known.Targets)
 }
 
-// hand gives discovery's lines to the pools that they belong to.
-func (d *discovery) hand(kind policy.ListKind, targets []target) {
+// deliver distributes discovery's targets to the pools that they belong to.
+func (d *discovery) deliver(kind policy.ListKind, targets []target) {
 	if d.listed != nil {
 		d.listed(kind != policy.ListDelta, targets)
 	}
@@ -299,31 +300,31 @@
 				rest = append(rest, t)
 			}
 		}
-		d.give(kind, apart, d.apart)
-		if targets = rest; kind == policy.ListDelta && len(rest) == 0 && len(apart) > 0 && !d.asked {
+		d.deliverTo(kind, apart, d.apart)
+		if targets = rest; kind == policy.ListDelta && len(rest) == 0 && len(apart) > 0 && !d.onRequest {
 			return
 		}
 	}
-	d.give(kind, targets, d.members)
+	d.deliverTo(kind, targets, d.members)
 }
 
-// give turns discovery's lines into the module's entries.
-func (d *discovery) give(kind policy.ListKind, targets []target, members func(policy.ListKind, []policy.Entry, []string)) {
+// deliverTo converts discovery's targets into entries of the decision module and passes them to members.
+func (d *discovery) deliverTo(kind policy.ListKind, targets []target, members func(policy.ListKind, []policy.Entry, []string)) {
 	entries, endpoints := make([]policy.Entry, len(targets)), make([]string, len(targets))
 	for i, t := range targets {
 		entries[i] = policy.Entry{
 			Server: serverID(t.UID), Zone: slices.Index(d.zones, t.AZ), Cell: t.PodGroup, Kind: slices.Index(d.kinds, t.Model),
-			State: state(t.State), Weight: max(0, t.CapacityHint), Started: d.clock.FromUnixMs(t.BootMs), Doubted: d.doubted,
+			State: state(t.State), Weight: max(0, t.CapacityHint), Started: d.clock.FromUnixMs(t.BootMs), Doubted: d.unconfirmed,
 		}
 		endpoints[i] = t.Endpoint
 		if kind == policy.ListDelta {
-			d.log.Info("server", "uid", t.UID, "endpoint", t.Endpoint, "state", t.State, "boot_ms", t.BootMs)
+			d.log.Info("server changed", "uid", t.UID, "endpoint", t.Endpoint, "state", t.State, "boot_ms", t.BootMs)
 		}
 	}
 	members(kind, entries, endpoints)
 }
 
-// state reads a word for a server's state. One that is new to us gets no new work.
+// state maps discovery's name of a server state. A server in an unknown state gets no new requests.
 func state(word string) policy.State {
 	switch word {
 	case "in_service":
@@ -334,8 +335,8 @@
 	return policy.Draining
 }
 
-// serverID names a server to the module: the same for a uid at all times, so
-// nothing has to be remembered for servers that come and go.
+// serverID derives a server's ID in the decision module from its uid by hashing, so that no
+// table of IDs has to be kept for servers that come and go.
 func serverID(uid string) policy.ServerID {
 	h := fnv.New64a()
 	io.WriteString(h, uid)
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -6,48 +6,49 @@
 	"sync/atomic"
 )
 
-// framing looks on as a client's bytes come in, for what net/http no longer tells: that a
-// request had both lengths (RFC 9112, section 6.1). It follows requests' ends the way net/http
-// does, and stops at the first one that is doubtful, as nothing behind it is served.
-type framing struct {
-	doubtful atomic.Bool
+// framingChecker parses a client's bytes alongside net/http to detect requests with both a
+// Content-Length and a Transfer-Encoding (RFC 9112, section 6.1), which net/http does not
+// report. It finds message boundaries the same way net/http does, and stops at the first
+// ambiguous request because nothing after it is served.
+type framingChecker struct {
+	ambiguous atomic.Bool
 
-	part    part
-	line    []byte // the present line so far, lineMost bytes at most
-	first   bool   // it is a head's first line
-	old     bool   // HTTP/1.0
-	chunked bool
-	sized   bool
-	left    int64 // bytes of a body or chunk
+	state       framingState
+	line        []byte // the current line so far, at most maxLine bytes
+	requestLine bool   // the current line is the request line
+	http10      bool   // the request is HTTP/1.0
+	chunked     bool
+	hasLength   bool
+	remaining   int64 // remaining bytes of the body or chunk
 }
 
-// part is where in a request the next byte stands.
-type part uint8
+// framingState is the part of a request that the next byte belongs to.
+type framingState uint8
 
 const (
-	inHead part = iota
+	inHead framingState = iota
 	inBody
 	inChunkLine
 	inChunk
 	inChunkEnd
 	inTrailer
-	inDoubt // nothing is followed any more
+	framingStopped // parsing has stopped
 )
 
-// lineMost is what is kept of a line: enough for the names and values that matter.
-const lineMost = 256
+// maxLine is the number of bytes kept of a line, enough for the relevant names and values.
+const maxLine = 256
 
-// see takes in what came.
-func (f *framing) see(b []byte) {
-	for len(b) > 0 && f.part != inDoubt {
-		if f.part == inBody || f.part == inChunk {
-			n := min(f.left, int64(len(b)))
+// observe processes bytes received from the client.
+func (f *framingChecker) observe(b []byte) {
+	for len(b) > 0 && f.state != framingStopped {
+		if f.state == inBody || f.state == inChunk {
+			n := min(f.remaining, int64(len(b)))
 			b = b[n:]
-			if f.left -= n; f.left == 0 {
-				if f.part == inBody {
-					f.begin()
+			if f.remaining -= n; f.remaining == 0 {
+				if f.state == inBody {
+					f.reset()
 				} else {
-					f.part = inChunkEnd
+					f.state = inChunkEnd
 				}
 			}
 			continue
@@ -57,60 +58,60 @@
 		if end >= 0 {
 			piece = b[:end]
 		}
-		if f.part == inHead && f.first { // its end matters, however long it is
-			f.line = append(f.line, piece[max(0, len(piece)-lineMost/2):]...)
-			f.line = f.line[:copy(f.line, f.line[max(0, len(f.line)-lineMost/2):])]
+		if f.state == inHead && f.requestLine { // keep the tail, which holds the HTTP version
+			f.line = append(f.line, piece[max(0, len(piece)-maxLine/2):]...)
+			f.line = f.line[:copy(f.line, f.line[max(0, len(f.line)-maxLine/2):])]
 		} else {
-			f.line = append(f.line, piece[:min(len(piece), lineMost-len(f.line))]...)
+			f.line = append(f.line, piece[:min(len(piece), maxLine-len(f.line))]...)
 		}
 		if end < 0 {
 			return
 		}
 		b = b[end+1:]
-		f.ended(bytes.TrimSuffix(f.line, []byte("\r")))
+		f.endLine(bytes.TrimSuffix(f.line, []byte("\r")))
 		f.line = f.line[:0]
 	}
 }
 
-func (f *framing) begin() {
-	f.part, f.first, f.old, f.chunked, f.sized, f.left = inHead, true, false, false, false, 0
+func (f *framingChecker) reset() {
+	f.state, f.requestLine, f.http10, f.chunked, f.hasLength, f.remaining = inHead, true, false, false, false, 0
 }
 
-// ended takes a whole line.
-func (f *framing) ended(line []byte) {
-	switch f.part {
+// endLine processes a complete line.
+func (f *framingChecker) endLine(line []byte) {
+	switch f.state {
 	case inHead:
 		f.headLine(line)
 	case inChunkLine:
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		n, err := strconv.ParseInt(string(bytes.TrimRight(size, " \t")), 16, 63)
 		switch {
-		case err != nil || n < 0: // net/http will say so
-			f.part = inDoubt
+		case err != nil || n < 0: // net/http rejects this request
+			f.state = framingStopped
 		case n == 0:
-			f.part = inTrailer
+			f.state = inTrailer
 		default:
-			f.part, f.left = inChunk, n
+			f.state, f.remaining = inChunk, n
 		}
 	case inChunkEnd:
-		f.part = inChunkLine
+		f.state = inChunkLine
 	case inTrailer:
 		if len(line) == 0 {
-			f.begin()
+			f.reset()
 		}
 	}
 }
 
-func (f *framing) headLine(line []byte) {
+func (f *framingChecker) headLine(line []byte) {
 	switch {
-	case len(line) == 0 && f.first: // blank lines ahead of a request
+	case len(line) == 0 && f.requestLine: // blank line before a request
 		return
 	case len(line) == 0:
-		f.headEnded()
+		f.endHead()
 		return
-	case f.first:
-		f.old = bytes.HasSuffix(line, []byte("HTTP/1.0"))
-		f.first = false
+	case f.requestLine:
+		f.http10 = bytes.HasSuffix(line, []byte("HTTP/1.0"))
+		f.requestLine = false
 		return
 	}
 	name, value, _ := bytes.Cut(line, []byte(":"))
@@ -119,25 +120,25 @@
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		f.chunked = true
 	case bytes.EqualFold(name, []byte("Content-Length")):
-		f.sized = true
+		f.hasLength = true
 		n, err := strconv.ParseInt(string(value), 10, 63)
-		if err != nil || n < 0 { // net/http will say so
-			f.part = inDoubt
+		if err != nil || n < 0 { // net/http rejects this request
+			f.state = framingStopped
 		}
-		f.left = n
+		f.remaining = n
 	}
 }
 
-func (f *framing) headEnded() {
+func (f *framingChecker) endHead() {
 	switch {
-	case f.chunked && (f.sized || f.old):
-		f.part = inDoubt
-		f.doubtful.Store(true)
+	case f.chunked && (f.hasLength || f.http10):
+		f.state = framingStopped
+		f.ambiguous.Store(true)
 	case f.chunked:
-		f.part = inChunkLine
-	case f.left > 0:
-		f.part = inBody
+		f.state = inChunkLine
+	case f.remaining > 0:
+		f.state = inBody
 	default:
-		f.begin()
+		f.reset()
 	}
 }
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -20,25 +20,25 @@
 	"otterstep/policy"
 )
 
-// front is the client side: it turns requests into events of the loop and the
-// loop's answers into responses.
+// front serves clients: it converts HTTP requests into events of the core loop, and the loop's
+// answers into HTTP responses.
 type front struct {
-	loop     *core.Loop
-	upstream *upstream
-	site     wire.Site
-	clients  *clients
-	life     *life.Life
-	tellUp   bool // /up says no from the first moment of the node's end
-	classes  map[string]int
-	tenants  map[string]int
-	draining atomic.Bool // answers close their connections
-	giving   atomic.Bool // likewise, as another process takes over
-	bodies   budget      // memory of clients' larger bodies
+	loop         *core.Loop
+	upstream     *upstream
+	site         wire.Site
+	clients      *clients
+	life         *life.Life
+	failUpAtOnce bool // /up fails as soon as termination begins
+	classes      map[string]int
+	tenants      map[string]int
+	draining     atomic.Bool // the node drains: answers close their connections
+	giving       atomic.Bool // the same while another process takes over
+	bodies       byteBudget  // memory for clients' larger bodies
 }
 
 func newFront(l *core.Loop, up *upstream, site wire.Site, g *clients, bodies int64, state *life.Life, tellUp bool) *front {
 	f := &front{
-		loop: l, upstream: up, site: site, clients: g, life: state, tellUp: tellUp,
+		loop: l, upstream: up, site: site, clients: g, life: state, failUpAtOnce: tellUp,
 		classes: map[string]int{}, tenants: map[string]int{},
 	}
 	f.bodies.most.Store(bodies)
@@ -51,20 +51,20 @@
 	return f
 }
 
-// server makes the HTTP server of clients' connections.
+// server returns the HTTP server for clients' connections.
 func (f *front) server(log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
-		WriteTimeout: writeTimeout, // of a small answer; what passes has a limit for each part
-		ConnState:    f.clients.state, ConnContext: withClient,
+		WriteTimeout: writeTimeout, // for buffered answers; streamed ones have a timeout for each write
+		ConnState:    f.clients.connState, ConnContext: withClient,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 }
 
-// mostBody bounds a request's body. No more than the memory for bodies is kept of it.
+// mostBody is the maximum size of a request body. The body memory limits how much of it is buffered.
 const mostBody = 64 << 20
 
-// clientError is what is wrong with a request, in words for its sender.
+// clientError is an invalid request, with the status code and text of the response.
 type clientError struct {
 	code int
 	text string
@@ -79,47 +79,47 @@
 func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	full := f.clients.full()
 	if r.URL.Path == "/up" {
-		f.close(w)
-		if !f.life.Up(f.tellUp) {
+		f.announceClose(w)
+		if !f.life.Up(f.failUpAtOnce) {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 		}
 		return
 	}
 	q, m, err := f.parse(r)
-	if err == nil && full { // nothing was sent for it, so that the promise of a refusal holds
+	if err == nil && full { // nothing was forwarded yet, so a refusal may state that the request did not run
 		f.refuseUnread(w)
 		return
 	}
 	if err == nil && r.ContentLength != 0 {
-		m.body, full, err = f.keep(w, r)
+		m.body, full, err = f.readBody(w, r)
 		if full {
 			f.refuseUnread(w)
 			return
 		}
 	}
 	if err != nil {
-		f.turnDown(w, err)
+		f.rejectRequest(w, err)
 		return
 	}
 	if m.body != nil {
 		defer m.body.release()
 	}
-	// A request's time counts from its last byte.
-	came := f.loop.Clock().Now()
-	q.Deadline = came + m.left
-	if q.Coming = m.coming(); q.Coming {
-		// What is left of the body follows on the connection, unless all of it is read.
+	// The time that a client waits counts from the request's last byte.
+	arrived := f.loop.Clock().Now()
+	q.Deadline = arrived + m.timeLeft
+	if q.Coming = m.bodyPending(); q.Coming {
+		// The unread rest of the body would precede the next request on the connection.
 		w.Header().Set("Connection", "close")
-		_ = http.NewResponseController(w).EnableFullDuplex() // HTTP/1 can
+		_ = http.NewResponseController(w).EnableFullDuplex() // always supported in HTTP/1
 	} else {
-		// The request is whole; the time limit on reading it must not end the wait.
-		// A connection that can't take this back is broken and shows as such.
+		// The request is complete, so its read deadline must not end the wait for the answer.
+		// On an error the connection is broken, which shows in its further use.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 
 	answers := make(chan core.Answer, 1)
-	m.passed = passing.New()
-	defer m.passed.Close()
+	m.handoff = passing.New()
+	defer m.handoff.Close()
 	q.Message, q.Answers = m, answers
 	taken, ok := f.loop.Submit(q)
 	if !ok {
@@ -127,43 +127,43 @@
 		return
 	}
 	select {
-	case in := <-m.passed.Answers():
+	case in := <-m.handoff.Answers():
 		f.relay(w, r, in)
 	case a := <-answers:
 		if a.Kind == core.Duplicate {
-			f.turnDown(w, &clientError{http.StatusConflict, "X-Correlation-Id: in use"})
+			f.rejectRequest(w, &clientError{http.StatusConflict, "X-Correlation-Id: in use"})
 			return
 		}
-		f.close(w)
-		write(w, r, a)
+		f.announceClose(w)
+		writeAnswer(w, r, a)
 		if q.Coming {
 			m.body.discard(w)
 		}
-	case <-r.Context().Done(): // the client went away
+	case <-r.Context().Done(): // the client disconnected
 		f.loop.Leave(taken)
-		panic(http.ErrAbortHandler) // net/http would answer 200 for us, and half of it may listen still
+		panic(http.ErrAbortHandler) // returning would send a 200, and a client that only half-closed could still receive it
 	case <-f.loop.Stopped():
 		http.Error(w, "shutting down", http.StatusBadGateway)
 	}
 }
 
-// refuseUnread turns a request away for want of room, before any of it has gone on.
+// refuseUnread refuses a request for lack of resources, before any of it was forwarded.
 func (f *front) refuseUnread(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	refuse(w, f.site.Settings.Limits.MaxRetryAfter)
+	writeRefusal(w, f.site.Settings.Limits.MaxRetryAfter)
 }
 
-// relay passes an answer on while it comes. One that breaks ends the client's connection, so
-// that it can't be taken for whole.
+// relay streams an answer to the client. If the answer is truncated it aborts the client's
+// connection, so that the client does not take the answer for complete.
 func (f *front) relay(w http.ResponseWriter, r *http.Request, in *passing.Answer) {
 	status := policy.Cancelled
-	defer func() { in.End(status) }() // also if the connection panics
-	f.close(w)
-	head(w, in.Header.Get("Content-Type"), in.Length)
+	defer func() { in.End(status) }() // also after a panic
+	f.announceClose(w)
+	setAnswerHeaders(w, in.Header.Get("Content-Type"), in.Length)
 	w.WriteHeader(http.StatusOK)
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
-	switch err := in.Copy(r.Context(), w, clientStall, *buf); {
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
+	switch err := in.Copy(r.Context(), w, clientWriteTimeout, *buf); {
 	case errors.Is(err, passing.ErrGone):
 		panic(http.ErrAbortHandler)
 	case err != nil:
@@ -173,19 +173,19 @@
 	status = policy.OK
 }
 
-// close ends the connection behind the answer while the node drains or few
-// descriptors are left: nothing can cross such a close. It is asked when the answer
-// is there, as much may have changed since the request came.
-func (f *front) close(w http.ResponseWriter) {
-	if f.draining.Load() || f.giving.Load() || f.clients.crowded() || f.life.Closes(time.Now()) {
+// announceClose makes the answer close the connection while the node drains or few descriptors are
+// left. Such a close is announced, so no request can race with it. It is called when the answer
+// is ready, because the node's state may have changed since the request arrived.
+func (f *front) announceClose(w http.ResponseWriter) {
+	if f.draining.Load() || f.giving.Load() || f.clients.nearLimit() || f.life.Closes(time.Now()) {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// turnDown answers what can't be used, and ends the connection: what follows on it
-// can't be trusted. While descriptors are few it does so at once, where net/http
-// would linger for half a second so that a client still sending sees the answer.
-func (f *front) turnDown(w http.ResponseWriter, err error) {
+// rejectRequest answers an invalid request and closes the connection, since further data on it
+// cannot be trusted. While few descriptors are left it closes immediately, whereas net/http
+// would wait for half a second so that a client that is still sending receives the answer.
+func (f *front) rejectRequest(w http.ResponseWriter, err error) {
 	code := http.StatusBadRequest
 	if bad := (*clientError)(nil); errors.As(err, &bad) {
 		code = bad.code
@@ -194,31 +194,32 @@
 	h := w.Header()
 	h.Set("Connection", "close")
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	h.Set("Content-Length", strconv.Itoa(len(text))) // else the flush cuts off a last chunk
+	h.Set("Content-Length", strconv.Itoa(len(text))) // otherwise the answer is chunked, and the last chunk is missing after Flush and the abort
 	w.WriteHeader(code)
 	_, _ = io.WriteString(w, text)
-	if f.clients.crowded() {
+	if f.clients.nearLimit() {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// parse looks at all but the body. What it can't make sense of is an error at once.
+// parse validates and converts everything but the body.
 func (f *front) parse(r *http.Request) (q core.Request, m *message, err error) {
 	from := clientOf(r.Context())
-	if from != nil && from.framing.doubtful.Load() {
-		// net/http has dropped a Content-Length beside a Transfer-Encoding by now. Two lengths
-		// may hide a second request in the first one's body, so none of these passes.
+	if from != nil && from.framing.ambiguous.Load() {
+		// net/http has already removed the Content-Length next to a Transfer-Encoding. Two
+		// lengths can smuggle a second request in the first one's body, so all such requests
+		// are rejected.
 		return q, nil, badRequest("Content-Length beside Transfer-Encoding, or a Transfer-Encoding in HTTP/1.0 (RFC 9112, section 6.1)")
 	}
-	one := func(name string) string {
+	single := func(name string) string {
 		if values := r.Header[name]; len(values) > 1 && err == nil {
 			err = badRequest("%s: given twice", name)
 		}
 		return r.Header.Get(name)
 	}
-	id, class, tenant := one("X-Correlation-Id"), one("X-Service-Class"), one("X-Account")
-	timeLeft, hint, idempotency := one("X-Time-Left"), one("X-Weight-Hint"), one("Idempotency-Key")
+	id, class, tenant := single("X-Correlation-Id"), single("X-Service-Class"), single("X-Account")
+	timeLeft, hint, idempotency := single("X-Time-Left"), single("X-Weight-Hint"), single("Idempotency-Key")
 	if err != nil {
 		return q, nil, err
 	}
@@ -236,21 +237,21 @@
 	if first != class || !strings.HasPrefix(r.RequestURI, "/"+class) {
 		return q, nil, badRequest("path %q is not of class %q", r.URL.Path, class)
 	}
-	if strings.Contains(rest, ".") { // escaped or not: the path is decoded
+	if strings.Contains(rest, ".") { // covers escaped dots too: the path is decoded
 		for segment := range strings.SplitSeq(rest, "/") {
 			if classify.Dots(segment) {
-				// A server that resolves it would take the request for one of another class.
+				// A server that resolves dot segments would assign the request to another class.
 				return q, nil, badRequest("path %.60q: a segment %.20q, which leads out of its class", r.URL.Path, segment)
 			}
 		}
 	}
 	q.Key = key(rest)
-	left, err := number("X-Time-Left", timeLeft, time.Second)
+	left, err := parseDuration("X-Time-Left", timeLeft, time.Second)
 	if err != nil {
 		return q, nil, err
 	}
 	if hint != "" {
-		if q.Hint, err = number("X-Weight-Hint", hint, time.Microsecond); err != nil {
+		if q.Hint, err = parseDuration("X-Weight-Hint", hint, time.Microsecond); err != nil {
 			return q, nil, err
 		}
 	}
@@ -269,11 +270,11 @@
 	}
 	q.Name = id
 	m = &message{
-		left:   min(left, rules.Deadline),
-		method: r.Method, uri: r.RequestURI, host: r.Host,
-		header: make(http.Header, len(forwarded)), upstream: f.upstream, lengths: !r.ProtoAtLeast(1, 1), from: from,
+		timeLeft: min(left, rules.Deadline),
+		method:   r.Method, uri: r.RequestURI, host: r.Host,
+		header: make(http.Header, len(forwardedHeaders)), upstream: f.upstream, needsLength: !r.ProtoAtLeast(1, 1), client: from,
 	}
-	for _, name := range forwarded {
+	for _, name := range forwardedHeaders {
 		if values := r.Header[name]; len(values) > 0 {
 			m.header[name] = values
 		}
@@ -281,9 +282,9 @@
 	return q, m, nil
 }
 
-// number reads a time given as a decimal number of units; one of over an hour is
-// no time that a client waits.
-func number(name, text string, unit time.Duration) (time.Duration, error) {
+// parseDuration parses a decimal number of units. More than an hour is rejected, since no
+// client waits that long.
+func parseDuration(name, text string, unit time.Duration) (time.Duration, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0 && v <= float64(time.Hour/unit)) {
 		return 0, badRequest("%s: not a time: %q", name, text)
@@ -291,7 +292,7 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// key hashes the last part of a path behind its class; 0 where there is none.
+// key returns a hash of the last path segment after the class; 0 if there is none.
 func key(rest string) uint64 {
 	last := rest[strings.LastIndexByte(rest, '/')+1:]
 	if last == "" {
@@ -302,9 +303,9 @@
 	return max(h.Sum64(), 1)
 }
 
-// write passes an answer on. An error of the connection is the client's leaving:
-// the answer was given.
-func write(w http.ResponseWriter, r *http.Request, a core.Answer) {
+// writeAnswer writes an answer to the client. Write errors are ignored: they mean that the client
+// disconnected.
+func writeAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
 	switch a.Kind {
 	case core.Served:
 		p := a.Body.(reply)
@@ -312,10 +313,10 @@
 		if r.Method == http.MethodHead {
 			length = p.length
 		}
-		head(w, p.contentType, length)
+		setAnswerHeaders(w, p.contentType, length)
 		_, _ = w.Write(p.body)
 	case core.Refused:
-		refuse(w, a.RetryAfter)
+		writeRefusal(w, a.RetryAfter)
 	case core.Failed:
 		http.Error(w, "failed", http.StatusBadGateway)
 	case core.Overdue:
@@ -323,19 +324,19 @@
 	}
 }
 
-// head sets what is told of a served answer; a length below 0 is not known.
-func head(w http.ResponseWriter, contentType string, length int64) {
+// setAnswerHeaders sets the headers of a served answer; a negative length means unknown.
+func setAnswerHeaders(w http.ResponseWriter, contentType string, length int64) {
 	if contentType != "" {
 		w.Header().Set("Content-Type", contentType)
 	} else {
-		w.Header()["Content-Type"] = nil // don't guess it from the body
+		w.Header()["Content-Type"] = nil // keeps net/http from sniffing it
 	}
 	if length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 }
 
-func refuse(w http.ResponseWriter, retryAfter time.Duration) {
+func writeRefusal(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -20,25 +20,25 @@
 	"otterstep/policy"
 )
 
-// bench is a front on real connections with its loop and the connections to servers at hand.
-type bench struct {
+// fixture is a front on real connections with access to its loop and HTTP server.
+type fixture struct {
 	addr   string
 	loop   *core.Loop
 	front  *front
 	server *http.Server
 }
 
-// startFront serves clients by way of so many servers, all at one address. Classes have a minute's time, so that
-// a further attempt comes seconds behind the one before it.
-func startFront(t *testing.T, up *upstream, servers int, at string) *bench {
+// startFront starts a front with the given number of servers, all at one address. Classes have a deadline of one
+// minute, so that a further attempt follows seconds after the previous one.
+func startFront(t *testing.T, up *upstream, servers int, at string) *fixture {
 	t.Helper()
-	b, accept := startUnheard(t, up, servers, at)
+	b, accept := startPaused(t, up, servers, at)
 	accept()
 	return b
 }
 
-// startUnheard is startFront that accepts nobody before accept is called.
-func startUnheard(t *testing.T, up *upstream, servers int, at string) (b *bench, accept func()) {
+// startPaused is like startFront, but accepts no connections before accept is called.
+func startPaused(t *testing.T, up *upstream, servers int, at string) (b *fixture, accept func()) {
 	t.Helper()
 	site := siteOf(t, strings.NewReplacer("3000", "60000", "2000", "60000").Replace(settings))
 	l, err := core.New(core.Options{Settings: site.Settings, Seed: 1, Clock: core.NewClock(), Watch: func() {}, Drop: up.pool.Drop})
@@ -57,11 +57,11 @@
 	f := newFront(l, up, site, g, 1<<20, new(life.Life), false)
 	s := f.server(quiet())
 	t.Cleanup(func() { s.Close(); listener.Close() })
-	return &bench{listener.Addr().String(), l, f, s}, func() { go func() { _ = s.Serve(g.listener(listener)) }() }
+	return &fixture{listener.Addr().String(), l, f, s}, func() { go func() { _ = s.Serve(g.listener(listener)) }() }
 }
 
-// open counts the requests that are owed an answer or have an attempt out.
-func (b *bench) open(t *testing.T) int {
+// open returns the number of requests that await an answer or have an attempt in flight.
+func (b *fixture) open(t *testing.T) int {
 	t.Helper()
 	v, err := b.loop.Inspect(t.Context())
 	if err != nil {
@@ -70,25 +70,25 @@
 	return v.Requests
 }
 
-// handshake is a server whose connections come up when the gate opens; it answers nothing.
-type handshake struct {
+// slowHandshake is a TLS server that handshakes only once gate is closed and never answers.
+type slowHandshake struct {
 	addr       string
-	config     *tls.Config // of its clients
+	config     *tls.Config // for its clients
 	connecting chan struct{}
 	gate       chan struct{}
-	told       chan string // X-Time-Left of what came whole
+	timeLeft   chan string // X-Time-Left of each complete request
 }
 
-func newHandshake(t *testing.T) *handshake {
+func newSlowHandshake(t *testing.T) *slowHandshake {
 	t.Helper()
-	keys := httptest.NewTLSServer(nil) // for its certificate alone
+	keys := httptest.NewTLSServer(nil) // only for its certificate
 	t.Cleanup(keys.Close)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	h := &handshake{
+	h := &slowHandshake{
 		l.Addr().String(), &tls.Config{InsecureSkipVerify: true},
 		make(chan struct{}, 16), make(chan struct{}), make(chan string, 16),
 	}
@@ -104,8 +104,8 @@
 				<-h.gate
 				c := tls.Server(raw, &tls.Config{Certificates: keys.TLS.Certificates})
 				if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					h.told <- r.Header.Get("X-Time-Left")
-					c.Read(make([]byte, 1)) // until the node gives up
+					h.timeLeft <- r.Header.Get("X-Time-Left")
+					c.Read(make([]byte, 1)) // until the node closes
 				}
 			}()
 		}
@@ -113,33 +113,33 @@
 	return h
 }
 
-// The ways in which clients leave.
-var departures = map[string]func(t *testing.T, c *clientConn){
+// disconnects are the ways in which a client can disconnect.
+var disconnects = map[string]func(t *testing.T, c *clientConn){
 	"closes":      func(_ *testing.T, c *clientConn) { c.Close() },
 	"half-closes": func(_ *testing.T, c *clientConn) { c.Conn.(*net.TCPConn).CloseWrite() },
 	"resets": func(_ *testing.T, c *clientConn) {
 		c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	},
-	"closes behind another request": func(t *testing.T, c *clientConn) {
+	"closes after another request": func(t *testing.T, c *clientConn) {
 		c.send(t, requestText(t, "api", "read", "59"))
 		c.Close()
 	},
-	"half-closes behind half a line": func(t *testing.T, c *clientConn) {
+	"half-closes after half a line": func(t *testing.T, c *clientConn) {
 		c.send(t, "GET /rea")
 		c.Conn.(*net.TCPConn).CloseWrite()
 	},
-	"closes behind a flood": func(t *testing.T, c *clientConn) {
-		c.send(t, strings.Repeat("x", 3*aheadMost))
+	"closes after a flood": func(t *testing.T, c *clientConn) {
+		c.send(t, strings.Repeat("x", 3*maxReadAhead))
 		c.Close()
 	},
 }
 
-// Guards against work for clients that are gone: however a client leaves and wherever its request stands, the
-// node notices, and none of it goes on from then.
-func TestLeavingIsNoticed(t *testing.T) {
+// Guards against work for disconnected clients: however a client disconnects and in whatever state its request is, the
+// node detects it and starts no further attempt.
+func TestClientDisconnectIsDetected(t *testing.T) {
 	t.Parallel()
-	for way, leave := range departures {
+	for way, leave := range disconnects {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			t.Run("while it waits for its first attempt", func(t *testing.T) {
@@ -152,20 +152,20 @@
 					return true
 				})
 				b := startFront(t, testUpstream(t, 64), 1, s.addr)
-				var ahead []*clientConn
-				for b.open(t) < 12 { // more than the module lets a server of unknown size have at once
+				var earlier []*clientConn
+				for b.open(t) < 12 { // more than the decision module sends concurrently to a server of unknown capacity
 					c := connect(t, b.addr)
 					c.send(t, requestText(t, b.addr, "book", "59"))
-					ahead = append(ahead, c)
-					waitFor(t, "request that is open", func() bool { return b.open(t) == len(ahead) })
+					earlier = append(earlier, c)
+					waitFor(t, "request that is open", func() bool { return b.open(t) == len(earlier) })
 				}
 				c, text := connect(t, b.addr), requestText(t, b.addr, "book", "59")
 				c.send(t, text)
-				waitFor(t, "request that waits", func() bool { return b.open(t) == len(ahead)+1 })
+				waitFor(t, "request that waits", func() bool { return b.open(t) == len(earlier)+1 })
 				leave(t, c)
-				waitFor(t, "leaving that is noticed", func() bool { return b.open(t) == len(ahead) })
+				waitFor(t, "detected disconnect", func() bool { return b.open(t) == len(earlier) })
 				close(hold)
-				for _, c := range ahead {
+				for _, c := range earlier {
 					if code, text, _ := c.answer(t); code != http.StatusOK {
 						t.Fatal(code, text)
 					}
@@ -175,7 +175,7 @@
 					t.Fatal(err)
 				}
 				if _, sent := ids.Load(r.Header.Get("X-Correlation-Id")); sent {
-					t.Error("sent on behind its client's leaving")
+					t.Error("request was sent to the server after its client disconnected")
 				}
 			})
 			t.Run("between two attempts", func(t *testing.T) {
@@ -190,13 +190,13 @@
 				left <- func() { leave(t, c) }
 				c.send(t, requestText(t, b.addr, "read", "59"))
 				waitFor(t, "request", func() bool { return s.requests.Load() == 1 })
-				waitFor(t, "leaving that is noticed", func() bool { return b.open(t) == 0 })
+				waitFor(t, "detected disconnect", func() bool { return b.open(t) == 0 })
 				if n := s.requests.Load(); n != 1 {
-					t.Errorf("%d attempts, want the one from before", n)
+					t.Errorf("%d attempts, want only the first", n)
 				}
 			})
 			t.Run("during a connect", func(t *testing.T) {
-				h := newHandshake(t)
+				h := newSlowHandshake(t)
 				up := &upstream{pool: conns.New(conns.Options{IdleFor: time.Hour, Connect: patience, Most: 8, TLS: h.config})}
 				t.Cleanup(up.pool.Close)
 				b := startFront(t, up, 1, h.addr)
@@ -204,26 +204,26 @@
 				c.send(t, requestText(t, b.addr, "push", "59"))
 				<-h.connecting
 				leave(t, c)
-				waitFor(t, "leaving that is noticed", func() bool { return b.open(t) == 0 })
+				waitFor(t, "detected disconnect", func() bool { return b.open(t) == 0 })
 				close(h.gate)
 				waitFor(t, "end of the connection", func() bool { open, _ := up.pool.Count(); return open == 0 })
-				if len(h.told) > 0 {
-					t.Error("the attempt began behind its client's leaving")
+				if len(h.timeLeft) > 0 {
+					t.Error("the attempt began after its client disconnected")
 				}
 			})
 		})
 	}
 }
 
-// Clients that have gone by the time that the node accepts them, as behind a stop of the whole machine: nothing of
-// theirs begins at a server, whatever order its goroutines run in.
-func TestGoneBeforeTheyAreAccepted(t *testing.T) {
+// Clients that disconnected before the node accepted them, for example while the whole machine was suspended: none of
+// their requests reaches a server, whatever order the node's goroutines run in.
+func TestDisconnectBeforeAccept(t *testing.T) {
 	t.Parallel()
-	for way, leave := range departures {
+	for way, leave := range disconnects {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			s := newServer(t, says(ok("x"), true))
-			b, accept := startUnheard(t, testUpstream(t, 64), 8, s.addr)
+			b, accept := startPaused(t, testUpstream(t, 64), 8, s.addr)
 			for n := range 60 {
 				c := connect(t, b.addr)
 				c.send(t, requestText(t, b.addr, []string{"read", "push", "book"}[n%3], "59"))
@@ -238,15 +238,15 @@
 			})
 			waitFor(t, "end of all requests", func() bool { return b.open(t) == 0 })
 			if n := s.requests.Load(); n != 1 {
-				t.Errorf("%d requests of 60 clients that had gone began", n-1)
+				t.Errorf("%d requests of 60 disconnected clients reached the server", n-1)
 			}
 		})
 	}
 }
 
-// What a client sends behind an open request is answered in its turn; one that sends more than is kept gets its
-// first answer, and its connection ends.
-func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
+// Pipelined requests are answered in order. A client that sends more than maxReadAhead bytes after an open request gets
+// the answer to that request, and its connection is closed.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{}, 8)
 	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
@@ -267,7 +267,7 @@
 		text += one.String()
 		ids = append(ids, r.Header.Get("X-Correlation-Id"))
 	}
-	first := strings.Index(text, "\r\n\r\n") + 7 // into the body, so that what follows comes in a part of its own
+	first := strings.Index(text, "\r\n\r\n") + 7 // splits the text inside the first body, so that the rest arrives separately
 	c.send(t, text[:first])
 	c.send(t, text[first:])
 	for _, id := range ids {
@@ -278,27 +278,26 @@
 	}
 	c.send(t, requestText(t, b.addr, "read", "59"))
 	waitFor(t, "fifth request", func() bool { return s.requests.Load() == 5 })
-	c.send(t, strings.Repeat("x", 2*aheadMost))
+	c.send(t, strings.Repeat("x", 2*maxReadAhead))
 	hold <- struct{}{}
 	if code, text, _ := c.answer(t); code != http.StatusOK {
-		t.Errorf("answered %d %s ahead of a flood, want 200", code, text)
+		t.Errorf("request before the flood is answered %d %s, want 200", code, text)
 	}
-	c.answer(t) // a 4xx, or the end at once
+	c.answer(t) // a 4xx or the end of the connection
 	if code, text, _ := c.answer(t); code != 0 {
-		t.Errorf("answered %d %s behind a flood, want an end", code, text)
+		t.Errorf("answered %d %s after the flood, want the connection to be closed", code, text)
 	}
 }
 
-// A thousand departures at drawn instants: no attempt begins more than 0.1 s after its client's close, none of a
-// request that waited at all later.
-func TestThousandDepartures(t *testing.T) {
+// A thousand clients disconnect at random times: no attempt begins more than 0.1 s after its client's close.
+func TestRandomDisconnects(t *testing.T) {
 	t.Parallel()
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
-	var closed sync.Map // id: time of the client's close
+	var closed sync.Map // request id to the time of its client's close
 	var late, attempts atomic.Int64
 	up := testUpstream(t, 64)
-	up.began = func(m *message) {
+	up.onAttempt = func(m *message) {
 		attempts.Add(1)
 		if at, gone := closed.Load(m.header.Get("X-Correlation-Id")); gone && time.Since(at.(time.Time)) > 100*time.Millisecond {
 			late.Add(1)
@@ -309,7 +308,7 @@
 		case n%8 == 0:
 			io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
 		case n%2 == 1:
-			c.Read(make([]byte, 1)) // silent until the node gives up
+			c.Read(make([]byte, 1)) // silent until the node closes
 			return false
 		default:
 			io.WriteString(c, ok("x"))
@@ -333,7 +332,7 @@
 					io.WriteString(c, "GET /read/more HTTP/1.1\r\n")
 				}
 				c.SetReadDeadline(time.Now().Add(time.Duration(rng.IntN(30)) * time.Millisecond))
-				c.Read(make([]byte, 1)) // it leaves then, or behind its answer
+				c.Read(make([]byte, 1)) // disconnects at the deadline or after its answer
 				c.Close()
 				closed.Store(r.Header.Get("X-Correlation-Id"), time.Now())
 			}
@@ -346,6 +345,6 @@
 	clients.Wait()
 	waitFor(t, "end of all requests", func() bool { return b.open(t) == 0 })
 	if late.Load() > 0 {
-		t.Errorf("seed %d: %d of %d attempts began late", seed, late.Load(), attempts.Load())
+		t.Errorf("seed %d: %d of %d attempts began more than 0.1 s after the disconnect", seed, late.Load(), attempts.Load())
 	}
 }
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -8,7 +8,7 @@
 	"net"
 )
 
-// hostList is discovery's list of servers or the changes to it.
+// hostList is discovery's full list of servers, or the changes to it if All is false.
 type hostList struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
@@ -26,8 +26,8 @@
 	BootMs       int64   `json:"boot_ms"`
 }
 
-// parseList reads an answer of discovery's. It is taken whole or not at all: half a list would take servers away, or
-// leave them in, that discovery says nothing of. Errors name the field.
+// parseList decodes an answer from discovery. A list with any invalid entry is rejected as a whole, because using part
+// of it would remove or keep servers that discovery did not mention. Errors name the field.
 func parseList(text []byte) (hostList, error) {
 	var j struct {
 		Rev     *int64    `json:"rev"`
@@ -37,7 +37,7 @@
 	if err := json.Unmarshal(text, &j); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) {
-			return hostList{}, fmt.Errorf("list: %s: a %s where a %s belongs, at byte %d", wrong.Field, wrong.Value, wrong.Type, wrong.Offset)
+			return hostList{}, fmt.Errorf("list: %s: got %s, want %s, at byte %d", wrong.Field, wrong.Value, wrong.Type, wrong.Offset)
 		}
 		return hostList{}, fmt.Errorf("list of %d bytes: %w", len(text), err)
 	}
@@ -45,7 +45,7 @@
 	case j.Rev == nil:
 		return hostList{}, errors.New("list: rev: missing")
 	case *j.Rev < 0:
-		return hostList{}, fmt.Errorf("list: rev: %d is no version", *j.Rev)
+		return hostList{}, fmt.Errorf("list: rev: %d is negative", *j.Rev)
 	case j.All == nil:
 		return hostList{}, errors.New("list: all: missing")
 	case j.Targets == nil:
@@ -59,7 +59,7 @@
 	return hostList{*j.Rev, *j.All, *j.Targets}, nil
 }
 
-// check finds what makes a line unfit for use. A server that is gone needs no address.
+// check validates an entry. A terminated server needs no endpoint.
 func (t target) check() error {
 	if t.UID == "" {
 		return errors.New("uid: missing")
@@ -71,10 +71,10 @@
 		return fmt.Errorf("endpoint: %w", err)
 	}
 	if t.CapacityHint < 0 || math.IsInf(t.CapacityHint, 0) {
-		return fmt.Errorf("capacity_hint: %v is no size", t.CapacityHint)
+		return fmt.Errorf("capacity_hint: %v is negative or infinite", t.CapacityHint)
 	}
 	if t.BootMs < 0 {
-		return fmt.Errorf("boot_ms: %d is no time", t.BootMs)
+		return fmt.Errorf("boot_ms: %d is negative", t.BootMs)
 	}
 	return nil
 }
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -9,8 +9,8 @@
 	`{"uid":"s-1","endpoint":"127.0.0.1:8000","az":"a","model":"m2","pod_group":3,"state":"in_service","capacity_hint":1.5,"boot_ms":7},` +
 	`{"uid":"s-2","endpoint":"","az":"a","model":"m2","pod_group":3,"state":"terminated","capacity_hint":0,"boot_ms":0}]}`
 
-// Guards against half a list: cut at any byte it is refused, and nothing of it is used.
-func TestListCutAnywhereIsRefused(t *testing.T) {
+// Guards against truncated lists: a list cut at any byte is rejected as a whole.
+func TestTruncatedListIsRejected(t *testing.T) {
 	if l, err := parseList([]byte(goodList)); err != nil || l.Rev != 41 || !l.All || len(l.Targets) != 2 || l.Targets[0].BootMs != 7 {
 		t.Fatalf("%+v, %v", l, err)
 	}
@@ -21,7 +21,7 @@
 	}
 }
 
-// Guards against an entry that can't be read and is used all the same, or that nobody finds by the log.
+// Guards against invalid entries that are used, or whose error does not identify the field.
 func TestListErrorsNameTheField(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`"rev":41`, `"rev":"41"`, "rev"},
@@ -41,7 +41,7 @@
 	} {
 		text := strings.Replace(goodList, c.old, c.new, 1)
 		if l, err := parseList([]byte(text)); err == nil || !strings.Contains(err.Error(), c.field) || len(l.Targets) > 0 {
-			t.Errorf("%s for %s: %+v, %v", c.new, c.old, l, err)
+			t.Errorf("%s in place of %s: %+v, %v; want an error that names the field", c.new, c.old, l, err)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 		}
 		for _, s := range l.Targets {
 			if s.UID == "" || s.State == "" || s.BootMs < 0 || !(s.CapacityHint >= 0) {
-				t.Fatalf("unfit line passed: %+v", s)
+				t.Fatalf("invalid entry accepted: %+v", s)
 			}
 		}
 	})
--- a/internal/node/repeats_test.go
+++ b/internal/node/repeats_test.go
@@ -14,50 +14,50 @@
 	"otterstep/internal/operator"
 )
 
-// beginning is a core that notes when an attempt begins.
-type beginning struct {
-	asked
+// recordingTurn is a turn that records when the attempt begins.
+type recordingTurn struct {
+	fixedTurn
 	at chan time.Time
 }
 
-func (b beginning) Begin() bool {
+func (b recordingTurn) Begin() bool {
 	b.at <- time.Now()
 	return true
 }
 
-// Guards against an attempt that tells its server more time than its client has: what the connect took is over. The
-// connect takes 50 ms here, and what is told is held against the time that was measured.
-func TestToldTimeIsWhatIsLeft(t *testing.T) {
+// Guards against an X-Time-Left that exceeds what the client has left: the time for the connect must be deducted. The
+// connect takes 50 ms here, and the header is compared with the measured time.
+func TestTimeLeftExcludesConnect(t *testing.T) {
 	t.Parallel()
-	h := newHandshake(t)
+	h := newSlowHandshake(t)
 	up := &upstream{pool: conns.New(conns.Options{IdleFor: time.Hour, Connect: patience, Most: 1, TLS: h.config})}
 	t.Cleanup(up.pool.Close)
-	begins, wait := beginning{yes, make(chan time.Time, 1)}, 10*time.Second
+	begins, wait := recordingTurn{permit, make(chan time.Time, 1)}, 10*time.Second
 	began := time.Now()
 	go up.roundTrip(t.Context(), at(h.addr), get(), began.Add(wait), begins)
 	<-h.connecting
 	<-time.After(time.Until(began.Add(50 * time.Millisecond)))
 	close(h.gate)
-	left, err := strconv.ParseFloat(<-h.told, 64)
+	left, err := strconv.ParseFloat(<-h.timeLeft, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if most := wait - (<-begins.at).Sub(began) + time.Millisecond; left > most.Seconds() || left < 1 {
-		t.Errorf("told %.3f s, want what was left at the beginning, %v", left, most)
+		t.Errorf("X-Time-Left is %.3f s, want at most the time left when the attempt began, %v", left, most)
 	}
 }
 
-// Guards rule 2 at the end of the window in which servers drop repeats of a keyed request: a further attempt is chosen
-// only if its connect can't take it over that end. Here the first one breaks off 150 ms after it came, and the window
-// ends 50 ms after the longest connect from there.
-func TestRepeatEndsWithinTheWindow(t *testing.T) {
+// Guards against a keyed request that runs twice because a retry reaches its server after the deduplication window: a
+// further attempt is made only if even the longest permitted connect ends within the window. Here the first attempt
+// fails 150 ms after it arrives. The shorter window ends 50 ms after the longest connect from that point.
+func TestRetryStaysWithinDedupWindow(t *testing.T) {
 	t.Parallel()
 	for what, c := range map[string]struct {
 		window   string
 		attempts int64
 	}{
-		"a connect could take it over": {"5200", 1},
-		"a connect could not":          {"60000", 2},
+		"a connect could exceed it": {"5200", 1},
+		"a connect could not":       {"60000", 2},
 	} {
 		s := newServer(t, func(n int64, _ *http.Request, conn net.Conn) bool {
 			if n == 1 {
@@ -77,15 +77,15 @@
 	}
 }
 
-// Guards rule 1 for clients that know no chunks: an answer without a length that pauses and is then reset never reaches
-// them, as they would take the part for the whole. One that ends does.
-func TestOldClientGetsNoPartForAWhole(t *testing.T) {
+// Guards against truncated answers to HTTP/1.0 clients: since these cannot detect truncation without a length, an answer
+// without a length that pauses and is then reset must not reach them. One that ends normally does.
+func TestHTTP10ClientGetsNoTruncatedAnswer(t *testing.T) {
 	t.Parallel()
 	for _, reset := range []bool{true, false} {
 		s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nmade ")
 			if reset {
-				<-time.After(2 * pauseFor) // a client that knows chunks would have the part by now
+				<-time.After(2 * streamAfterPause) // an HTTP/1.1 client would have received the first part by now
 				c.(*net.TCPConn).SetLinger(0)
 				return false
 			}
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -14,27 +14,27 @@
 	"otterstep/policy"
 )
 
-// expiring is a call's context whose time passes when the test says so.
-type expiring struct{ context.Context }
+// expiringContext is a call's context that expires when the test cancels it.
+type expiringContext struct{ context.Context }
 
 // Err implements context.Context.
-func (e expiring) Err() error {
+func (e expiringContext) Err() error {
 	if e.Context.Err() == nil {
 		return nil
 	}
 	return context.Cause(e.Context)
 }
 
-// hushed is a discovery on the level of bytes: what it says to each call is the test's, and so is the time
-// that a call's limit takes.
+// hushed is a discovery service for which the test writes the bytes of each answer and decides when a call
+// times out.
 type hushed struct {
 	*server
 	calls chan *call
-	limit atomic.Pointer[func()] // lets the present call's time pass
-	took  chan time.Duration     // the limits of calls
+	limit atomic.Pointer[func()] // makes the current call time out
+	took  chan time.Duration     // timeouts of calls
 }
 
-// call is one call on its connection.
+// call is a call and its connection.
 type call struct {
 	net.Conn
 	query string
@@ -50,46 +50,46 @@
 	return h
 }
 
-// expire is a discovery's limit on a call.
+// expire replaces context.WithTimeout in a discovery client.
 func (h *hushed) expire(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancelCause(ctx)
 	pass := func() { cancel(context.DeadlineExceeded) }
 	h.limit.Store(&pass)
 	h.took <- d
-	return expiring{c}, func() { cancel(context.Canceled) }
+	return expiringContext{c}, func() { cancel(context.Canceled) }
 }
 
-// next waits for a call.
+// next returns the next call.
 func (h *hushed) next(t *testing.T) *call {
 	t.Helper()
 	select {
 	case c := <-h.calls:
 		return c
 	case <-time.After(patience):
-		t.Fatal("no call")
+		t.Fatal("timed out waiting for a call to discovery")
 		return nil
 	}
 }
 
-// say gives an answer whole.
+// say writes a complete answer.
 func (c *call) say(text string) {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(text))+"\r\n\r\n"+text)
 }
 
-// Guards rule 3 against a watch that falls silent, wherever that is: it is opened anew in time for what it missed, on
-// a clock of the test's own, without waiting for the module, and what the new call tells is taken. Once a silence
-// there is one line in the log.
-func TestSilentWatchIsOpenedAnewInTime(t *testing.T) {
+// Guards against missed changes when a watch stops answering, at whatever point of the answer: the watch times out soon
+// enough to be reopened within the limit for learning of a change, without waiting for the decision module, and the
+// changes from the new call are applied. Each outage is logged once. Timeouts are triggered by the test.
+func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	whole := answer(1, true)
 	for mode, most := range map[string]time.Duration{
-		"pushed":     toldAfter - time.Second, // for the new call
-		"on_request": timesFor(true).wait + toldBehind - time.Second,
+		"pushed":     maxChangeDelay - time.Second, // leaves 1 s for the new call
+		"on_request": timeoutsFor(true).watchWait + watchMargin - time.Second,
 	} {
 		for where, part := range map[string]string{
 			"before the head": "",
 			"in the head":     "HTTP/1.1 200 OK\r\nContent-Le",
-			"behind the head": "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n",
+			"after the head":  "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n",
 			"in the body":     "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n{\"rev\":2,\"all\":false,\"targets\":[{\"uid\"",
 			"in a chunk":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"rev\":2,",
 			"in its trailer":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n",
@@ -105,41 +105,42 @@
 				h.next(t).say(whole)
 				<-h.took
 				f.want(t, policy.ListFull, 1)
-				for range 3 { // one silence behind another
+				for range 3 { // consecutive timeouts
 					c := h.next(t)
 					if !strings.HasPrefix(c.query, "since=1&") {
 						t.Fatalf("call %q, want a watch", c.query)
 					}
 					io.WriteString(c, part)
 					if took := <-h.took; took > most {
-						t.Errorf("a silent watch is given up after %v, want %v at most", took, most)
+						t.Errorf("a silent watch times out after %v, want at most %v", took, most)
 					}
 					(*h.limit.Load())()
 				}
 				h.next(t).say(strings.Replace(answer(2, false), "in_service", "terminating", 1))
 				f.want(t, policy.ListDelta, 1)
 				io.WriteString(h.next(t), part)
-				moved := newHushed(t) // a reload goes ahead of any silence
+				moved := newHushed(t) // a reload takes effect during a silent watch
 				f.move(t.Context(), moved.addr)
 				c := moved.next(t)
 				if c.query != "" {
-					t.Errorf("call %q of another discovery, want the whole list", c.query)
+					t.Errorf("first call to the new discovery service %q, want the full list", c.query)
 				}
 				c.say(answer(1, true))
 				f.want(t, policy.ListFull, 1)
 				moved.next(t)
 				f.stop()
 				if n := strings.Count(f.log.String(), "discovery is down"); n != 1 {
-					t.Errorf("%d lines on one silence:\n%s", n, f.log.String())
+					t.Errorf("%d log lines for one outage, want 1:\n%s", n, f.log.String())
 				}
 			})
 		}
 	}
 }
 
-// A list comes late, indented, in pieces of one byte, or ends the watch in place of a change: it is taken for what it
-// is. What a whole list does not name is gone, though it may still answer.
-func TestListsInAllForms(t *testing.T) {
+// Lists are decoded correctly if they arrive byte by byte, are indented, or follow a connection closed without an
+// answer. A full list in answer to a watch replaces all entries: servers not in it are removed even if they still
+// answer.
+func TestListFramings(t *testing.T) {
 	t.Parallel()
 	h := newHushed(t)
 	f := followBy(t, h.addr, "pushed", hostList{}, h.expire)
@@ -153,10 +154,10 @@
 	indented = strings.Replace(indented, "127.0.0.1: 1", "127.0.0.1:1", 1)
 	h.next(t).say(indented)
 	f.want(t, policy.ListDelta, 1)
-	h.next(t).Close() // an end in place of an answer
+	h.next(t).Close() // closes without an answer
 	c = h.next(t)
 	if !strings.HasPrefix(c.query, "since=2&") {
-		t.Fatalf("call %q behind an end, want the watch again", c.query)
+		t.Fatalf("call %q after a close, want the watch again", c.query)
 	}
 	c.say(`{"rev":3,"all":true,"targets":[]}`)
 	f.want(t, policy.ListFull, 0)
--- a/internal/node/spoilt_test.go
+++ b/internal/node/spoilt_test.go
@@ -14,10 +14,9 @@
 	"otterstep/policy"
 )
 
-// Guards rule 1 against a second copy that a server sends a moment behind its
-// answer: on a connection used again at once it would be read as the answer to the
-// next request.
-func TestLateBytesAreNoAnswer(t *testing.T) {
+// Guards against a wrong answer when a server sends a duplicate response shortly after the first:
+// on a connection reused immediately it would be read as the answer to the next request.
+func TestLateBytesAreNotReadAsAnswer(t *testing.T) {
 	sent := make(chan struct{}, 8)
 	s := newServer(t, func(n int64, r *http.Request, c net.Conn) bool {
 		io.WriteString(c, ok(r.Header.Get("X-Correlation-Id")))
@@ -29,34 +28,34 @@
 	u := newUpstream(time.Hour, patience, 8)
 	t.Cleanup(u.pool.Close)
 	for i, m := range []*message{get(), push(), get(), push()} {
-		p := u.roundTrip(t.Context(), at(s.addr), m, time.Now().Add(time.Second), yes)
+		p := u.roundTrip(t.Context(), at(s.addr), m, time.Now().Add(time.Second), permit)
 		if want := m.header.Get("X-Correlation-Id"); string(p.body) != want {
 			t.Errorf("status %d, body %q; want %q", p.status, p.body, want)
 		}
-		if i == 1 { // from here on the bytes are there before the next request
+		if i == 1 { // from here on the duplicate has arrived before the next request
 			<-sent
 			<-sent
 		}
 	}
 }
 
-// An interim answer may come long before the one that counts: only an answer that
-// has begun must not stop.
-func TestInterimAnswerIsNoBeginning(t *testing.T) {
+// An interim response may precede the final one by any time: the stall timeout applies only after
+// the first byte of a response.
+func TestInterimResponseStartsNoStallTimeout(t *testing.T) {
 	s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-		time.Sleep(stallFor + 100*time.Millisecond)
+		time.Sleep(stallTimeout + 100*time.Millisecond)
 		io.WriteString(c, ok("hello"))
 		return true
 	})
-	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), yes); p.status != policy.OK {
+	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), permit); p.status != policy.OK {
 		t.Errorf("status %d, want served", p.status)
 	}
 }
 
-// Guards the client's time: an answer whose declared length can't be right fails at
-// once and is not read, let alone kept, though its server goes on sending.
-func TestAnswerOverTheLimitFailsUnread(t *testing.T) {
+// Guards against waiting for oversized answers: one whose declared length exceeds the limit fails
+// immediately and is not read, although its server keeps sending.
+func TestOversizedAnswerFailsUnread(t *testing.T) {
 	closed := make(chan int, 1)
 	s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
@@ -69,7 +68,7 @@
 		closed <- n
 		return false
 	})
-	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), yes); p.status != policy.Reset {
+	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), permit); p.status != policy.Reset {
 		t.Errorf("status %d, want a reset", p.status)
 	}
 	select {
@@ -79,9 +78,9 @@
 	}
 }
 
-// A server's 4xx is about the request: it is not tried again elsewhere, and the
-// server stays as good as it was.
-func TestRejectedRequestIsNotTriedAgain(t *testing.T) {
+// A server's 4xx blames the request: the request is not retried on another server, and the
+// server's breaker is not affected.
+func TestRejectedRequestIsNotRetried(t *testing.T) {
 	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		if r.Method == http.MethodGet {
 			io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
@@ -93,7 +92,7 @@
 	other := newServer(t, says("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", true))
 	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
 	two, _ := startNode(t, newRegistry(t, listed(other, "s1"), listed(other, "s2")))
-	for range 8 { // more than open a breaker
+	for range 8 { // more failures than would open the breaker
 		if code, _, _ := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusBadGateway {
 			t.Errorf("answered %d, want 502", code)
 		}
@@ -106,48 +105,48 @@
 	}
 }
 
-// Guards against connections that outlive their server: a new one may stand at the
-// address of one that is gone, or the same may have started anew. A late word on
-// the old one must not cost the new one its connections.
-func TestReplacedServerGetsItsOwnConnections(t *testing.T) {
+// Guards against reuse of connections to a previous server: another server may have taken over
+// the address, or the same one may have restarted. A late update about the old server must not
+// close the new one's connections.
+func TestReplacedServerGetsNewConnections(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	d := newRegistry(t, listed(s, "s1"))
 	addr, _ := startNode(t, d)
-	conns := func(want int64, when string) {
+	expectConns := func(want int64, when string) {
 		t.Helper()
 		for range 2 {
 			if code, _, _ := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK {
 				t.Errorf("%s: answered %d, want 200", when, code)
 			}
-			time.Sleep(2 * settleFor) // so that the next one may use the same connection
+			time.Sleep(2 * settleTime) // lets the connection settle, so that the next request can reuse it
 		}
 		if n := s.conns.Load(); n != want {
 			t.Errorf("%s: %d connections so far, want %d", when, n, want)
 		}
 	}
-	conns(1, "at first")
-	d.change(listed(s, "s2")) // stands at the address before the old one is reported gone
+	expectConns(1, "at first")
+	d.change(listed(s, "s2")) // has the address before the old one is reported as terminated
 	gone := listed(s, "s1")
 	gone.State = "terminated"
 	d.told(t)
 	d.change(gone)
 	d.told(t)
-	conns(2, "replaced")
+	expectConns(2, "replaced")
 	d.change(gone)
 	d.told(t)
-	conns(2, "late word on the old one")
+	expectConns(2, "late update about the old server")
 	again := listed(s, "s2")
-	again.BootMs = 1000 // long ago for the module, and yet another process
+	again.BootMs = 1000 // before the clock's start for the decision module, but another process
 	d.change(again)
 	d.told(t)
 	again.BootMs = time.Now().Add(-time.Minute).UnixMilli()
 	d.change(again)
 	d.told(t)
-	conns(3, "started anew")
+	expectConns(3, "restarted")
 }
 
-// Guards against what grows with servers, ids and connections that come and go.
-func TestNothingIsKeptOfWhatIsGone(t *testing.T) {
+// Guards against leaks: nothing may remain of servers, requests and connections that are gone.
+func TestNoLeakOfServersAndRequests(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	l, u := testCore(t)
 	for i := range 300 {
@@ -183,10 +182,10 @@
 	}
 }
 
-// Answers that break off at each of their bytes, by an end of the connection or by a reset, in
-// all the forms that servers give them: none is taken for whole, nor handed to a client as such.
-// The one that has no length ends with its connection, so that there a reset alone tells.
-func TestBrokenOffAnswerIsNeverWhole(t *testing.T) {
+// Answers in all framings, truncated at each byte by a close or a reset, must not be taken for
+// complete. An answer without a length ends with its connection, so only a reset reveals its
+// truncation.
+func TestTruncatedAnswerFails(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
 		"length":         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nmade here",
@@ -198,7 +197,7 @@
 		for cut := range len(text) + 1 {
 			for _, reset := range []bool{false, true} {
 				if cut == len(text) && !(reset && toClose) || !reset && toClose && cut >= strings.Index(text, "\r\n\r\n")+4 {
-					continue // it is whole, or looks it
+					continue // complete, or indistinguishable from complete
 				}
 				s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 					io.WriteString(c, text[:cut])
@@ -208,8 +207,8 @@
 					return false
 				})
 				m := get()
-				m.passed = passing.New()
-				p := testUpstream(t, 1).roundTrip(t.Context(), at(s.addr), m, time.Now().Add(patience), yes)
+				m.handoff = passing.New()
+				p := testUpstream(t, 1).roundTrip(t.Context(), at(s.addr), m, time.Now().Add(patience), permit)
 				if p.status != policy.Reset || p.body != nil {
 					t.Fatalf("%s, cut at byte %d, reset %v: status %d with %q", name, cut, reset, p.status, p.body)
 				}
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -21,8 +21,9 @@
 	"otterstep/policy"
 )
 
-// digests answers with the length and hash of the body that came, and how it was framed.
-func digests(t *testing.T) *server {
+// newDigestServer starts a server that answers each request with the length and hash of its body
+// and with its method. The answer to HEAD has the length given in the query.
+func newDigestServer(t *testing.T) *server {
 	return newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		all, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -40,7 +41,7 @@
 
 func digest(b []byte) string { return fmt.Sprintf("%d %x", len(b), sha256.Sum256(b)) }
 
-// startSized runs a node with so many megabytes.
+// startSized starts a node with a memory limit of mb megabytes.
 func startSized(t *testing.T, mb int, s *server) string {
 	t.Helper()
 	addr, _ := startNodeConfigured(t, newRegistry(t, listed(s, "s1")), operator.File{}, Reloads{}, quiet(), func(c *Config) {
@@ -49,20 +50,20 @@
 	return addr
 }
 
-func noise(n int) []byte {
+func randomBytes(n int) []byte {
 	b := make([]byte, n)
-	_, _ = rand.NewChaCha8([32]byte{byte(n)}).Read(b) // it never fails
+	_, _ = rand.NewChaCha8([32]byte{byte(n)}).Read(b) // never fails
 	return b
 }
 
-// Bodies of all sizes and forms reach the server unchanged, whether they are kept or sent on
-// while they come.
-func TestBodiesPassUnchanged(t *testing.T) {
+// Request bodies of all sizes and framings reach the server unchanged, whether they are buffered
+// or streamed.
+func TestRequestBodiesAreForwardedUnchanged(t *testing.T) {
 	t.Parallel()
-	addr := startSized(t, 16, digests(t)) // 4 MB for bodies
+	addr := startSized(t, 16, newDigestServer(t)) // 4 MB for bodies
 	for _, size := range []int{0, 1, smallBody, smallBody + 1, 64 << 10, 64<<10 + 1, 900 << 10, 3 << 20, 9 << 20} {
 		for _, form := range []string{"length", "chunked", "expect"} {
-			body := noise(size)
+			body := randomBytes(size)
 			r := clientRequest(t, addr, "push", "2.9")
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(size)
 			switch {
@@ -81,11 +82,11 @@
 	}
 }
 
-// Guards the memory limit: forty bodies of 4 MB at once with 4 MB for bodies, and all of them
-// arrive. What was held is given back.
-func TestManyLargeBodiesAtOnce(t *testing.T) {
-	addr := startSized(t, 16, digests(t))
-	body := noise(4 << 20)
+// Guards the memory limit: forty concurrent bodies of 4 MB with 4 MB of memory for bodies are
+// each either forwarded completely or refused.
+func TestManyLargeBodiesConcurrently(t *testing.T) {
+	addr := startSized(t, 16, newDigestServer(t))
+	body := randomBytes(4 << 20)
 	want := digest(body) + " POST"
 	var all sync.WaitGroup
 	var whole atomic.Int64
@@ -103,18 +104,18 @@
 			switch {
 			case resp.StatusCode == http.StatusOK && string(text) == want:
 				whole.Add(1)
-			case resp.StatusCode != http.StatusServiceUnavailable: // the one server's bound is met: an answer too
+			case resp.StatusCode != http.StatusServiceUnavailable: // acceptable: the single server's concurrency limit was reached
 				t.Errorf("%s %.40q", resp.Status, text)
 			}
 		})
 	}
 	all.Wait()
 	if whole.Load() == 0 {
-		t.Error("none came whole")
+		t.Error("no body was forwarded completely")
 	}
 }
 
-// rawAnswer sends bytes on a new connection and gives the answer.
+// rawAnswer sends bytes on a new connection and returns the answer.
 func rawAnswer(t *testing.T, addr string, pieces ...string) (*http.Response, []byte, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -125,7 +126,7 @@
 	c.SetDeadline(time.Now().Add(patience))
 	for _, p := range pieces {
 		if _, err := io.WriteString(c, p); err != nil {
-			break // it may have been answered already
+			break // the node may have answered and closed already
 		}
 	}
 	method, _, _ := strings.Cut(pieces[0], " ")
@@ -146,9 +147,9 @@
 	return s + "\r\n"
 }
 
-func TestFormsOfRequests(t *testing.T) {
+func TestRequestFramings(t *testing.T) {
 	t.Parallel()
-	s := digests(t)
+	s := newDigestServer(t)
 	addr := startSized(t, 16, s)
 	big := strings.Repeat("x", 70<<10)
 	chunk := fmt.Sprintf("%x;ext=\"a;b\"\r\n%s\r\n", len(big), big)
@@ -165,9 +166,9 @@
 		"length beside chunked":               {headOf("POST", "push", "f5", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n", "", 400},
 		"chunked in HTTP/1.0":                 {strings.Replace(headOf("POST", "push", "f6", "Transfer-Encoding: chunked\r\n"), "HTTP/1.1", "HTTP/1.0", 1) + "0\r\n\r\n", "", 400},
 		"another coding":                      {headOf("POST", "push", "f7", "Transfer-Encoding: gzip\r\n") + "x", "", 501},
-		"body behind GET":                     {headOf("GET", "read", "f8", "Content-Length: 1\r\n") + "x", "", 400},
-		"over what is carried":                {headOf("POST", "push", "f9", "Content-Length: 99999999\r\n"), "", 413},
-		"a chunk with no size":                {headOf("POST", "push", "fa", "Transfer-Encoding: chunked\r\n") + "zz\r\n", "", 408},
+		"body of a GET":                       {headOf("GET", "read", "f8", "Content-Length: 1\r\n") + "x", "", 400},
+		"over the size limit":                 {headOf("POST", "push", "f9", "Content-Length: 99999999\r\n"), "", 413},
+		"chunk without a size":                {headOf("POST", "push", "fa", "Transfer-Encoding: chunked\r\n") + "zz\r\n", "", 408},
 	} {
 		before := s.requests.Load()
 		resp, text, err := rawAnswer(t, addr, c.text)
@@ -179,15 +180,15 @@
 			t.Errorf("%s: length %d", name, resp.ContentLength)
 		}
 		if c.code != 200 && s.requests.Load() != before {
-			t.Errorf("%s went on to the server", name)
+			t.Errorf("%s: forwarded to the server", name)
 		}
 	}
 }
 
-// A body that breaks off, or comes at less than its rate, is never taken for whole.
-func TestBodiesThatBreakOff(t *testing.T) {
+// A truncated request body is never forwarded as complete.
+func TestTruncatedRequestBodies(t *testing.T) {
 	t.Parallel()
-	s := digests(t)
+	s := newDigestServer(t)
 	addr := startSized(t, 16, s)
 	for _, size := range []int{10, 100 << 10, 6 << 20} {
 		for _, form := range []string{fmt.Sprintf("Content-Length: %d\r\n", size+5), "Transfer-Encoding: chunked\r\n"} {
@@ -209,17 +210,17 @@
 		}
 	}
 	if n := s.requests.Load(); n != 0 {
-		t.Errorf("%d requests came whole to the server", n)
+		t.Errorf("%d requests reached the server as complete", n)
 	}
 }
 
-// A client may take 2 s for its head and send its body at 64 kB a second; at half of what is
-// allowed it is cut off.
-func TestPatience(t *testing.T) {
+// A client that sends its body at 64 kB/s is accepted; one that sends at half the minimum rate
+// is cut off.
+func TestMinimumBodyRate(t *testing.T) {
 	for _, c := range []struct {
 		perSecond int
 		whole     bool
-	}{{64_000, true}, {bodyPerSec / 2, false}} {
+	}{{64_000, true}, {minBodyRate / 2, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			in, out := net.Pipe()
 			ended := make(chan struct{})
@@ -234,26 +235,26 @@
 					}
 				}
 			}()
-			w := &deadlines{in}
-			p := &patient{from: in, control: http.NewResponseController(w)}
+			w := &connResponseWriter{in}
+			p := &minRateReader{src: in, control: http.NewResponseController(w)}
 			n, err := io.Copy(io.Discard, p)
 			if whole := err == nil && n == int64(c.perSecond)/10*100; whole != c.whole {
-				t.Errorf("%d bytes a second: %d came, %v", c.perSecond, n, err)
+				t.Errorf("at %d bytes/s: received %d bytes, %v", c.perSecond, n, err)
 			}
 		})
 	}
 }
 
-// deadlines is a ResponseWriter with the deadlines of a connection.
-type deadlines struct{ net.Conn }
+// connResponseWriter is a ResponseWriter that supports deadlines by way of its connection.
+type connResponseWriter struct{ net.Conn }
 
-func (*deadlines) Header() http.Header           { return http.Header{} }
-func (*deadlines) WriteHeader(int)               {}
-func (d *deadlines) Write(b []byte) (int, error) { return d.Conn.Write(b) }
+func (*connResponseWriter) Header() http.Header           { return http.Header{} }
+func (*connResponseWriter) WriteHeader(int)               {}
+func (d *connResponseWriter) Write(b []byte) (int, error) { return d.Conn.Write(b) }
 
-// A body that goes by while it is sent has one attempt: when its server fails before the last
-// byte the request has not run, and is refused; it is never run twice.
-func TestBodyThatHasGoneByIsRefused(t *testing.T) {
+// A streamed body allows only one attempt: if its server fails before the last byte, the request
+// has not run and is refused rather than retried.
+func TestConsumedBodyIsRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -277,9 +278,9 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patience))
-	// The client sends all of it before it looks for an answer, as many do.
+	// The client sends the whole body before it reads the answer, as many clients do.
 	io.WriteString(c, headOf("POST", "book", "gone", "Content-Length: 20971520\r\n"))
-	if n, err := c.Write(noise(20 << 20)); err != nil {
+	if n, err := c.Write(randomBytes(20 << 20)); err != nil {
 		t.Errorf("cut off after %d bytes: %v", n, err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -288,8 +289,8 @@
 	}
 }
 
-// Large answers pass as they come, in all the forms that servers give them; a small one too.
-func TestLargeAnswersPass(t *testing.T) {
+// Small and large answers in all framings reach the client unchanged.
+func TestLargeAnswersAreForwardedUnchanged(t *testing.T) {
 	t.Parallel()
 	for name, write := range map[string]func(c net.Conn, body []byte) bool{
 		"length": func(c net.Conn, body []byte) bool {
@@ -322,14 +323,14 @@
 		s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool { return write(c, *body.Load()) })
 		addr := startSized(t, 16, s)
 		for _, size := range []int{100, 64 << 10, 64<<10 + 1, 5 << 20} {
-			want := noise(size)
+			want := randomBytes(size)
 			body.Store(&want)
-			for range 2 { // the second one on the same connections, where these are kept
+			for range 2 { // the second request reuses connections where the server keeps them
 				code, _, got := do(t, clientRequest(t, addr, "read", "2.9"))
 				if code != http.StatusOK || got != string(want) {
 					t.Errorf("%d bytes, %s: %d, %d bytes", size, name, code, len(got))
 				}
-				time.Sleep(2 * settleFor)
+				time.Sleep(2 * settleTime)
 			}
 		}
 		if name == "chunked" && s.conns.Load() != 1 {
@@ -338,10 +339,10 @@
 	}
 }
 
-// The first part of a large answer reaches the client before the server has sent the rest,
-// and so does what precedes a pause in one of unknown length. One that breaks off can be told
-// from a whole one; an answer with no end of its own on a connection that stays is none.
-func TestAnswersThatPauseAndBreak(t *testing.T) {
+// The first part of a large answer reaches the client before the server has sent the rest, and so
+// does the part before a pause in an answer of unknown length. The client can detect truncation.
+// An answer without a length on a connection not announced to close fails the attempt.
+func TestPausingAndTruncatedAnswers(t *testing.T) {
 	t.Parallel()
 	goOn := make(chan bool)
 	part := strings.Repeat("x", 10<<10)
@@ -352,7 +353,7 @@
 		s := newServer(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 			io.WriteString(conn, c.head+c.first)
 			<-goOn
-			return false // it breaks off
+			return false // truncates the answer
 		})
 		addr := startSized(t, 16, s)
 		resp, err := http.DefaultClient.Do(clientRequest(t, addr, "book", "2.9"))
@@ -365,25 +366,25 @@
 		}
 		goOn <- true
 		if rest, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%s: then %d bytes, %v; want to see that it broke off", name, len(rest), err)
+			t.Errorf("%s: then %d bytes, %v; want io.ErrUnexpectedEOF", name, len(rest), err)
 		}
 		resp.Body.Close()
 	}
 	u := testUpstream(t, 8)
 	s := newServer(t, says("HTTP/1.1 200 OK\r\n\r\nabc", false))
-	if p := u.roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), yes); p.status != policy.Reset {
-		t.Errorf("an answer with no end of its own: status %d", p.status)
+	if p := u.roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), permit); p.status != policy.Reset {
+		t.Errorf("an answer without a length or an announced close: status %d", p.status)
 	}
 }
 
-// Against a plain model: whatever messages follow each other on a connection, in whatever
-// pieces they come, it is doubtful if and only if one of them has both lengths, or chunks in
-// HTTP/1.0.
+// Compares with a simple model: for any sequence of messages on a connection, split at any
+// points, the checker reports ambiguity if and only if a message has both a Content-Length and a
+// Transfer-Encoding, or a Transfer-Encoding in HTTP/1.0.
 func TestFramingAgainstModel(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		var text strings.Builder
-		doubtful := false
+		ambiguous := false
 		for range 1 + rng.IntN(6) {
 			version, chunked, sized := "HTTP/1.1", rng.IntN(3) == 0, rng.IntN(2) == 0
 			if rng.IntN(8) == 0 {
@@ -406,7 +407,7 @@
 			text.WriteString("\r\n")
 			switch {
 			case chunked && (sized || version == "HTTP/1.0"):
-				doubtful = true
+				ambiguous = true
 			case chunked:
 				for len(body) > 0 {
 					n := 1 + rng.IntN(len(body))
@@ -417,20 +418,20 @@
 			case sized:
 				text.WriteString(body)
 			}
-			if doubtful {
+			if ambiguous {
 				break
 			}
 		}
-		var f framing
-		f.begin()
+		var f framingChecker
+		f.reset()
 		all := []byte(text.String())
 		for len(all) > 0 {
 			n := min(1+rng.IntN(40), len(all))
-			f.see(all[:n])
+			f.observe(all[:n])
 			all = all[n:]
 		}
-		if f.doubtful.Load() != doubtful {
-			t.Fatalf("seed %d: doubtful is %v, want %v\n%s", seed, !doubtful, doubtful, &text)
+		if f.ambiguous.Load() != ambiguous {
+			t.Fatalf("seed %d: ambiguous is %v, want %v\n%s", seed, !ambiguous, ambiguous, &text)
 		}
 	}
 }
@@ -439,15 +440,15 @@
 	f.Add([]byte("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n"), 3)
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n"), 1)
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
-		var whole, pieces framing
-		whole.begin()
-		pieces.begin()
-		whole.see(text)
+		var whole, pieces framingChecker
+		whole.reset()
+		pieces.reset()
+		whole.observe(text)
 		cut = min(max(cut, 0), len(text))
-		pieces.see(text[:cut])
-		pieces.see(text[cut:])
-		if whole.doubtful.Load() != pieces.doubtful.Load() || whole.part != pieces.part || len(whole.line) > lineMost {
-			t.Errorf("in one: %v %v, in two: %v %v", whole.doubtful.Load(), whole.part, pieces.doubtful.Load(), pieces.part)
+		pieces.observe(text[:cut])
+		pieces.observe(text[cut:])
+		if whole.ambiguous.Load() != pieces.ambiguous.Load() || whole.state != pieces.state || len(whole.line) > maxLine {
+			t.Errorf("in one piece: %v %v, in two: %v %v", whole.ambiguous.Load(), whole.state, pieces.ambiguous.Load(), pieces.state)
 		}
 	})
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -20,42 +20,42 @@
 )
 
 const (
-	maxBody       = 64 << 10 // of an answer that is kept; a larger one passes while it comes
-	maxAnswerHead = 16 << 10 // of an answer
+	maxBufferedBody = 64 << 10 // maximum body of a buffered answer; larger ones are streamed
+	maxAnswerHead   = 16 << 10 // maximum status line and headers of an answer
 
-	// A server writes a small answer in few parts, so one that stops half-way for so long
-	// will not go on: its length does not fit. Without this the attempt would hold
-	// its request until the client's time is up.
-	stallFor    = 300 * time.Millisecond
-	pauseFor    = 100 * time.Millisecond // an answer of unknown length that pauses is passed on as it stands
-	streamStall = 8 * time.Second        // nothing of a large answer may come for so long,
-	clientStall = 10 * time.Second       // nor a client take none of a part of it
-	takeFor     = 3 * time.Second        // nor a server of a large body
-	settleFor   = 10 * time.Millisecond  // see conns.Options
+	// Maximum pause within a small answer. Servers write these in a few parts, so after a
+	// longer pause the rest is not expected: the declared length is wrong. Without this limit
+	// the attempt would block its request until the client's deadline.
+	stallTimeout       = 300 * time.Millisecond
+	streamAfterPause   = 100 * time.Millisecond // pause after which an answer of unknown length is streamed instead of buffered
+	streamStallTimeout = 8 * time.Second        // maximum pause within a streamed answer
+	clientWriteTimeout = 10 * time.Second       // timeout of a write to a client that receives a streamed answer
+	serverWriteTimeout = 3 * time.Second        // timeout of a write of a request body to a server
+	settleTime         = 10 * time.Millisecond  // see Settle in conns.Options
 )
 
-// forwarded are the client's headers that go on to servers unchanged.
-var forwarded = []string{
+// forwardedHeaders are the client's headers that are sent to servers unchanged.
+var forwardedHeaders = []string{
 	"X-Correlation-Id", "Idempotency-Key", "X-Service-Class", "X-Account", "X-Repeat",
 	"X-Weight-Hint", "X-Facts", "Content-Type", "Accept",
 }
 
-// message is a client's request as it goes on to servers. It does not change
-// once it is handed over, so attempts may share it.
+// message is a client's request as it is forwarded to servers. It is immutable once
+// submitted, so attempts can share it.
 type message struct {
-	method   string
-	uri      string // as the client wrote it
-	host     string
-	header   http.Header
-	body     *body         // nil for none
-	left     time.Duration // that its client waits, from its last byte on
-	passed   *passing.Hand // where an answer goes that is too large to be kept; nil: nowhere
-	lengths  bool          // its client knows no chunks: it could not tell a cut answer without a length from a whole one
-	upstream *upstream
-	from     *client // whose leaving is looked for right before an attempt's first byte; nil: nobody can tell
+	method      string
+	uri         string // request target exactly as the client sent it
+	host        string
+	header      http.Header
+	body        *body         // nil for none
+	timeLeft    time.Duration // how long the client waits, counted from the request's last byte
+	handoff     *passing.Hand // receives an answer that is streamed; nil if none can be
+	needsLength bool          // the client does not support chunked encoding, so it could not detect truncation of an answer without a length
+	upstream    *upstream
+	client      *client // checked for a disconnect right before an attempt's first byte; nil if unknown
 }
 
-// turn is what an attempt needs of the core; core.Turn implements it.
+// turn is the part of core.Turn that an attempt uses.
 type turn interface {
 	Begin() bool
 	Pass() bool
@@ -65,24 +65,24 @@
 // Attempt implements core.Message.
 func (m *message) Attempt(ctx context.Context, to core.Server, end time.Time, t core.Turn) core.Reply {
 	p := m.upstream.roundTrip(ctx, to, m, end, t)
-	return core.Reply{Status: p.status, Body: p, Rejected: p.rejected, Spent: p.spent}
+	return core.Reply{Status: p.status, Body: p, Rejected: p.rejected, Spent: p.bodyConsumed}
 }
 
-// coming tells that the body's end is still on its way.
-func (m *message) coming() bool { return m.body != nil && m.body.rest != nil }
+// bodyPending reports whether the end of the body has not arrived yet.
+func (m *message) bodyPending() bool { return m.body != nil && m.body.rest != nil }
 
-// encode writes the head into memory, and a small body behind it, so that one write sends it
-// and tells whether its last byte went out. What stands in it has passed net/http's
-// checks on the way in, so no value holds a line's end.
+// encode serializes the head, followed by a body that is in one piece, so that a single write
+// sends both and shows whether the last byte was sent. more reports that body data remains to
+// be sent. net/http has validated all fields on receipt, so no value contains a line break.
 func (m *message) encode(wait time.Duration) (text []byte, more bool) {
 	room := 512
-	one := m.body != nil && len(m.body.kept) == 1 && m.body.rest == nil
-	if one {
-		room += len(m.body.kept[0])
+	single := m.body != nil && len(m.body.buffered) == 1 && m.body.rest == nil
+	if single {
+		room += len(m.body.buffered[0])
 	}
 	b := make([]byte, 0, room)
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Time-Left: %.3f\r\n", m.method, m.uri, m.host, wait.Seconds())
-	for _, name := range forwarded {
+	for _, name := range forwardedHeaders {
 		for _, value := range m.header[name] {
 			b = fmt.Appendf(b, "%s: %s\r\n", name, value)
 		}
@@ -97,20 +97,20 @@
 		b = fmt.Appendf(b, "Content-Length: %d\r\n", m.body.length)
 	}
 	b = append(b, "\r\n"...)
-	if one {
-		b = append(b, m.body.kept[0]...)
+	if single {
+		b = append(b, m.body.buffered[0]...)
 	}
-	return b, m.body != nil && !one
+	return b, m.body != nil && !single
 }
 
-// write sends a request. Before its last byte is written no server begins with it. The error
-// is errShort where the client did not send all of it.
+// write sends a request. A server does not begin to process it before the last byte is
+// written. The error is errIncompleteBody if the client did not send all of the body.
 func (m *message) write(ctx context.Context, c *conns.Conn, wait time.Duration) error {
 	text, more := m.encode(wait)
 	if _, err := c.Write(text); err != nil || !more {
 		return err
 	}
-	to := io.Writer(&steady{ctx, c})
+	to := io.Writer(&deadlineWriter{ctx, c})
 	if m.body.length >= 0 {
 		return m.body.writeTo(to)
 	}
@@ -125,15 +125,16 @@
 	return err
 }
 
-// steady gives each write to a server its time: one that takes nothing for so long is stuck.
-type steady struct {
+// deadlineWriter sets a deadline for each write to a server; a server that accepts no data for
+// that long is considered stuck.
+type deadlineWriter struct {
 	ctx context.Context
 	c   *conns.Conn
 }
 
 // Write implements io.Writer.
-func (s *steady) Write(b []byte) (int, error) {
-	s.c.SetWriteDeadline(time.Now().Add(takeFor))
+func (s *deadlineWriter) Write(b []byte) (int, error) {
+	s.c.SetWriteDeadline(time.Now().Add(serverWriteTimeout))
 	if s.ctx.Err() != nil {
 		s.c.SetWriteDeadline(time.Unix(1, 0))
 	}
@@ -142,154 +143,155 @@
 	return n, err
 }
 
-// reply is what came of an attempt; the body only where it was served and kept.
+// reply is the result of an attempt. body is set only if the answer is OK and was buffered.
 type reply struct {
-	status      policy.Status
-	contentType string
-	length      int64 // as the server told, of an answer to HEAD
-	body        []byte
-	rejected    bool // the server can't use the request
-	spent       bool // the request's body has gone by
+	status       policy.Status
+	contentType  string
+	length       int64 // Content-Length of an answer to HEAD
+	body         []byte
+	rejected     bool // the server answered with a 4xx that blames the request
+	bodyConsumed bool // the request body was consumed, so no further attempt can send it
 }
 
-// upstream carries out attempts on pooled connections, one request each at a
-// time.
+// upstream makes attempts on pooled connections. Each connection carries one request at a time.
 type upstream struct {
 	pool *conns.Pool
-	// began is told of each attempt behind the last look and ahead of its first byte; nil but in tests.
-	began func(*message)
+	// onAttempt, set only in tests, is called after the final disconnect check and before an attempt's first byte.
+	onAttempt func(*message)
 }
 
-// newUpstream retires idle connections well before servers do (connIdle).
+// newUpstream returns an upstream whose idle connections are closed well before servers close
+// them, which they do after connIdle.
 func newUpstream(connIdle, connectTimeout time.Duration, most int) *upstream {
-	return &upstream{pool: conns.New(conns.Options{IdleFor: connIdle * 3 / 4, Connect: connectTimeout, Settle: settleFor, Most: most})}
+	return &upstream{pool: conns.New(conns.Options{IdleFor: connIdle * 3 / 4, Connect: connectTimeout, Settle: settleTime, Most: most})}
 }
 
-// roundTrip makes one attempt. Begin is asked right before the first byte; if it
-// says no, nothing is written. The status follows from whether the last byte was
-// written: before that the request can't have run, after that it may have.
+// roundTrip makes one attempt. It calls Begin right before the first byte and sends nothing if
+// Begin returns false. The status depends on whether the last byte was written: if not, the
+// request cannot have run; otherwise it may have.
 func (u *upstream) roundTrip(ctx context.Context, to core.Server, m *message, end time.Time, t turn) reply {
-	if m.coming() && m.body.taken.Load() {
-		return reply{status: policy.Moot, spent: true}
+	if m.bodyPending() && m.body.restClaimed.Load() {
+		return reply{status: policy.Moot, bodyConsumed: true}
 	}
 	c, err := u.pool.Get(ctx, to)
 	switch {
 	case errors.Is(err, conns.ErrNone):
-		return reply{status: policy.Moot} // our own limit says nothing of the server
+		return reply{status: policy.Moot} // our own limit, not a failure of the server
 	case err != nil:
 		return reply{status: policy.ConnectFailed}
 	}
-	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes reads and writes
-	coming := m.coming()
-	if coming && !m.body.take() {
+	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // interrupts blocked reads and writes
+	coming := m.bodyPending()
+	if coming && !m.body.claimRest() {
 		u.pool.Put(c, release())
-		return reply{status: policy.Moot, spent: true}
+		return reply{status: policy.Moot, bodyConsumed: true}
 	}
-	if m.from != nil && m.from.gone() || !t.Begin() {
+	if m.client != nil && m.client.disconnected() || !t.Begin() {
 		if coming {
-			m.body.reads.Done()
+			m.body.restReaders.Done()
 		}
 		u.pool.Put(c, release())
-		return reply{status: policy.Moot, spent: coming}
+		return reply{status: policy.Moot, bodyConsumed: coming}
 	}
-	if u.began != nil {
-		u.began(m)
+	if u.onAttempt != nil {
+		u.onAttempt(m)
 	}
-	err = m.write(ctx, c, max(0, time.Until(end))) // a late start and the connect have taken their part
+	err = m.write(ctx, c, max(0, time.Until(end))) // less the time that the start and the connect took
 	if coming {
-		m.body.reads.Done()
+		m.body.restReaders.Done()
 	}
 	if err != nil {
 		release()
 		u.pool.Put(c, false)
-		if errors.Is(err, errShort) { // nothing to hold against the server
-			return reply{status: policy.Moot, spent: true}
+		if errors.Is(err, errIncompleteBody) { // the client's fault, not the server's
+			return reply{status: policy.Moot, bodyConsumed: true}
 		}
-		return reply{status: policy.ConnectFailed, spent: coming}
+		return reply{status: policy.ConnectFailed, bodyConsumed: coming}
 	}
 	if coming {
-		t.Sent(m.left)
+		t.Sent(m.timeLeft)
 	}
 	p, reusable := u.read(ctx, c, m, t)
-	p.spent = coming
+	p.bodyConsumed = coming
 	u.pool.Put(c, release() && reusable)
 	return p
 }
 
-// read takes in an answer. What can't be read may have run, as may whatever is
-// neither 200 nor marked as unprocessed.
+// read reads an answer. Unless the answer is a 200 or is marked as unprocessed, the request
+// may have run; the same holds if the answer cannot be parsed.
 func (u *upstream) read(ctx context.Context, c *conns.Conn, m *message, t turn) (p reply, reusable bool) {
 	broken := reply{status: policy.Reset}
 	h, err := awaitHead(ctx, c)
 	if err != nil {
 		return broken, false
 	}
-	told := h.Closes // Framed takes the end of the connection for the end of what says none
+	closeAnnounced := h.Closes // Framed sets Closes for an answer without a length, even if the server did not announce a close
 	c.Budget.N = h1.Unbounded
 	b, err := h.Framed(c.In, m.method)
-	if err != nil || b.ToClose && !told {
+	if err != nil || b.UntilClose && !closeAnnounced {
 		return broken, false
 	}
 	served := h.Code == http.StatusOK
 	var text []byte
-	if b.Reader != http.NoBody { // else the length is that of a GET's
-		b.Reader = &timed{ctx: ctx, c: c, from: b.Reader, each: stallFor}
+	if b.Reader != http.NoBody { // without a body the length is what a GET would return
+		b.Reader = &deadlineReader{ctx: ctx, c: c, src: b.Reader, timeout: stallTimeout}
 		whole := false
-		if text, whole, err = keepAnswer(ctx, c, b, served && m.passed != nil && (b.Length >= 0 || !m.lengths)); err != nil {
+		if text, whole, err = bufferAnswer(ctx, c, b, served && m.handoff != nil && (b.Length >= 0 || !m.needsLength)); err != nil {
 			return broken, false
 		}
 		if !whole {
-			return u.pass(ctx, c, m, t, h, b, text)
+			return u.stream(ctx, c, m, t, h, b, text)
 		}
 	}
 	if _, err := b.Trailer(); err != nil {
 		return broken, false
 	}
-	turnedAway := h.Code == http.StatusServiceUnavailable || h.Code == http.StatusGatewayTimeout
+	unavailable := h.Code == http.StatusServiceUnavailable || h.Code == http.StatusGatewayTimeout
 	switch {
 	case served:
 		p = reply{status: policy.OK, contentType: h.Header.Get("Content-Type"), length: b.Length, body: text}
-	case turnedAway && h.Header.Get("X-Unprocessed") == "1":
+	case unavailable && h.Header.Get("X-Unprocessed") == "1":
 		p.status = policy.Full
 	default:
 		p.status = policy.Error
 		p.rejected = h.Code/100 == 4 && h.Code != http.StatusRequestTimeout && h.Code != http.StatusTooManyRequests
 	}
-	limit(ctx, c, time.Time{})
+	setReadDeadline(ctx, c, time.Time{})
 	return p, !h.Closes && c.In.Buffered() == 0
 }
 
-// awaitHead reads heads up to the one that counts. A server that has begun one goes on.
+// awaitHead skips interim responses and returns the final head. There is no timeout before the
+// first byte of a head, but stallTimeout once it has begun.
 func awaitHead(ctx context.Context, c *conns.Conn) (h1.Head, error) {
 	for range h1.InterimMost + 1 {
 		c.Budget.N = maxAnswerHead
-		limit(ctx, c, time.Time{})
+		setReadDeadline(ctx, c, time.Time{})
 		if _, err := c.In.Peek(1); err != nil {
 			return h1.Head{}, err
 		}
-		limit(ctx, c, time.Now().Add(stallFor))
+		setReadDeadline(ctx, c, time.Now().Add(stallTimeout))
 		h, err := h1.ReadHead(c.In)
 		switch {
 		case err != nil:
 			return h, err
 		case h.Code == http.StatusSwitchingProtocols:
-			return h, h1.Spoilt("switches protocols")
+			return h, h1.Spoilt("unexpected protocol switch")
 		case h.Code >= 200:
 			return h, nil
 		}
 	}
-	return h1.Head{}, h1.Spoilt("over %d interim answers", h1.InterimMost)
+	return h1.Head{}, h1.Spoilt("more than %d interim responses", h1.InterimMost)
 }
 
-// keepAnswer reads an answer's body. With large, one that is over maxBody, or that says no
-// length and pauses, is left for who passes it on: whole is false then, and text what came so
-// far.
-func keepAnswer(ctx context.Context, c *conns.Conn, b h1.Body, large bool) (text []byte, whole bool, err error) {
+// bufferAnswer reads the body of an answer into memory. If large is set, it stops at a body that
+// exceeds maxBufferedBody, or that has no length and pauses; the caller streams these. Then whole is
+// false and text holds what was read so far.
+func bufferAnswer(ctx context.Context, c *conns.Conn, b h1.Body, large bool) (text []byte, whole bool, err error) {
 	switch {
-	case b.Length > maxBody && large:
+	case b.Length > maxBufferedBody && large:
 		return nil, false, nil
-	case b.Length > maxBody:
-		return nil, false, h1.Spoilt("length %d", b.Length)
+	case b.Length > maxBufferedBody:
+		return nil, false, h1.Spoilt("Content-Length %d exceeds the limit", b.Length)
 	case b.Length >= 0:
 		text = make([]byte, b.Length)
 		_, err := io.ReadFull(b, text)
@@ -297,11 +299,11 @@
 	}
 	for {
 		if large && c.In.Buffered() == 0 {
-			limit(ctx, c, time.Now().Add(pauseFor))
+			setReadDeadline(ctx, c, time.Now().Add(streamAfterPause))
 			switch _, err := c.In.Peek(1); {
 			case errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil:
 				return text, false, nil
-			case err != nil && !errors.Is(err, io.EOF): // a reset is told once: the next read would see an end
+			case err != nil && !errors.Is(err, io.EOF): // a reset is reported only once: the next read would return io.EOF
 				return nil, false, err
 			}
 		}
@@ -315,50 +317,50 @@
 			return text, true, nil
 		case err != nil:
 			return nil, false, err
-		case len(text) > maxBody && large:
+		case len(text) > maxBufferedBody && large:
 			return text, false, nil
-		case len(text) > maxBody:
-			return nil, false, h1.Spoilt("body over the limit")
+		case len(text) > maxBufferedBody:
+			return nil, false, h1.Spoilt("body exceeds the limit")
 		}
 	}
 }
 
-// pass hands an answer to the client's goroutine while it comes, ahead what was read of it.
-func (u *upstream) pass(ctx context.Context, c *conns.Conn, m *message, t turn, h h1.Head, b h1.Body, ahead []byte) (p reply, reusable bool) {
+// stream hands an answer to the client's goroutine for streaming. ahead is the part of the body that was already read.
+func (u *upstream) stream(ctx context.Context, c *conns.Conn, m *message, t turn, h h1.Head, b h1.Body, ahead []byte) (p reply, reusable bool) {
 	if !t.Pass() {
 		return reply{status: policy.Cancelled}, false
 	}
-	b.Reader.(*timed).each = streamStall
+	b.Reader.(*deadlineReader).timeout = streamStallTimeout
 	if len(ahead) > 0 {
 		b.Reader = io.MultiReader(bytes.NewReader(ahead), b.Reader)
 	}
-	if p.status = m.passed.Pass(&passing.Answer{Head: h, Body: b}); p.status != policy.OK {
+	if p.status = m.handoff.Pass(&passing.Answer{Head: h, Body: b}); p.status != policy.OK {
 		return p, false
 	}
-	limit(ctx, c, time.Now().Add(stallFor))
-	if _, err := b.Trailer(); err != nil { // the client has all there is to have
+	setReadDeadline(ctx, c, time.Now().Add(stallTimeout))
+	if _, err := b.Trailer(); err != nil { // the client already has the complete answer
 		return p, false
 	}
-	limit(ctx, c, time.Time{})
+	setReadDeadline(ctx, c, time.Time{})
 	return p, !h.Closes && c.In.Buffered() == 0
 }
 
-// timed reads an answer's body, each part within its time.
-type timed struct {
-	ctx  context.Context
-	c    *conns.Conn
-	from io.Reader
-	each time.Duration
+// deadlineReader reads an answer's body and sets a deadline for each read.
+type deadlineReader struct {
+	ctx     context.Context
+	c       *conns.Conn
+	src     io.Reader
+	timeout time.Duration
 }
 
 // Read implements io.Reader.
-func (t *timed) Read(b []byte) (int, error) {
-	limit(t.ctx, t.c, time.Now().Add(t.each))
-	return t.from.Read(b)
+func (t *deadlineReader) Read(b []byte) (int, error) {
+	setReadDeadline(t.ctx, t.c, time.Now().Add(t.timeout))
+	return t.src.Read(b)
 }
 
-// limit sets the time limit on reading, but leaves one in place that ctx has set.
-func limit(ctx context.Context, c *conns.Conn, at time.Time) {
+// setReadDeadline sets the read deadline, but keeps reads interrupted if ctx has ended.
+func setReadDeadline(ctx context.Context, c *conns.Conn, at time.Time) {
 	c.SetReadDeadline(at)
 	if ctx.Err() != nil {
 		c.SetReadDeadline(time.Unix(1, 0))
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -18,10 +18,10 @@
 	"otterstep/policy"
 )
 
-const patience = 20 * time.Second // for events that are sure to come
+const patience = 20 * time.Second // timeout for events that are certain to happen
 
-// server is a scripted server: handle gets each request that came whole, with
-// its number from 1 and the connection it came on.
+// server is a scripted server. handle is called for each complete request with its number,
+// starting at 1, and its connection, and reports whether to keep the connection.
 type server struct {
 	addr     string
 	requests atomic.Int64
@@ -65,8 +65,7 @@
 	return s
 }
 
-// says answers each request with the same bytes and keeps the connection, or
-// closes it behind them.
+// says answers each request with the same bytes, then keeps or closes the connection.
 func says(text string, keep bool) func(int64, *http.Request, net.Conn) bool {
 	return func(_ int64, _ *http.Request, c net.Conn) bool {
 		io.WriteString(c, text)
@@ -87,37 +86,37 @@
 		header: http.Header{"X-Correlation-Id": {"2"}, "Idempotency-Key": {"i"}}}
 }
 
-// at is a server that has always stood at an address.
+// at returns a server at an address, with no start time.
 func at(addr string) core.Server { return core.Server{Addr: addr} }
 
-// asked is a core that lets an attempt be written, or not, and passes no answer.
-type asked bool
+// fixedTurn is a turn that permits or forbids an attempt and permits no streaming.
+type fixedTurn bool
 
-const yes, no = asked(true), asked(false)
+const permit, deny = fixedTurn(true), fixedTurn(false)
 
-func (a asked) Begin() bool      { return bool(a) }
-func (asked) Pass() bool         { return false }
-func (asked) Sent(time.Duration) {}
+func (a fixedTurn) Begin() bool      { return bool(a) }
+func (fixedTurn) Pass() bool         { return false }
+func (fixedTurn) Sent(time.Duration) {}
 
-// whole is a body that is all there.
+// whole returns a completely buffered body.
 func whole(text string) *body {
-	return &body{kept: [][]byte{[]byte(text)}, length: int64(len(text))}
+	return &body{buffered: [][]byte{[]byte(text)}, length: int64(len(text))}
 }
 
-// testUpstream has connections settle at once.
+// testUpstream returns an upstream without a settle time.
 func testUpstream(t *testing.T, most int) *upstream {
 	u := &upstream{pool: conns.New(conns.Options{IdleFor: time.Hour, Connect: patience, Most: most})}
 	t.Cleanup(u.pool.Close)
 	return u
 }
 
-// open gives the connections that an upstream has.
+// open returns the number of an upstream's connections.
 func (u *upstream) open() int {
 	n, _ := u.pool.Count()
 	return n
 }
 
-func TestOutcomeOfWhatComesBack(t *testing.T) {
+func TestAttemptStatus(t *testing.T) {
 	spare := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	head := func(lines string) string { return "HTTP/1.1 200 OK\r\n" + lines + "\r\n\r\nhello" }
 	for name, c := range map[string]struct {
@@ -127,71 +126,71 @@
 		pooled int
 	}{
 		"served":                    {ok("hello"), true, policy.OK, 1},
-		"served behind interim":     {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok("hello"), true, policy.OK, 1},
+		"served after interim":      {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok("hello"), true, policy.OK, 1},
 		"served in chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", true, policy.OK, 1},
 		"served, then closed":       {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", false, policy.OK, 0},
-		"served with more behind":   {ok("hello") + spare, true, policy.OK, 0},
+		"served with data after it": {ok("hello") + spare, true, policy.OK, 0},
 		"error":                     {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", true, policy.Error, 1},
 		"turned away":               {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Full, 1},
-		"turned away as over":       {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Full, 1},
+		"turned away as overdue":    {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Full, 1},
 		"unmarked 503 may have run": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", true, policy.Error, 1},
 		"marked 500 may have run":   {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Error, 1},
 		"closed after the request":  {"", false, policy.Reset, 0},
 		"ends in the body":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", false, policy.Reset, 0},
-		"no HTTP":                   {"\x00\x01\x02 nothing\r\n\r\n", true, policy.Reset, 0},
-		"head without end":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", maxAnswerHead+maxBody), true, policy.Reset, 0},
+		"not HTTP":                  {"\x00\x01\x02 nothing\r\n\r\n", true, policy.Reset, 0},
+		"head without end":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", maxAnswerHead+maxBufferedBody), true, policy.Reset, 0},
 		"many short header lines":   {"HTTP/1.1 200 OK\r\n" + strings.Repeat("A: a\r\n", maxAnswerHead), true, policy.Reset, 0},
 		"head that stops":           {"HTTP/1.1 200 OK\r\nContent-Le", true, policy.Reset, 0},
 		"body that stops":           {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", true, policy.Reset, 0},
 		"chunks that stop":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true, policy.Reset, 0},
-		"chunks that can't be read": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", true, policy.Reset, 0},
+		"invalid chunks":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", true, policy.Reset, 0},
 		"no length":                 {head("A: b"), true, policy.Reset, 0},
 		"no length, then closed":    {head("A: b"), false, policy.Reset, 0},
-		"ended by close, as told":   {head("Connection: close"), false, policy.OK, 0},
+		"ended by announced close":  {head("Connection: close"), false, policy.OK, 0},
 		"both lengths":              {head("Content-Length: 5\r\nTransfer-Encoding: chunked"), true, policy.Reset, 0},
 		"two lengths":               {head("Content-Length: 5\r\nContent-Length: 4"), true, policy.Reset, 0},
 		"negative length":           {head("Content-Length: -5"), true, policy.Reset, 0},
-		"length no number":          {head("Content-Length: five"), true, policy.Reset, 0},
+		"length not a number":       {head("Content-Length: five"), true, policy.Reset, 0},
 		"line with no colon":        {head("no colon\r\nContent-Length: 5"), true, policy.Reset, 0},
-		"code no number":            {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
-		"code behind its text":      {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
+		"code not a number":         {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
+		"code after its text":       {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
 		"other protocol":            {"ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
 		"interim without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + ok("hello"), true, policy.Reset, 0},
 		"switches protocols":        {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", true, policy.Reset, 0},
-		"odd load report":           {head("X-Backend-Load: {\"%%=,\r\nContent-Length: 5"), true, policy.OK, 1},
-		"body over the limit":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("a", maxBody+1), true, policy.Reset, 0},
+		"invalid load report":       {head("X-Backend-Load: {\"%%=,\r\nContent-Length: 5"), true, policy.OK, 1},
+		"body over the limit":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("a", maxBufferedBody+1), true, policy.Reset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, u := newServer(t, says(c.text, c.keep)), testUpstream(t, 8)
-			p := u.roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(time.Second), yes)
+			p := u.roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(time.Second), permit)
 			if open, kept := u.pool.Count(); p.status != c.status || kept != c.pooled || open != c.pooled {
-				t.Errorf("status %d, %d kept, %d open; want %d, %d kept", p.status, kept, open, c.status, c.pooled)
+				t.Errorf("status %d, %d idle, %d open; want %d, %d idle", p.status, kept, open, c.status, c.pooled)
 			}
 			if want := map[bool]string{true: "hello"}[c.status == policy.OK]; string(p.body) != want {
 				t.Errorf("body %q, want %q", p.body, want)
 			}
 			if n := s.requests.Load(); n != 1 {
-				t.Errorf("%d requests came, want 1", n)
+				t.Errorf("%d requests received, want 1", n)
 			}
 		})
 	}
 }
 
-func TestRefusedConnectionCouldNotConnect(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	u := testUpstream(t, 8)
-	if p := u.roundTrip(t.Context(), at(l.Addr().String()), push(), time.Now().Add(time.Second), yes); p.status != policy.ConnectFailed || u.open() != 0 {
-		t.Errorf("status %d, %d open; want could not connect, 0", p.status, u.open())
+	if p := u.roundTrip(t.Context(), at(l.Addr().String()), push(), time.Now().Add(time.Second), permit); p.status != policy.ConnectFailed || u.open() != 0 {
+		t.Errorf("status %d, %d open; want ConnectFailed, 0", p.status, u.open())
 	}
 }
 
-// A cut-off machine says nothing: the connection never comes up. A listener
-// whose queue is full acts the same.
-func TestSilentMachineCouldNotConnect(t *testing.T) {
+// A connect to an unreachable machine gets no answer and times out. A listener with a full queue
+// behaves the same.
+func TestUnreachableMachineIsConnectFailed(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -215,14 +214,14 @@
 		}
 	}
 	u := newUpstream(time.Hour, 200*time.Millisecond, 8)
-	if p := u.roundTrip(t.Context(), at(addr), push(), time.Now().Add(time.Second), yes); p.status != policy.ConnectFailed {
-		t.Errorf("status %d, want could not connect", p.status)
+	if p := u.roundTrip(t.Context(), at(addr), push(), time.Now().Add(time.Second), permit); p.status != policy.ConnectFailed {
+		t.Errorf("status %d, want ConnectFailed", p.status)
 	}
 }
 
-// The request's last byte could not be written: it has not run for sure.
-func TestBreakBeforeTheLastByteCouldNotConnect(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // never reads, so it closes nothing in return
+// If the last byte of a request could not be written, the request certainly did not run.
+func TestWriteErrorIsConnectFailed(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0") // never accepts or reads, so it does not close the connection either
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,17 +231,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil { // what is written from now on fails
+	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil { // makes further writes fail
 		t.Fatal(err)
 	}
 	u.pool.Put(c, true)
-	if p := u.roundTrip(t.Context(), at(l.Addr().String()), push(), time.Now().Add(time.Second), yes); p.status != policy.ConnectFailed || u.open() != 0 {
-		t.Errorf("status %d, %d open; want could not connect, 0", p.status, u.open())
+	if p := u.roundTrip(t.Context(), at(l.Addr().String()), push(), time.Now().Add(time.Second), permit); p.status != policy.ConnectFailed || u.open() != 0 {
+		t.Errorf("status %d, %d open; want ConnectFailed, 0", p.status, u.open())
 	}
 }
 
-// Guards against a hidden resend: net/http's Transport sends a GET and a request
-// with Idempotency-Key again by itself when a kept connection dies under it.
+// Guards against hidden resends: net/http's Transport resends a GET or a request with an
+// Idempotency-Key on its own when a pooled connection fails.
 func TestNoHiddenResendOnAStaleConnection(t *testing.T) {
 	for name, m := range map[string]*message{"GET": get(), "keyed POST": push()} {
 		t.Run(name, func(t *testing.T) {
@@ -250,13 +249,13 @@
 				if n == 1 {
 					io.WriteString(c, ok("first"))
 				}
-				return n == 1 // the second finds the connection closing
+				return n == 1 // the connection is closed instead of answering the second request
 			})
 			u := testUpstream(t, 8)
-			if p := u.roundTrip(t.Context(), at(s.addr), m, time.Now().Add(time.Second), yes); p.status != policy.OK {
+			if p := u.roundTrip(t.Context(), at(s.addr), m, time.Now().Add(time.Second), permit); p.status != policy.OK {
 				t.Fatalf("status %d, want served", p.status)
 			}
-			if p := u.roundTrip(t.Context(), at(s.addr), m, time.Now().Add(time.Second), yes); p.status != policy.Reset {
+			if p := u.roundTrip(t.Context(), at(s.addr), m, time.Now().Add(time.Second), permit); p.status != policy.Reset {
 				t.Errorf("status %d, want reset", p.status)
 			}
 			if n, c := s.requests.Load(), s.conns.Load(); n != 2 || c != 1 {
@@ -266,14 +265,14 @@
 	}
 }
 
-// Guards against an attempt going out after the loop gave it up.
-func TestNothingIsWrittenOnceGivenUp(t *testing.T) {
+// Guards against attempts that are sent after the loop has abandoned them.
+func TestAbandonedAttemptSendsNothing(t *testing.T) {
 	s, u := newServer(t, says(ok("x"), true)), testUpstream(t, 8)
-	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), no); p.status != policy.Moot {
-		t.Errorf("status %d, want never sent", p.status)
+	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), deny); p.status != policy.Moot {
+		t.Errorf("status %d, want Moot", p.status)
 	}
-	// The connection is as good as new; the next request is the first on it.
-	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), yes); p.status != policy.OK {
+	// The connection is unused and carries the next request as its first.
+	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), permit); p.status != policy.OK {
 		t.Errorf("status %d, want served", p.status)
 	}
 	if n, c := s.requests.Load(), s.conns.Load(); n != 1 || c != 1 {
@@ -281,8 +280,8 @@
 	}
 }
 
-// Guards the limit on descriptors: an idle connection makes room, a busy one doesn't.
-func TestConnectionCap(t *testing.T) {
+// Guards the descriptor limit: an idle connection is evicted to make room, a busy one is not.
+func TestConnectionLimit(t *testing.T) {
 	hold := make(chan struct{})
 	busy := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		<-hold
@@ -291,32 +290,32 @@
 	})
 	quick := newServer(t, says(ok("x"), true))
 	u := testUpstream(t, 1)
-	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), yes); p.status != policy.OK {
+	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), permit); p.status != policy.OK {
 		t.Fatalf("status %d, want served", p.status)
 	}
 	done := make(chan reply, 1)
 	go func() {
-		done <- u.roundTrip(context.Background(), at(busy.addr), get(), time.Now().Add(time.Second), yes)
+		done <- u.roundTrip(context.Background(), at(busy.addr), get(), time.Now().Add(time.Second), permit)
 	}()
-	waitFor(t, "the request at the busy server", func() bool { return busy.requests.Load() == 1 })
-	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), yes); p.status != policy.Moot {
-		t.Errorf("status %d beyond the cap, want never sent", p.status)
+	waitFor(t, "request at the busy server", func() bool { return busy.requests.Load() == 1 })
+	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), permit); p.status != policy.Moot {
+		t.Errorf("status %d beyond the limit, want Moot", p.status)
 	}
 	close(hold)
 	if p := <-done; p.status != policy.OK {
-		t.Errorf("status %d, want served in the evicted one's place", p.status)
+		t.Errorf("status %d, want served on the connection that replaced the evicted one", p.status)
 	}
 	if u.open() != 1 {
 		t.Errorf("%d open, want 1", u.open())
 	}
 }
 
-// waitFor waits for something that must come about, however slow the machine.
+// waitFor polls until a condition that is certain to become true holds, however slow the machine.
 func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no %s", what)
+			t.Fatalf("timed out: no %s", what)
 		}
 	}
 }
