--- a/internal/fleet/instance/instance.go
+++ b/internal/fleet/instance/instance.go
@@ -1,5 +1,5 @@
-// Package instance is what an agent looks after: how an instance is defined, started,
-// found again and asked.
+// Package instance defines the instances that an agent supervises, and how they are
+// started, adopted and queried.
 package instance
 
 import (
@@ -9,21 +9,21 @@
 	"otterstep/internal/control"
 )
 
-// Spec is an instance's definition.
+// Spec defines an instance.
 type Spec struct {
 	Name     string            `toml:"name"`
 	Group    string            `toml:"group"`
 	Labels   map[string]string `toml:"labels"`
-	Program  []string          `toml:"program"`  // the node's program and its arguments
-	Config   string            `toml:"config"`   // what PROXY_CONFIG names
-	Operator string            `toml:"operator"` // the operator's file; none if empty
-	Control  string            `toml:"control"`  // the control socket that the operator's file names
+	Program  []string          `toml:"program"`  // the node's executable and its arguments
+	Config   string            `toml:"config"`   // the value of PROXY_CONFIG
+	Operator string            `toml:"operator"` // the operator file; none if empty
+	Control  string            `toml:"control"`  // the control socket given in the operator file
 	Env      map[string]string `toml:"env"`
 	Listen   string            `toml:"listen"` // read from Config if empty
-	SIP      string            `toml:"sip"`    // as "udp:127.0.0.1:5060": it is up only if it answers OPTIONS there too
+	SIP      string            `toml:"sip"`    // such as "udp:127.0.0.1:5060"; the instance is up only if it also answers OPTIONS there
 }
 
-// Process is an instance's process; see Processes for real ones.
+// Process is the process of an instance. Processes implements it for operating system processes.
 type Process interface {
 	Signal(syscall.Signal) error
 	Done() <-chan struct{}
@@ -31,25 +31,25 @@
 	Release()
 }
 
-// Runner starts and finds processes. Nothing that it starts ends with the agent.
+// Runner starts and adopts processes. The processes outlive the agent.
 type Runner interface {
-	// Start starts an instance's process under a token of its own. It is an error if
-	// one runs already.
+	// Start starts an instance's process with a unique token. It fails if one is already
+	// running.
 	Start(i Spec, token string) (Process, int, error)
-	// Adopt finds the process that runs; nil if none does. The token is that of the latest
-	// launch, also if its process is gone, "" if it can't be told. An error means that one may
-	// run about which nothing is known.
+	// Adopt returns the running process, nil if there is none. The token is that of the latest
+	// launch, even if its process has exited, and "" if it is unknown. An error means that an
+	// unidentified process may be running.
 	Adopt(i Spec) (p Process, token string, pid int, err error)
-	// Names gives the instances of which a process runs, defined or not.
+	// Names returns the instances with a running process, whether configured or not.
 	Names() ([]string, error)
-	// Up tells whether an instance answers that it serves, within a second.
+	// Up reports whether an instance answers its health check within a second.
 	Up(ctx context.Context, i Spec) bool
-	// Inspect asks an instance what it is doing.
+	// Inspect returns the instance's status.
 	Inspect(ctx context.Context, i Spec) (control.Inspection, error)
-	// Keep has an instance do something with what it keeps for its way back.
+	// Keep sends an instance a command about the state that it saves for its next start.
 	Keep(ctx context.Context, i Spec, k control.Keep) error
-	// Tell brings the fleet's word to an instance.
+	// Tell sends the fleet-wide bans to an instance.
 	Tell(ctx context.Context, i Spec, w control.Word) (control.Fleet, error)
-	// Trim bounds what the instance has logged.
+	// Trim rotates the instance's log if it is too large.
 	Trim(i Spec) error
 }
--- a/internal/fleet/instance/processes.go
+++ b/internal/fleet/instance/processes.go
@@ -17,28 +17,28 @@
 	"otterstep/internal/sip"
 )
 
-// logMost bounds an instance's log: over it the file is copied to a second one,
-// whose content is replaced, and begun anew.
-const logMost = 16 << 20
+// maxLogSize is the size above which an instance's log is rotated: it replaces the
+// previous copy, and the file is truncated.
+const maxLogSize = 16 << 20
 
-// Processes is the Runner of real processes.
+// Processes is the Runner for operating system processes.
 type Processes struct {
-	folder   string
-	launcher []string
-	probe    *http.Transport
+	dir       string
+	launcher  []string
+	transport *http.Transport
 }
 
-// NewProcesses makes one that keeps run files and logs in a folder. Launcher is the
-// command that calls proc.Launch.
+// NewProcesses returns a Runner that keeps run files and logs in folder. The launcher is
+// the command that calls proc.Launch.
 func NewProcesses(folder string, launcher []string) *Processes {
 	return &Processes{folder, launcher, &http.Transport{DisableKeepAlives: true}}
 }
 
-// upWait is how long /up may take.
-const upWait = time.Second
+// upTimeout bounds a health check.
+const upTimeout = time.Second
 
-func (r *Processes) runFile(i Spec) string { return filepath.Join(r.folder, i.Name+".run") }
-func (r *Processes) logFile(i Spec) string { return filepath.Join(r.folder, i.Name+".log") }
+func (r *Processes) runFile(i Spec) string { return filepath.Join(r.dir, i.Name+".run") }
+func (r *Processes) logFile(i Spec) string { return filepath.Join(r.dir, i.Name+".log") }
 
 // Start implements Runner.
 func (r *Processes) Start(i Spec, token string) (Process, int, error) {
@@ -64,20 +64,20 @@
 func (r *Processes) Adopt(i Spec) (Process, string, int, error) {
 	p, err := proc.Adopt(r.runFile(i))
 	if err != nil || p == nil {
-		return nil, proc.Latest(r.runFile(i)), 0, err
+		return nil, proc.LatestToken(r.runFile(i)), 0, err
 	}
 	return p, p.Token, p.Pid, nil
 }
 
 // Names implements Runner.
 func (r *Processes) Names() ([]string, error) {
-	files, err := filepath.Glob(filepath.Join(r.folder, "*.run"))
+	files, err := filepath.Glob(filepath.Join(r.dir, "*.run"))
 	if err != nil {
 		return nil, err
 	}
 	var names []string
 	for _, file := range files {
-		held, err := proc.Held(file)
+		held, err := proc.Locked(file)
 		if err != nil {
 			return nil, err
 		}
@@ -90,13 +90,13 @@
 
 // Up implements Runner.
 func (r *Processes) Up(ctx context.Context, i Spec) bool {
-	ctx, cancel := context.WithTimeout(ctx, upWait)
+	ctx, cancel := context.WithTimeout(ctx, upTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.Listen+"/up", nil)
 	if err != nil {
 		return false
 	}
-	resp, err := r.probe.RoundTrip(req)
+	resp, err := r.transport.RoundTrip(req)
 	if err != nil {
 		return false
 	}
@@ -119,12 +119,12 @@
 	return control.Tell(ctx, i.Control, w)
 }
 
-// Trim implements Runner. Lines that are written between the copy and the cut are
-// lost; the instance appends, so that it goes on at the start.
+// Trim implements Runner. Lines written between the copy and the truncation are lost.
+// The instance opens its log for appending, so it continues at the new end of the file.
 func (r *Processes) Trim(i Spec) error {
 	path := r.logFile(i)
 	info, err := os.Stat(path)
-	if errors.Is(err, fs.ErrNotExist) || err == nil && info.Size() <= logMost {
+	if errors.Is(err, fs.ErrNotExist) || err == nil && info.Size() <= maxLogSize {
 		return nil
 	}
 	if err != nil {
--- a/internal/fleet/instance/processes_test.go
+++ b/internal/fleet/instance/processes_test.go
@@ -15,9 +15,9 @@
 	r := NewProcesses(t.TempDir(), nil)
 	i := Spec{Name: "a"}
 	if err := r.Trim(i); err != nil {
-		t.Errorf("no log so far: %v", err)
+		t.Errorf("without a log file: %v", err)
 	}
-	if err := os.WriteFile(r.logFile(i), make([]byte, logMost+1), 0o600); err != nil {
+	if err := os.WriteFile(r.logFile(i), make([]byte, maxLogSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
@@ -27,29 +27,29 @@
 	}
 	now, err1 := os.Stat(r.logFile(i))
 	old, err2 := os.Stat(r.logFile(i) + ".old")
-	if err1 != nil || err2 != nil || now.Size() != 0 || old.Size() != logMost+1 {
+	if err1 != nil || err2 != nil || now.Size() != 0 || old.Size() != maxLogSize+1 {
 		t.Errorf("%v, %v: %v and %v", err1, err2, now, old)
 	}
 }
 
-// An instance with a SIP side is up only if that answers too.
-func TestUpAsksTheSIPSideToo(t *testing.T) {
+// An instance with a SIP address is up only if it also answers there.
+func TestUpChecksSIP(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer up.Close()
-	deaf, err := net.ListenPacket("udp", "127.0.0.1:0")
+	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer deaf.Close()
-	desk, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: 50 * time.Millisecond}, sipua.Answer)
+	defer silent.Close()
+	server, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: 50 * time.Millisecond}, sipua.Answer)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer desk.Close()
+	defer server.Close()
 	r := NewProcesses(t.TempDir(), nil)
-	for sip, want := range map[string]bool{"": true, "udp:" + desk.Addr(): true, "udp:" + deaf.LocalAddr().String(): false, "tcp:127.0.0.1:1": false} {
+	for sip, want := range map[string]bool{"": true, "udp:" + server.Addr(): true, "udp:" + silent.LocalAddr().String(): false, "tcp:127.0.0.1:1": false} {
 		if got := r.Up(t.Context(), Spec{Listen: up.Listener.Addr().String(), SIP: sip}); got != want {
-			t.Errorf("with %q it is up: %v", sip, got)
+			t.Errorf("SIP address %q: up is %v, want %v", sip, got, want)
 		}
 	}
 }
--- a/internal/fleet/proc/proc.go
+++ b/internal/fleet/proc/proc.go
@@ -1,11 +1,11 @@
-// Package proc starts processes that outlive the one that started them, and finds
-// them again: by process id and start time, never by the id alone.
+// Package proc starts processes that outlive their parent, and finds them again by
+// process id and start time, never by the id alone, since ids are reused.
 //
 // A process is started through a short-lived launcher, which takes an exclusive
-// lock on the instance's run file, writes down who it is, and then becomes the
-// program by execve(2): process id, start time and the lock stay. So there is no
-// moment at which a process runs and can't be found, and the kernel allows one at a
-// time, whatever becomes of its supervisor.
+// lock on the instance's run file, writes its identity to the file, and then replaces
+// itself with the program by execve(2), which preserves process id, start time and lock.
+// A running process can therefore always be found, and the lock allows only one at a
+// time even if the supervisor dies.
 package proc
 
 import (
@@ -25,23 +25,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Identity names a process on this machine for all times.
+// Identity identifies a process on this machine uniquely, across reboots.
 type Identity struct {
 	Pid   int    `json:"pid"`
 	Start uint64 `json:"start"` // clock ticks since boot, proc(5) field 22
 	Boot  string `json:"boot"`  // the kernel's boot id
 }
 
-// errGone means that the process does not run (any more).
-var errGone = errors.New("no such process")
+// errNoProcess means that the process is not running.
+var errNoProcess = errors.New("no such process")
 
-// Of gives the identity of the process that has an id now. A zombie has ended.
+// Of returns the identity of the process that currently has a process id. A zombie counts
+// as ended.
 func Of(pid int) (Identity, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
-		return Identity{}, errGone
+		return Identity{}, errNoProcess
 	}
-	// The second field is a name in brackets, which may hold anything.
+	// The second field is the command name in parentheses, which may contain any character.
 	i := bytes.LastIndexByte(text, ')')
 	if i < 0 {
 		return Identity{}, fmt.Errorf("process %d: stat is unreadable", pid)
@@ -51,7 +52,7 @@
 		return Identity{}, fmt.Errorf("process %d: stat is unreadable", pid)
 	}
 	if fields[0] == "Z" || fields[0] == "X" {
-		return Identity{}, errGone
+		return Identity{}, errNoProcess
 	}
 	start, err := strconv.ParseUint(fields[19], 10, 64)
 	if err != nil {
@@ -64,61 +65,61 @@
 	return Identity{pid, start, strings.TrimSpace(string(boot))}, nil
 }
 
-// Run is what a run file holds.
+// Run is the content of a run file.
 type Run struct {
 	Token string `json:"token"` // of this launch
 	Identity
 }
 
-// runSize is a run file's length: overwritten in place, it needs no further room
-// on a full disk.
-const runSize = 512
+// runFileSize is the fixed size of a run file. It is overwritten in place, so that a
+// restart needs no additional space on a full disk.
+const runFileSize = 512
 
-// Spec says what to start.
+// Spec describes the process to start.
 type Spec struct {
 	Argv    []string
-	Env     []string // the whole environment
+	Env     []string // the complete environment
 	RunFile string
-	LogFile string // standard output and error are appended
+	LogFile string // standard output and standard error are appended to it
 }
 
-// Process is one that runs or ran. It may be used from several goroutines.
+// Process is a running or ended process. It is safe for concurrent use.
 type Process struct {
 	Run
 	pidfd *os.File
 	done  chan struct{}
 	cmd   *exec.Cmd // nil if adopted
-	state string    // once done
+	state string    // valid once done is closed
 }
 
-// launched is how long a launcher may take to become the program.
-const launched = 10 * time.Second
+// launchTimeout is how long a launcher may take to execute the program.
+const launchTimeout = 10 * time.Second
 
-// Start launches a process. Launcher is the command that calls Launch. If another
-// process holds the run file, that is an error.
+// Start launches a process. The launcher is the command that calls Launch. Start fails if
+// another process holds the lock on the run file.
 func Start(launcher []string, spec Spec, token string) (*Process, error) {
 	log, err := os.OpenFile(spec.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
 	defer log.Close()
-	told, tell, err := os.Pipe()
+	statusReader, statusWriter, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	defer told.Close()
+	defer statusReader.Close()
 	args := append(append([]string{}, launcher[1:]...), spec.RunFile, token)
 	cmd := exec.Command(launcher[0], append(args, spec.Argv...)...)
-	cmd.Env, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = spec.Env, log, log, []*os.File{tell}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // a terminal's signals are not for it
+	cmd.Env, cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = spec.Env, log, log, []*os.File{statusWriter}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // detach it from the terminal's signals
 	err = cmd.Start()
-	tell.Close()
+	statusWriter.Close()
 	if err != nil {
 		return nil, fmt.Errorf("launch: %w", err)
 	}
-	// The launcher closes its end by becoming the program, or says why it can't.
-	told.SetReadDeadline(time.Now().Add(launched))
-	why, err := io.ReadAll(io.LimitReader(told, 4<<10))
+	// The launcher's end of the pipe closes at exec; if exec fails, the error is written to it.
+	statusReader.SetReadDeadline(time.Now().Add(launchTimeout))
+	why, err := io.ReadAll(io.LimitReader(statusReader, 4<<10))
 	if err == nil && len(why) > 0 {
 		err = errors.New(string(why))
 	}
@@ -127,7 +128,7 @@
 		run, err = readRun(spec.RunFile)
 	}
 	if err == nil && run.Token != token {
-		err = errors.New("the launcher ended before its time")
+		err = errors.New("the launcher exited before it wrote the run file")
 	}
 	if err != nil {
 		cmd.Process.Kill()
@@ -137,13 +138,13 @@
 	return newProcess(run, cmd)
 }
 
-// Launch is the launcher's part: it does not return if all goes well. Errors go to
-// descriptor 3.
+// Launch runs in the launcher process. It returns only on failure, after writing the error
+// to file descriptor 3.
 func Launch(runFile, token string, argv []string) error {
-	tell := os.NewFile(3, "launch")
+	status := os.NewFile(3, "launch")
 	err := launch(runFile, token, argv)
-	fmt.Fprint(tell, err)
-	tell.Close()
+	fmt.Fprint(status, err)
+	status.Close()
 	return err
 }
 
@@ -153,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	// Not through package os: its descriptors close on exec, this one must stay.
+	// Package os would set close-on-exec, but the lock has to survive exec.
 	fd, err := unix.Open(runFile, unix.O_RDWR|unix.O_CREAT, 0o600)
 	if err != nil {
 		return fmt.Errorf("%s: %w", runFile, err)
@@ -169,10 +170,10 @@
 	if err != nil {
 		return err
 	}
-	if len(text) > runSize {
-		return fmt.Errorf("run file: %d bytes, at most %d fit", len(text), runSize)
+	if len(text) > runFileSize {
+		return fmt.Errorf("run file: content has %d bytes, the limit is %d", len(text), runFileSize)
 	}
-	text = append(text, bytes.Repeat([]byte{' '}, runSize-len(text))...)
+	text = append(text, bytes.Repeat([]byte{' '}, runFileSize-len(text))...)
 	if _, err := unix.Pwrite(fd, text, 0); err != nil {
 		return fmt.Errorf("%s: %w", runFile, err)
 	}
@@ -182,9 +183,9 @@
 	return fmt.Errorf("%s: %w", path, unix.Exec(path, argv, os.Environ()))
 }
 
-// Latest gives the token of the latest launch into a run file, whether or not the process still runs;
-// "" if there was none that can be told.
-func Latest(runFile string) string {
+// LatestToken returns the token of the latest launch recorded in a run file, whether or not that process
+// still runs, and "" if the file is missing or invalid.
+func LatestToken(runFile string) string {
 	run, err := readRun(runFile)
 	if err != nil {
 		return ""
@@ -199,7 +200,7 @@
 		return r, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, runSize))
+	text, err := io.ReadAll(io.LimitReader(f, runFileSize))
 	if err != nil {
 		return r, err
 	}
@@ -209,16 +210,16 @@
 	return r, nil
 }
 
-// settle is how long Adopt waits for a launcher that has the lock and has not
-// written yet.
-const settle = 2 * time.Second
+// adoptTimeout is how long Adopt waits for a launcher that holds the lock but has not
+// written the run file yet.
+const adoptTimeout = 2 * time.Second
 
-// Adopt finds the process that holds a run file; nil if none does. A lock that is
-// held by a process other than the one written down is an error: nothing is known
-// about it, and it must not be signalled.
+// Adopt returns the process that holds the lock on a run file, nil if none does. It fails
+// if the lock is held by a process other than the recorded one: that process is unknown
+// and must not be signalled.
 func Adopt(runFile string) (*Process, error) {
-	for until := time.Now().Add(settle); ; time.Sleep(10 * time.Millisecond) {
-		held, err := Held(runFile)
+	for until := time.Now().Add(adoptTimeout); ; time.Sleep(10 * time.Millisecond) {
+		held, err := Locked(runFile)
 		if err != nil || !held {
 			return nil, err
 		}
@@ -229,17 +230,17 @@
 				return newProcess(run, nil)
 			}
 			if err == nil {
-				err = fmt.Errorf("process %d is another one by now", run.Pid)
+				err = fmt.Errorf("process id %d now belongs to another process", run.Pid)
 			}
 		}
 		if time.Now().After(until) {
-			return nil, fmt.Errorf("%s is held by a process that it does not name: %w", runFile, err)
+			return nil, fmt.Errorf("%s is locked by a process other than the recorded one: %w", runFile, err)
 		}
 	}
 }
 
-// Held tells whether a process holds a run file.
-func Held(runFile string) (bool, error) {
+// Locked reports whether a process holds the lock on a run file.
+func Locked(runFile string) (bool, error) {
 	f, err := os.Open(runFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
@@ -247,7 +248,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer f.Close() // and with it the lock, if it was to be had
+	defer f.Close() // also releases the lock if it was acquired
 	err = unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB)
 	if errors.Is(err, unix.EWOULDBLOCK) {
 		return true, nil
@@ -259,21 +260,21 @@
 	p := &Process{Run: run, cmd: cmd, done: make(chan struct{})}
 	fd, err := unix.PidfdOpen(run.Pid, unix.PIDFD_NONBLOCK)
 	if err == nil {
-		// The id may have passed to another process before it was opened.
+		// The id may have been reused before the pidfd was opened.
 		var now Identity
 		if now, err = Of(run.Pid); err == nil && now != run.Identity {
-			err = errGone
+			err = errNoProcess
 		}
 		if err != nil {
 			unix.Close(fd)
 		}
 	}
 	if err != nil {
-		if cmd != nil { // it has ended already
+		if cmd != nil { // the child has already ended
 			go p.reap()
 			return p, nil
 		}
-		if errors.Is(err, errGone) || errors.Is(err, unix.ESRCH) {
+		if errors.Is(err, errNoProcess) || errors.Is(err, unix.ESRCH) {
 			return nil, nil
 		}
 		return nil, fmt.Errorf("process %d: %w", run.Pid, err)
@@ -282,7 +283,7 @@
 	if cmd != nil {
 		go p.reap()
 	} else {
-		go p.watch()
+		go p.waitPidfd()
 	}
 	return p, nil
 }
@@ -293,10 +294,10 @@
 	close(p.done)
 }
 
-// watch waits until the pidfd is readable, which it is once the process has ended.
-func (p *Process) watch() {
+// waitPidfd waits until the pidfd becomes readable, which happens when the process ends.
+func (p *Process) waitPidfd() {
 	defer close(p.done)
-	p.state = "ended, its exit status is its adopter's not to know"
+	p.state = "ended; the exit status of an adopted process is unknown"
 	raw, err := p.pidfd.SyscallConn()
 	if err != nil {
 		return
@@ -308,17 +309,17 @@
 	})
 }
 
-// Done is closed once the process has ended.
+// Done returns a channel that is closed once the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// State says how it ended; call it once Done is closed.
+// State describes how the process ended. Call it only after Done is closed.
 func (p *Process) State() string { return p.state }
 
-// Adopted tells that another process started it.
+// Adopted reports whether another process started it.
 func (p *Process) Adopted() bool { return p.cmd == nil }
 
-// Signal sends a signal to this very process; one that has ended gets none, and
-// that is no error.
+// Signal sends a signal to this process. It does nothing and returns nil if the process
+// has ended.
 func (p *Process) Signal(s syscall.Signal) error {
 	select {
 	case <-p.done:
@@ -340,15 +341,15 @@
 	return nil
 }
 
-// Release lets go of what is held for it, once it is done.
+// Release closes the pidfd. Call it after Done is closed.
 func (p *Process) Release() {
 	if p.pidfd != nil {
 		p.pidfd.Close()
 	}
 }
 
-// KillAll ends every process that holds a run file in a folder, and returns once
-// they are gone.
+// KillAll kills every process that holds the lock on a run file in folder, and waits until
+// they have ended.
 func KillAll(folder string) error {
 	files, err := filepath.Glob(filepath.Join(folder, "*.run"))
 	if err != nil {
@@ -360,7 +361,7 @@
 		if err == nil && p != nil {
 			if err = p.Signal(syscall.SIGKILL); err == nil {
 				<-p.Done()
-				// It may have become this process's child by its parent's death.
+				// It may have been reparented to this process; reap it.
 				_, _ = unix.Wait4(p.Pid, nil, unix.WNOHANG, nil)
 			}
 			p.Release()
--- a/internal/fleet/proc/proc_test.go
+++ b/internal/fleet/proc/proc_test.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestMain lets the test binary stand in for the launcher, for a program that waits
-// for SIGTERM, and for a supervisor that starts one and is killed.
+// TestMain lets the test binary act as the launcher, as a program that waits for
+// SIGTERM, and as a supervisor that starts a process and is killed.
 func TestMain(m *testing.M) {
 	switch {
 	case len(os.Args) > 4 && os.Args[1] == "launch":
@@ -66,12 +66,12 @@
 	return p
 }
 
-func within(t *testing.T, what string, done <-chan struct{}) {
+func waitFor(t *testing.T, what string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("no %s in 20 s", what)
+		t.Fatalf("timed out after 20 s waiting for %s", what)
 	}
 }
 
@@ -79,9 +79,9 @@
 	s := spec(t.TempDir())
 	p := start(t, s, "token-1")
 	if now, err := Of(p.Pid); err != nil || now != p.Identity {
-		t.Errorf("runs as %+v, %v, want %+v", now, err, p.Identity)
+		t.Errorf("identity %+v, %v, want %+v", now, err, p.Identity)
 	}
-	for { // the program takes signals once it says so
+	for { // wait until the program has installed its signal handler
 		if log, _ := os.ReadFile(s.LogFile); bytes.Contains(log, []byte("waiting")) {
 			break
 		}
@@ -90,24 +90,25 @@
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "end", p.Done())
+	waitFor(t, "end", p.Done())
 	if p.State() != "exit status 0" {
 		t.Errorf("ended with %q", p.State())
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		t.Errorf("a signal to one that has ended: %v", err)
+		t.Errorf("signalling an ended process: %v", err)
 	}
 	if q, err := Adopt(s.RunFile); q != nil || err != nil {
 		t.Errorf("adopted %v, %v after the end", q, err)
 	}
 }
 
-// Whatever a supervisor believes, a second process of an instance can't be started.
-func TestNoneRunsTwice(t *testing.T) {
+// A second process of an instance can't be started while one runs, even by a supervisor that
+// does not know of the first.
+func TestSecondStartIsRefused(t *testing.T) {
 	s := spec(t.TempDir())
 	p := start(t, s, "token-1")
 	if q, err := Start(launcher, s, "token-2"); err == nil || !strings.Contains(err.Error(), "held by a process that runs") {
-		t.Errorf("started %v, %v, want it refused", q, err)
+		t.Errorf("started %v, %v, want a refusal", q, err)
 	}
 	q, err := Adopt(s.RunFile)
 	if err != nil || q == nil || q.Run != p.Run {
@@ -116,9 +117,9 @@
 	q.Release()
 }
 
-// A supervisor killed with -9 right after a start leaves a process that the next one
-// finds, signals and sees end.
-func TestAdoptAfterTheStarterDied(t *testing.T) {
+// If a supervisor is killed with SIGKILL right after a start, the next one can adopt the
+// process, signal it and observe its end.
+func TestAdoptAfterSupervisorKilled(t *testing.T) {
 	dir := t.TempDir()
 	out, err := exec.Command(os.Args[0], "supervise", dir).Output()
 	if err == nil {
@@ -126,7 +127,7 @@
 	}
 	pid, err := strconv.Atoi(strings.TrimSpace(string(out)))
 	if err != nil {
-		t.Fatalf("supervisor said %q", out)
+		t.Fatalf("supervisor printed %q", out)
 	}
 	p, err := Adopt(spec(dir).RunFile)
 	if err != nil || p == nil {
@@ -139,11 +140,11 @@
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "end of an adopted process", p.Done())
+	waitFor(t, "end of an adopted process", p.Done())
 }
 
-// hold takes a run file's lock as a running instance does, and says who it is.
-func hold(t *testing.T, path string, r Run) {
+// lockRunFile writes a run file and locks it as a running instance does.
+func lockRunFile(t *testing.T, path string, r Run) {
 	t.Helper()
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -162,9 +163,9 @@
 	}
 }
 
-// Process ids are used again: a process of the same id that started at another time,
-// or before the machine did, is not ours.
-func TestIdsThatAreUsedAgain(t *testing.T) {
+// Process ids are reused: a process with the recorded id but another start time or boot id
+// must not be adopted.
+func TestReusedProcessIDs(t *testing.T) {
 	self, err := Of(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
@@ -185,38 +186,38 @@
 			t.Fatal(err)
 		}
 		if p, err := Adopt(path); p != nil || err != nil {
-			t.Errorf("%s: adopted %v, %v, want nothing to run", name, p, err)
+			t.Errorf("%s: adopted %v, %v, want no process", name, p, err)
 		}
-		hold(t, path, r) // somebody holds the lock, and it is not who is written down
+		lockRunFile(t, path, r) // the lock is held by a process other than the recorded one
 		if p, err := Adopt(path); p != nil || err == nil {
-			t.Errorf("%s: adopted %v, %v, want it refused", name, p, err)
+			t.Errorf("%s: adopted %v, %v, want an error", name, p, err)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "n1.run")
-	hold(t, path, Run{"token-1", self})
+	lockRunFile(t, path, Run{"token-1", self})
 	if p, err := Adopt(path); err != nil || p == nil || p.Pid != os.Getpid() {
-		t.Errorf("adopted %v, %v, want this very process", p, err)
+		t.Errorf("adopted %v, %v, want this process", p, err)
 	}
 }
 
-func TestWhatCannotBeStarted(t *testing.T) {
+func TestStartFailures(t *testing.T) {
 	s := spec(t.TempDir())
 	s.Argv = []string{filepath.Join(t.TempDir(), "none")}
 	if _, err := Start(launcher, s, "t"); err == nil || !strings.Contains(err.Error(), "none") {
-		t.Errorf("no program: %v", err)
+		t.Errorf("missing program: %v", err)
 	}
 	s = spec(t.TempDir())
 	s.RunFile = filepath.Join(t.TempDir(), "no", "n1.run")
 	if _, err := Start(launcher, s, "t"); err == nil || !strings.Contains(err.Error(), "n1.run") {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("missing directory: %v", err)
 	}
-	// A run file that is empty or torn, with nobody holding it, is no obstacle.
+	// A truncated run file that is not locked does not prevent a start.
 	s = spec(t.TempDir())
 	if err := os.WriteFile(s.RunFile, []byte(`{"tok`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if p, err := Adopt(s.RunFile); p != nil || err != nil {
-		t.Errorf("torn run file: %v, %v", p, err)
+		t.Errorf("truncated run file: %v, %v", p, err)
 	}
 	start(t, s, "t")
 }
@@ -227,5 +228,5 @@
 	if err := KillAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "end", p.Done())
+	waitFor(t, "end", p.Done())
 }
