--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent supervises the instances of one machine and carries out operators'
-// commands on them. What is desired and each step of each operation are on the
-// disk before anything is done, so that an agent that was killed anywhere is
-// followed by one that finishes the work. Instances don't need it to serve.
+// Package agent supervises the instances on one machine and executes operators'
+// commands on them. The desired state and each step of each operation are written to
+// disk before they are acted on, so that after a crash at any point the next agent can
+// finish the work. Instances keep serving without the agent.
 package agent
 
 import (
@@ -28,75 +28,75 @@
 )
 
 const (
-	// compactAt is the record's size at which it is rewritten as one snapshot, unless
+	// compactSize is the size at which the record is rewritten as one snapshot, unless
 	// the snapshot takes up half of it.
-	compactAt   = 4 << 20
-	expireEvery = 250 * time.Millisecond
-	mendEvery   = 2 * time.Second
+	compactSize          = 4 << 20
+	leaseCheckInterval   = 250 * time.Millisecond
+	recordRepairInterval = 2 * time.Second
 )
 
-// Options are what New needs besides the configuration.
+// Options holds the parameters of New that are not in the configuration file.
 type Options struct {
 	Launcher []string // the command that calls proc.Launch; required unless Runner is given
 	Version  string   // of the program
 	Log      *slog.Logger
-	FS       record.FS       // the system's if nil
-	Runner   instance.Runner // real processes if nil
+	FS       record.FS       // the operating system's if nil
+	Runner   instance.Runner // operating system processes if nil
 
-	// First tells that the operator starts this agent for the first time: an empty folder is no
-	// loss then. A council's voters found it.
+	// First is set when the operator starts this agent for the first time: an empty state folder is
+	// then expected and not a loss. The voters of a council bootstrap it.
 	First bool
-	// What follows is for an agent whose file has [council].
+	// The following fields are used only if the agent's file has [council].
 	Clock boottime.Clock // the system's if nil
-	// Disk opens the council's stores; the usual ones if nil.
+	// Disk opens the council's stores; the default ones if nil.
 	Disk func(dir string) (council.Stores, error)
-	// Steps, if set, is told of each step of an owner's order before it is taken.
+	// Steps, if set, is called before each step of an order given by a duty's owner.
 	Steps func(step, instance string)
 }
 
-// Agent is one machine's. Run it with Run.
+// Agent supervises the instances on one machine. Start it with Run.
 type Agent struct {
-	cfg     Config
-	log     *slog.Logger
-	runner  instance.Runner
-	started time.Time
-	version string
-	guard   *os.File // locked: one agent to a folder
-	refused refusals
-	council *councillor // nil without [council]
-	herald  *herald     // nil without [fleet]
-	steps   func(step, instance string)
-
-	commit sync.Mutex // held while an entry is checked, written and applied
-	record *record.Log
-	// dirty tells that the book holds what the record lacks, because it could not be
-	// written: no command is taken until a rewrite succeeds.
-	dirty     error
-	complaint string      // what the log last said of the record, so that it says it once
-	compacted int64       // the record's size after the latest rewrite
-	copy      *record.Log // beside the record: what is desired
-
-	mu     sync.RWMutex // over what follows; never held during I/O
-	book   *book.Book
-	memory memory
-	leases map[string]time.Time // ends of the open commands' leases
-	ended  chan struct{}        // closed and replaced when an operation ends
-
-	units  map[string]*unit
-	order  []string // names of the units, sorted
-	strays []string // names of others that run
-}
-
-// New opens the record and makes an agent. Nothing is started or adopted before Run.
+	cfg       Config
+	log       *slog.Logger
+	runner    instance.Runner
+	started   time.Time
+	version   string
+	lockFile  *os.File // locked, so that only one agent uses the state folder
+	refused   refusals
+	council   *participant    // nil without [council]
+	fleetBans *banDistributor // nil without [fleet]
+	stepHook  func(step, instance string)
+
+	commitMu sync.Mutex // held while an entry is checked, written and applied; see commit
+	record   *record.Log
+	// recordErr is set when the book holds changes that could not be written to the record:
+	// commands are refused until a rewrite succeeds.
+	recordErr       error
+	loggedRecordErr string      // the last record error that was logged, so that each is logged once
+	compactedSize   int64       // the record's size after the latest rewrite; see compactSize
+	recordCopy      *record.Log // second copy of the desired state, outside the state folder
+
+	mu             sync.RWMutex // guards the following fields; never held during I/O
+	book           *book.Book
+	recovery       recoveryTracker
+	leases         map[string]time.Time // expiry times of the open commands' leases
+	operationEnded chan struct{}        // closed and replaced whenever an operation ends
+
+	units     map[string]*unit
+	unitNames []string // names of the units, sorted
+	unmanaged []string // names of running instances that are not configured
+}
+
+// New opens the record and returns an agent. Nothing is started or adopted before Run.
 func New(cfg Config, opt Options) (*Agent, error) {
 	if cfg.Copy == "" {
 		cfg.Copy = cfg.State + ".copy"
 	}
 	a := &Agent{
 		cfg: cfg, log: opt.Log, runner: opt.Runner, started: time.Now(), version: opt.Version,
-		leases: map[string]time.Time{}, ended: make(chan struct{}),
-		units: map[string]*unit{}, steps: opt.Steps,
-		memory: memory{words: map[string][]recovery.Word{}, held: map[string]*held{}, due: map[string]time.Time{}, excess: map[string]bool{}, report: make(chan struct{}, 1)},
+		leases: map[string]time.Time{}, operationEnded: make(chan struct{}),
+		units: map[string]*unit{}, stepHook: opt.Steps,
+		recovery: recoveryTracker{sources: map[string][]recovery.Word{}, held: map[string]*heldInstance{}, startTimes: map[string]time.Time{}, unwanted: map[string]bool{}, reportNeeded: make(chan struct{}, 1)},
 	}
 	if a.log == nil {
 		a.log = slog.New(slog.DiscardHandler)
@@ -115,28 +115,28 @@
 	}
 	for _, def := range cfg.Instance {
 		a.units[def.Name] = newUnit(a, def)
-		a.order = append(a.order, def.Name)
+		a.unitNames = append(a.unitNames, def.Name)
 	}
-	slices.Sort(a.order)
-	a.book = book.New(a.order)
-	if err := a.open(opt.FS, opt.First); err != nil {
-		a.guard.Close()
+	slices.Sort(a.unitNames)
+	a.book = book.New(a.unitNames)
+	if err := a.openRecord(opt.FS, opt.First); err != nil {
+		a.lockFile.Close()
 		return nil, err
 	}
 	if cfg.Council != nil {
 		var err error
-		if a.council, err = newCouncillor(a, opt); err != nil {
+		if a.council, err = newParticipant(a, opt); err != nil {
 			a.close()
 			return nil, err
 		}
 		if cfg.Fleet != nil {
-			a.herald = newHerald(a, a.council.clock)
+			a.fleetBans = newBanDistributor(a, a.council.clock)
 		}
 	}
 	return a, nil
 }
 
-// lock keeps a second agent off the folder.
+// lock prevents a second agent from using the state folder.
 func (a *Agent) lock() error {
 	f, err := os.OpenFile(filepath.Join(a.cfg.State, "agent.lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -146,12 +146,13 @@
 		f.Close()
 		return fmt.Errorf("agent: another one works on %s: %w", a.cfg.State, err)
 	}
-	a.guard = f
+	a.lockFile = f
 	return nil
 }
 
-// open reads the record and settles what a former agent left.
-func (a *Agent) open(fsys record.FS, first bool) error {
+// openRecord reads the record, and continues or interrupts the operations that a previous
+// agent left unfinished.
+func (a *Agent) openRecord(fsys record.FS, first bool) error {
 	log, found, err := record.Open(fsys, filepath.Join(a.cfg.State, "record"), a.cfg.Name, func(text json.RawMessage) error {
 		var e book.Entry
 		if err := json.Unmarshal(text, &e); err != nil {
@@ -169,17 +170,17 @@
 		return fmt.Errorf("agent: %w", err)
 	}
 	if found.Aside != "" {
-		a.log.Error("the record was damaged: it is kept aside", "aside", found.Aside, "why", found.Why)
+		a.log.Error("the record was damaged; the damaged file is kept", "aside", found.Aside, "why", found.Why)
 	}
 	if found.Torn > 0 {
-		a.log.Warn("the record's last line was torn and is dropped", "bytes", found.Torn)
+		a.log.Warn("the record's last line was incomplete and is dropped", "bytes", found.Torn)
 	}
-	if err := a.remember(fsys, found, running, first); err != nil {
+	if err := a.initRecovery(fsys, found, running, first); err != nil {
 		return err
 	}
-	a.strays = slices.DeleteFunc(running, func(name string) bool { return a.units[name] != nil })
-	if len(a.strays) > 0 {
-		a.log.Error("instances run that are not in the agent's file: nobody looks after them", "instances", a.strays)
+	a.unmanaged = slices.DeleteFunc(running, func(name string) bool { return a.units[name] != nil })
+	if len(a.unmanaged) > 0 {
+		a.log.Error("instances run that are not in the agent's file: nobody looks after them", "instances", a.unmanaged)
 	}
 	now := time.Now()
 	for _, id := range a.book.OpenCommands() {
@@ -193,17 +194,17 @@
 		unit := a.units[op.Instance]
 		switch age := now.Sub(last); {
 		case unit == nil:
-			a.end(&op, protocol.Interrupted, fmt.Sprintf("stopped at %q: the instance is not in the agent's file any more", step))
+			a.endOperation(&op, protocol.Interrupted, fmt.Sprintf("stopped at %q: the instance is no longer in the agent's file", step))
 		case age > a.cfg.Wait.Finish.Duration:
-			a.end(&op, protocol.Interrupted, fmt.Sprintf("stopped at %q, %v before this agent was started", step, age.Round(time.Second)))
+			a.endOperation(&op, protocol.Interrupted, fmt.Sprintf("stopped at %q, %v before this agent was started", step, age.Round(time.Second)))
 		default:
-			a.log.Info("goes on with an operation", "instance", op.Instance, "kind", op.Kind, "command", op.Command, "after", step)
+			a.log.Info("resuming an operation", "instance", op.Instance, "kind", op.Kind, "command", op.Command, "after", step)
 		}
 	}
 	return nil
 }
 
-// Run supervises and answers tools until ctx ends. The instances go on.
+// Run supervises instances and answers requests until ctx is done. The instances keep running.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.close()
 	servers, err := a.listen()
@@ -213,23 +214,23 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var work sync.WaitGroup
-	// Nothing is started and no tool is answered before the truth is known.
-	for _, name := range a.order {
+	// Running processes are adopted before any is started and before requests are answered.
+	for _, name := range a.unitNames {
 		a.units[name].adopt()
 	}
-	a.settle()
-	for _, name := range a.order {
+	a.resolveHeld()
+	for _, name := range a.unitNames {
 		work.Go(func() { a.units[name].run(ctx) })
 	}
-	work.Go(func() { a.expire(ctx) })
-	work.Go(func() { a.recover(ctx) })
+	work.Go(func() { a.runMaintenance(ctx) })
+	work.Go(func() { a.runRecovery(ctx) })
 	if a.council != nil {
 		work.Go(func() { a.council.run(ctx) })
 	}
-	if a.herald != nil {
-		work.Go(func() { a.herald.run(ctx) })
+	if a.fleetBans != nil {
+		work.Go(func() { a.fleetBans.run(ctx) })
 	}
-	a.log.Info("ready", "agent", a.cfg.Name, "instances", len(a.order))
+	a.log.Info("ready", "agent", a.cfg.Name, "instances", len(a.unitNames))
 	for _, s := range servers {
 		work.Go(func() {
 			if err := s.serve(ctx); err != nil {
@@ -244,43 +245,43 @@
 	return nil
 }
 
-// close lets go of the folder. Calls that are still being answered can write no more.
+// close releases the state folder. Requests still in progress can no longer write.
 func (a *Agent) close() {
-	a.commit.Lock()
-	defer a.commit.Unlock()
-	a.record.Close() // what was confirmed is on the disk already
-	a.copy.Close()
-	a.guard.Close()
+	a.commitMu.Lock()
+	defer a.commitMu.Unlock()
+	a.record.Close() // confirmed entries are already on disk
+	a.recordCopy.Close()
+	a.lockFile.Close()
 }
 
-// expire frees the leases of tools that have died, and mends the record.
-func (a *Agent) expire(ctx context.Context) {
-	every := time.NewTicker(expireEvery)
+// runMaintenance closes commands whose lease has expired, and repairs the record.
+func (a *Agent) runMaintenance(ctx context.Context) {
+	every := time.NewTicker(leaseCheckInterval)
 	defer every.Stop()
-	mend := time.NewTicker(mendEvery)
+	mend := time.NewTicker(recordRepairInterval)
 	defer mend.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-mend.C:
-			a.commit.Lock()
-			if a.dirty != nil || a.record.Err() != nil {
-				a.mend()
+			a.commitMu.Lock()
+			if a.recordErr != nil || a.record.Err() != nil {
+				a.repairRecord()
 			}
-			a.commit.Unlock()
+			a.commitMu.Unlock()
 		case now := <-every.C:
 			a.mu.RLock()
-			var over []string
+			var expired []string
 			for id, end := range a.leases {
 				if now.After(end) {
-					over = append(over, id)
+					expired = append(expired, id)
 				}
 			}
 			a.mu.RUnlock()
-			for _, id := range over {
-				reason := fmt.Sprintf("not renewed for %v: its tool is gone", protocol.LeaseFor)
-				if _, err := a.write(book.Entry{Close: &book.Close{ID: id, State: protocol.Expired, Reason: reason}}); err == nil {
+			for _, id := range expired {
+				reason := fmt.Sprintf("lease not renewed for %v: its tool is gone", protocol.LeaseFor)
+				if _, err := a.commit(book.Entry{Close: &book.Close{ID: id, State: protocol.Expired, Reason: reason}}); err == nil {
 					a.log.Warn("a command's lease has expired", "command", id)
 				}
 			}
@@ -288,45 +289,45 @@
 	}
 }
 
-// mend rewrites the record from memory. It needs commit.
-func (a *Agent) mend() {
+// repairRecord rewrites the record from memory. The caller holds commitMu.
+func (a *Agent) repairRecord() {
 	a.mu.RLock()
 	s := a.book.Snapshot()
 	a.mu.RUnlock()
 	err := a.record.Rewrite(book.Entry{At: time.Now(), Snapshot: s})
 	if err == nil {
-		err = a.keep()
+		err = a.writeCopy()
 	}
 	if err != nil {
-		a.dirty = err
-		a.complain(err)
+		a.recordErr = err
+		a.logRecordError(err)
 		return
 	}
-	if a.complaint != "" {
-		a.complaint = ""
-		a.log.Info("the record is written again")
+	if a.loggedRecordErr != "" {
+		a.loggedRecordErr = ""
+		a.log.Info("the record can be written again")
 	}
-	a.dirty, a.compacted = nil, a.record.Size()
+	a.recordErr, a.compactedSize = nil, a.record.Size()
 }
 
-// complain logs why the record can't be written, once. It needs commit.
-func (a *Agent) complain(err error) {
-	if a.complaint != err.Error() {
-		a.complaint = err.Error()
-		a.log.Error("the record can't be written: no command is taken", "err", err)
+// logRecordError logs why the record can't be written, once per error. The caller holds commitMu.
+func (a *Agent) logRecordError(err error) {
+	if a.loggedRecordErr != err.Error() {
+		a.loggedRecordErr = err.Error()
+		a.log.Error("the record can't be written: commands are refused", "err", err)
 	}
 }
 
-// write checks a change, puts it on the disk and applies it. done means that it was
-// made before.
-func (a *Agent) write(e book.Entry) (done bool, err error) {
-	a.commit.Lock()
-	defer a.commit.Unlock()
-	return a.writeLocked(e)
+// commit checks an entry, writes it to disk and applies it. done means that the same
+// change was made before.
+func (a *Agent) commit(e book.Entry) (done bool, err error) {
+	a.commitMu.Lock()
+	defer a.commitMu.Unlock()
+	return a.commitLocked(e)
 }
 
-// writeLocked needs commit.
-func (a *Agent) writeLocked(e book.Entry) (done bool, err error) {
+// commitLocked is commit for callers that hold commitMu.
+func (a *Agent) commitLocked(e book.Entry) (done bool, err error) {
 	a.mu.RLock()
 	done, err = a.book.Check(e)
 	a.mu.RUnlock()
@@ -334,34 +335,34 @@
 		return done, err
 	}
 	e.At = time.Now()
-	if a.dirty == nil && a.record.Err() == nil && a.record.Size() > max(compactAt, 2*a.compacted) {
-		a.mend()
+	if a.recordErr == nil && a.record.Err() == nil && a.record.Size() > max(compactSize, 2*a.compactedSize) {
+		a.repairRecord()
 	}
-	err = a.dirty
+	err = a.recordErr
 	if err == nil {
 		err = a.record.Append(e)
 	}
 	if err != nil {
-		a.complain(err)
-		return false, protocol.Errorf(protocol.CodeRecord, "nothing is begun, as it can't be written down: %v", err)
+		a.logRecordError(err)
+		return false, protocol.Errorf(protocol.CodeRecord, "nothing is begun, as the record can't be written: %v", err)
 	}
 	a.apply(e)
-	if desires(e) {
-		if err := a.keep(); err != nil {
-			// The record has it; until the copy has it too no step is taken.
-			a.dirty = err
-			a.complain(err)
-			return false, protocol.Errorf(protocol.CodeRecord, "nothing is begun, as its copy can't be written: %v", err)
+	if changesCopy(e) {
+		if err := a.writeCopy(); err != nil {
+			// The record has the entry, but no step may be taken until the copy has it too.
+			a.recordErr = err
+			a.logRecordError(err)
+			return false, protocol.Errorf(protocol.CodeRecord, "nothing is begun, as the record's copy can't be written: %v", err)
 		}
 		select {
-		case a.memory.report <- struct{}{}:
-		default: // it is to be told already
+		case a.recovery.reportNeeded <- struct{}{}:
+		default: // a report is already pending
 		}
 	}
 	return false, nil
 }
 
-// apply changes the book and what goes with it.
+// apply applies an entry to the book and to the state derived from it.
 func (a *Agent) apply(e book.Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -372,27 +373,27 @@
 	case e.Close != nil:
 		delete(a.leases, e.Close.ID)
 	case e.Begin != nil:
-		delete(a.memory.held, e.Begin.Instance) // an operator has decided
+		delete(a.recovery.held, e.Begin.Instance) // an operator has set the desired state
 	case e.End != nil:
-		close(a.ended)
-		a.ended = make(chan struct{})
+		close(a.operationEnded)
+		a.operationEnded = make(chan struct{})
 	}
 }
 
-// step writes down the step that an operation is about to take.
-func (a *Agent) step(op *protocol.Operation, name, note string) error {
-	_, err := a.write(book.Entry{Step: &book.Step{ID: op.Command, Instance: op.Instance, Name: name, Note: note}})
+// recordStep records the step that an operation is about to take.
+func (a *Agent) recordStep(op *protocol.Operation, name, note string) error {
+	_, err := a.commit(book.Entry{Step: &book.Step{ID: op.Command, Instance: op.Instance, Name: name, Note: note}})
 	return err
 }
 
-// end ends an operation. If that can't be written down it holds in memory all the
-// same: the record then lacks it until it is mended.
-func (a *Agent) end(op *protocol.Operation, state, reason string) {
-	a.commit.Lock()
-	defer a.commit.Unlock()
+// endOperation ends an operation. If the entry can't be written, it is applied in memory
+// only, and the record lacks it until it is repaired.
+func (a *Agent) endOperation(op *protocol.Operation, state, reason string) {
+	a.commitMu.Lock()
+	defer a.commitMu.Unlock()
 	e := book.Entry{At: time.Now(), End: &book.End{ID: op.Command, Instance: op.Instance, State: state, Reason: reason}}
-	if _, err := a.writeLocked(e); err != nil {
-		a.dirty = err
+	if _, err := a.commitLocked(e); err != nil {
+		a.recordErr = err
 		a.apply(e)
 	}
 }
@@ -407,28 +408,28 @@
 	return a.book.Operation(i.Operation, name)
 }
 
-func (a *Agent) runAt(op *protocol.Operation) string {
+func (a *Agent) tokenAtBegin(op *protocol.Operation) string {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	return a.book.RunAt(op.Command, op.Instance)
 }
 
-// ---- what tools ask for
+// ---- requests from tools
 
-// recordState is "ok", or why no command is taken.
+// recordState returns "ok", or why commands are refused.
 func (a *Agent) recordState() string {
-	a.commit.Lock()
-	defer a.commit.Unlock()
-	if err := errors.Join(a.record.Err(), a.dirty); err != nil {
+	a.commitMu.Lock()
+	defer a.commitMu.Unlock()
+	if err := errors.Join(a.record.Err(), a.recordErr); err != nil {
 		return err.Error()
 	}
 	return "ok"
 }
 
-// state gives an instance's state; it needs mu.
+// state returns an instance's state. The caller holds mu.
 func (a *Agent) state(u *unit) protocol.Instance {
 	kept, _ := a.book.Instance(u.def.Name)
-	v := u.look()
+	v := u.currentView()
 	i := protocol.Instance{
 		Name: u.def.Name, Group: u.def.Group, Labels: u.def.Labels, Listen: u.def.Listen, Desired: "down",
 		State: v.state, Pid: v.pid, Since: v.since, Generation: kept.Generation, Crashes: v.crashes, Message: v.message,
@@ -437,7 +438,7 @@
 	if kept.Up {
 		i.Desired = "up"
 	}
-	if h := a.memory.held[u.def.Name]; h != nil && v.token == "" {
+	if h := a.recovery.held[u.def.Name]; h != nil && v.token == "" {
 		i.State, i.Desired, i.Message = protocol.StateHeld, "unknown", h.verdict.Why
 	}
 	return i
@@ -446,17 +447,17 @@
 func (a *Agent) instances() []protocol.Instance {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	list := make([]protocol.Instance, 0, len(a.order))
-	for _, name := range a.order {
+	list := make([]protocol.Instance, 0, len(a.unitNames))
+	for _, name := range a.unitNames {
 		list = append(list, a.state(a.units[name]))
 	}
 	return list
 }
 
-// raise raises a duty's token, and tells what is here behind it. What was begun under a lower
-// one shows as under way until it has ended.
-func (a *Agent) raise(f protocol.Fence, by string) (*protocol.Raised, error) {
-	if _, err := a.write(book.Entry{Fence: &book.Fence{Fence: f, By: by}}); err != nil {
+// raiseFence raises a duty's fencing token and returns the instances' state after it.
+// Operations begun under a lower token are shown as running until they have ended.
+func (a *Agent) raiseFence(f protocol.Fence, by string) (*protocol.Raised, error) {
+	if _, err := a.commit(book.Entry{Fence: &book.Fence{Fence: f, By: by}}); err != nil {
 		return nil, err
 	}
 	return &protocol.Raised{Instances: a.instances()}, nil
@@ -466,9 +467,9 @@
 	operator := who.name
 	switch {
 	case r.Fence == nil && r.OnBehalf != "":
-		return nil, protocol.Errorf(protocol.CodeUsage, "on_behalf: only a duty's owner orders for somebody else")
+		return nil, protocol.Errorf(protocol.CodeUsage, "on_behalf: only the owner of a duty may act for somebody else")
 	case r.Fence != nil && !protocol.Operator.MatchString(r.OnBehalf):
-		return nil, protocol.Errorf(protocol.CodeUsage, "on_behalf: %q is no operator's name", r.OnBehalf)
+		return nil, protocol.Errorf(protocol.CodeUsage, "on_behalf: %q is not a valid operator name", r.OnBehalf)
 	case r.Fence != nil:
 		operator, who.fence = r.OnBehalf, r.Fence
 	}
@@ -477,22 +478,23 @@
 			return nil, &protocol.Error{Code: protocol.CodeNotFound, Instance: s.Name, Text: fmt.Sprintf("no instance %q is known here", s.Name)}
 		}
 	}
-	if _, err := a.program(r.Program); err != nil {
+	if _, err := a.programCommand(r.Program); err != nil {
 		return nil, protocol.Errorf(protocol.CodeUsage, "%v", err)
 	}
 	if r.Fence != nil {
-		if err := a.undecided(r.Instances); err != nil {
+		if err := a.checkNotHeld(r.Instances); err != nil {
 			return nil, err
 		}
 	}
-	if _, err := a.write(book.Entry{Open: &book.Open{Request: r, Operator: operator}}); err != nil {
+	if _, err := a.commit(book.Entry{Open: &book.Open{Request: r, Operator: operator}}); err != nil {
 		return nil, err
 	}
 	return a.renew(r.ID, who)
 }
 
-// program gives the command of a version; nil for "", as each instance has its own in the agent's file.
-func (a *Agent) program(name string) ([]string, error) {
+// programCommand returns the command of a program version; nil for "", which stands for the
+// instance's own program in the agent's file.
+func (a *Agent) programCommand(name string) ([]string, error) {
 	if name == "" {
 		return nil, nil
 	}
@@ -506,13 +508,13 @@
 	return nil, fmt.Errorf("the file of agent %s has no fleet.program %q", a.cfg.Name, name)
 }
 
-// undecided refuses a duty's orders to instances of which it is not known yet what is desired.
-func (a *Agent) undecided(all []protocol.Seen) error {
+// checkNotHeld refuses a duty's orders to instances whose desired state is not known yet.
+func (a *Agent) checkNotHeld(all []protocol.Seen) error {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	for _, s := range all {
-		if a.memory.held[s.Name] != nil {
-			return &protocol.Error{Code: protocol.CodeForgetful, Instance: s.Name, Text: fmt.Sprintf("%s is held until it is known what is desired of it", s.Name)}
+		if a.recovery.held[s.Name] != nil {
+			return &protocol.Error{Code: protocol.CodeForgetful, Instance: s.Name, Text: fmt.Sprintf("%s is held until its desired state is known", s.Name)}
 		}
 	}
 	return nil
@@ -522,8 +524,8 @@
 	return protocol.Errorf(protocol.CodeNotFound, "no command %s is known here", id)
 }
 
-// mine gives a command if the caller may work on it: its operator, or the owner of its duty.
-func (a *Agent) mine(id string, who caller) (*protocol.Command, error) {
+// authorizedCommand returns a command if the caller is its operator or the owner of its duty.
+func (a *Agent) authorizedCommand(id string, who caller) (*protocol.Command, error) {
 	c, err := a.command(id)
 	if err != nil {
 		return nil, err
@@ -535,16 +537,16 @@
 	}
 	if operator := who.name; c.Operator != operator {
 		return nil, &protocol.Error{
-			Code: protocol.CodeConflict, Text: fmt.Sprintf("command %s is %s's, not %s's", id, c.Operator, operator),
+			Code: protocol.CodeConflict, Text: fmt.Sprintf("command %s belongs to %s, not to %s", id, c.Operator, operator),
 			Holder: &protocol.Holder{Command: c.ID, Kind: c.Kind, Operator: c.Operator, Since: c.Opened},
 		}
 	}
 	return c, nil
 }
 
-// renew makes a command's lease last another protocol.LeaseFor.
+// renew extends a command's lease by protocol.LeaseFor from now.
 func (a *Agent) renew(id string, who caller) (*protocol.Command, error) {
-	c, err := a.mine(id, who)
+	c, err := a.authorizedCommand(id, who)
 	if err != nil {
 		return nil, err
 	}
@@ -559,16 +561,16 @@
 }
 
 func (a *Agent) closeCommand(id string, who caller, reason string) (*protocol.Command, error) {
-	if _, err := a.mine(id, who); err != nil {
+	if _, err := a.authorizedCommand(id, who); err != nil {
 		return nil, err
 	}
-	if _, err := a.write(book.Entry{Close: &book.Close{ID: id, State: protocol.Closed, Reason: reason, Fence: who.fence}}); err != nil {
+	if _, err := a.commit(book.Entry{Close: &book.Close{ID: id, State: protocol.Closed, Reason: reason, Fence: who.fence}}); err != nil {
 		return nil, err
 	}
 	return a.command(id)
 }
 
-// runOperation begins an operation, or finds the one that was begun.
+// runOperation begins an operation, or returns the existing one.
 func (a *Agent) runOperation(id, instance string, who caller) (*protocol.Operation, error) {
 	if _, err := a.renew(id, who); err != nil {
 		return nil, err
@@ -577,7 +579,7 @@
 	if u == nil {
 		return nil, &protocol.Error{Code: protocol.CodeNotFound, Instance: instance, Text: fmt.Sprintf("no instance %q is known here", instance)}
 	}
-	if _, err := a.write(book.Entry{Begin: &book.Begin{ID: id, Instance: instance, Run: u.look().token, Fence: who.fence}}); err != nil {
+	if _, err := a.commit(book.Entry{Begin: &book.Begin{ID: id, Instance: instance, Run: u.currentView().token, Fence: who.fence}}); err != nil {
 		return nil, err
 	}
 	u.wake()
@@ -594,13 +596,13 @@
 	return o, nil
 }
 
-// waitOperation waits until an operation has ended, or wait is over.
+// waitOperation waits until an operation has ended, at most for wait.
 func (a *Agent) waitOperation(ctx context.Context, id, instance string, wait time.Duration) (*protocol.Operation, error) {
 	limit := time.NewTimer(min(wait, protocol.WaitMost))
 	defer limit.Stop()
 	for {
 		a.mu.RLock()
-		ended := a.ended
+		ended := a.operationEnded
 		a.mu.RUnlock()
 		o, err := a.operation(id, instance)
 		if err != nil || o.State != protocol.Running {
@@ -616,8 +618,9 @@
 	}
 }
 
-// abort ends a command, whoever gave it, and gives up what of it was interrupted.
-// An operation under way goes on to its end: half of one helps nobody.
+// abort closes a command of any operator and marks its interrupted operations as aborted.
+// A running operation is completed, as stopping it midway would leave the instance in an
+// intermediate state.
 func (a *Agent) abort(id, operator string) (*protocol.Command, error) {
 	c, err := a.command(id)
 	if err != nil {
@@ -629,13 +632,13 @@
 	reason := "aborted by " + operator
 	for _, o := range c.Operations {
 		if o.State == protocol.Interrupted {
-			if _, err := a.write(book.Entry{End: &book.End{ID: id, Instance: o.Instance, State: protocol.Aborted, Reason: reason + "; " + o.Reason}}); err != nil {
+			if _, err := a.commit(book.Entry{End: &book.End{ID: id, Instance: o.Instance, State: protocol.Aborted, Reason: reason + "; " + o.Reason}}); err != nil {
 				return nil, err
 			}
 		}
 	}
 	if c.State == protocol.Open {
-		if _, err := a.write(book.Entry{Close: &book.Close{ID: id, State: protocol.Closed, Reason: reason}}); err != nil {
+		if _, err := a.commit(book.Entry{Close: &book.Close{ID: id, State: protocol.Closed, Reason: reason}}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -24,16 +24,16 @@
 
 var ada = caller{name: "ada", role: "operator"}
 
-// world is a machine with one agent at a time.
-type world struct {
-	t       *testing.T
-	machine *instances.Machine
-	cfg     Config
-	last    int // command ids
+// fixture is a simulated machine on which one agent runs at a time.
+type fixture struct {
+	t           *testing.T
+	machine     *instances.Machine
+	cfg         Config
+	lastCommand int // number in the last command id
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, machine: instances.NewMachine()}
+func newFixture(t *testing.T) *fixture {
+	w := &fixture{t: t, machine: instances.NewMachine()}
 	w.cfg.Name, w.cfg.State = "m1", filepath.Join(t.TempDir(), "state")
 	w.cfg.Restart.First.Duration, w.cfg.Restart.Most.Duration = 100*time.Millisecond, time.Second
 	w.cfg.Restart.Steady.Duration, w.cfg.Restart.Limit = 10*time.Second, 4
@@ -45,22 +45,22 @@
 	return w
 }
 
-// life is one agent's, from its start to its end or death.
-type life struct {
+// runningAgent is an agent from its start to its shutdown or crash.
+type runningAgent struct {
 	*Agent
 	runner *instances.Runner
-	end    func()
-	died   chan struct{} // closed at death
+	stop   func()
+	died   chan struct{} // closed when the agent crashes
 }
 
-// start starts an agent; fsys is the system's if nil.
-func (w *world) start(fsys *mortal) *life {
+// start starts an agent; a nil fsys stands for the operating system's file system.
+func (w *fixture) start(fsys *crashFS) *runningAgent {
 	w.t.Helper()
-	l := &life{runner: w.machine.Runner(), died: make(chan struct{})}
+	l := &runningAgent{runner: w.machine.Runner(), died: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	opt := Options{Runner: l.runner, First: true}
 	if fsys != nil {
-		fsys.die = func() { l.runner.Cut(); cancel(); close(l.died) }
+		fsys.onCrash = func() { l.runner.Cut(); cancel(); close(l.died) }
 		opt.FS = fsys
 	}
 	a, err := New(w.cfg, opt)
@@ -70,7 +70,7 @@
 	l.Agent = a
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
-	l.end = sync.OnceFunc(func() {
+	l.stop = sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
 			w.t.Error(err)
@@ -79,8 +79,8 @@
 	return l
 }
 
-// settled waits until nothing is under way and every instance is as desired.
-func (w *world) settled(l *life) {
+// waitSettled waits until no operation is running and every instance has its desired state.
+func (w *fixture) waitSettled(l *runningAgent) {
 	w.t.Helper()
 	for range 2000 {
 		settled := true
@@ -92,30 +92,30 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	w.t.Fatalf("does not settle: %+v", l.instances())
+	w.t.Fatalf("instances did not reach their desired state: %+v", l.instances())
 }
 
-// crash ends an instance and waits until its agent has seen it.
-func (w *world) crash(name string) {
+// crash ends an instance and waits until its agent has noticed.
+func (w *fixture) crash(name string) {
 	w.machine.Crash(name)
 	synctest.Wait()
 }
 
-func (w *world) request(l *life, kind string) protocol.CommandRequest {
-	w.last++
-	r := protocol.CommandRequest{ID: protocol.NewID(time.Now(), uint64(w.last)), Kind: kind}
+func (w *fixture) request(l *runningAgent, kind string) protocol.CommandRequest {
+	w.lastCommand++
+	r := protocol.CommandRequest{ID: protocol.NewID(time.Now(), uint64(w.lastCommand)), Kind: kind}
 	for _, i := range l.instances() {
 		r.Instances = append(r.Instances, protocol.Seen{Name: i.Name, Generation: i.Generation})
 	}
-	if kind == protocol.Upgrade { // only ever a duty's order
+	if kind == protocol.Upgrade { // an upgrade is always ordered by a duty's owner
 		r.Program, r.Fence, r.OnBehalf = "v2", &protocol.Fence{Duty: "rollouts", Token: 1}, ada.name
 	}
 	return r
 }
 
-// give does what a tool does with a request; it goes on past errors as the agent may
-// be dead. It gives the operations' ends.
-func (w *world) give(l *life, r protocol.CommandRequest) (ends map[string]*protocol.Operation, err error) {
+// runCommand runs a command on all its instances as a tool does, and returns the ended operations.
+// It continues after errors, as the agent may have crashed.
+func (w *fixture) runCommand(l *runningAgent, r protocol.CommandRequest) (ends map[string]*protocol.Operation, err error) {
 	ends = map[string]*protocol.Operation{}
 	ada := ada
 	ada.fence = r.Fence
@@ -142,36 +142,36 @@
 	return ends, errors.Join(err, e)
 }
 
-// mortal is a file system whose owner dies around its nth write.
-type mortal struct {
+// crashFS is a file system that crashes the agent right before or after its nth write.
+type crashFS struct {
 	record.OS
-	dieAt  int  // the write, from 1; 0: never
-	before bool // nothing of that write reaches the disk; else all of it does
+	crashAt     int  // number of the write, from 1; 0: never
+	crashBefore bool // crash before that write reaches the disk, else after it
 
-	mu     sync.Mutex
-	writes int
-	dead   bool
-	die    func()
+	mu      sync.Mutex
+	writes  int
+	dead    bool
+	onCrash func()
 }
 
 var errDead = errors.New("the agent is dead")
 
-// begin counts a write, and tells whether its owner is dead before it.
-func (m *mortal) begin() bool {
+// beginWrite counts a write, and reports whether the agent has crashed before it.
+func (m *crashFS) beginWrite() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
-	if m.writes == m.dieAt && m.before {
-		m.kill()
+	if m.writes == m.crashAt && m.crashBefore {
+		m.crashLocked()
 	}
 	return m.dead
 }
 
-func (m *mortal) written() error {
+func (m *crashFS) endWrite() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.writes == m.dieAt && !m.dead {
-		m.kill()
+	if m.writes == m.crashAt && !m.dead {
+		m.crashLocked()
 	}
 	if m.dead {
 		return errDead
@@ -179,15 +179,15 @@
 	return nil
 }
 
-// kill needs the lock.
-func (m *mortal) kill() {
+// crashLocked crashes the agent. The caller holds mu.
+func (m *crashFS) crashLocked() {
 	if !m.dead {
 		m.dead = true
-		m.die()
+		m.onCrash()
 	}
 }
 
-func (m *mortal) gone() error {
+func (m *crashFS) check() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.dead {
@@ -196,66 +196,66 @@
 	return nil
 }
 
-func (m *mortal) Create(name string) (record.File, error) {
-	if err := m.gone(); err != nil {
+func (m *crashFS) Create(name string) (record.File, error) {
+	if err := m.check(); err != nil {
 		return nil, err
 	}
 	f, err := m.OS.Create(name)
-	return &mortalFile{f, m}, err
+	return &crashFile{f, m}, err
 }
 
-func (m *mortal) Rename(from, to string) error {
-	if err := m.gone(); err != nil {
+func (m *crashFS) Rename(from, to string) error {
+	if err := m.check(); err != nil {
 		return err
 	}
 	return m.OS.Rename(from, to)
 }
 
-func (m *mortal) Append(name string) (record.File, error) {
+func (m *crashFS) Append(name string) (record.File, error) {
 	f, err := m.OS.Append(name)
-	return &mortalFile{f, m}, err
+	return &crashFile{f, m}, err
 }
 
-type mortalFile struct {
+type crashFile struct {
 	record.File
-	m *mortal
+	fs *crashFS
 }
 
-func (f *mortalFile) Write(b []byte) (int, error) {
-	if f.m.begin() {
+func (f *crashFile) Write(b []byte) (int, error) {
+	if f.fs.beginWrite() {
 		return 0, errDead
 	}
 	return f.File.Write(b)
 }
 
-func (f *mortalFile) Sync() error {
-	if err := f.m.gone(); err != nil {
+func (f *crashFile) Sync() error {
+	if err := f.fs.check(); err != nil {
 		return err
 	}
 	if err := f.File.Sync(); err != nil {
 		return err
 	}
-	return f.m.written()
+	return f.fs.endWrite()
 }
 
-func (f *mortalFile) Truncate(n int64) error {
-	if err := f.m.gone(); err != nil {
+func (f *crashFile) Truncate(n int64) error {
+	if err := f.fs.check(); err != nil {
 		return err
 	}
 	return f.File.Truncate(n)
 }
 
-// The agent dies right before and right after each write of each kind of operation.
-// The next one brings record, desired state and truth together, finishes what was
-// begun, and nothing runs twice or is left alone. The same command sent again acts
-// no second time.
-func TestAgentDiesAtEachWrite(t *testing.T) {
+// The agent crashes right before and right after each write of each kind of operation.
+// The next agent has to finish what was begun, so that record and running processes
+// agree, no instance runs twice and none is left unsupervised. Sending the same command
+// again must not repeat its effect.
+func TestAgentCrashesAtEachWrite(t *testing.T) {
 	for _, kind := range protocol.Kinds {
 		for _, before := range []bool{true, false} {
 			for n := 1; ; n++ {
 				more := true
 				t.Run(fmt.Sprintf("%s/before=%v/write %d", kind, before, n), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { more = dieAt(t, kind, n, before) })
+					synctest.Test(t, func(t *testing.T) { more = crashAtWrite(t, kind, n, before) })
 				})
 				if !more || n > 200 {
 					if n < 10 || n > 200 {
@@ -268,48 +268,48 @@
 	}
 }
 
-// dieAt tells whether the agent died.
-func dieAt(t *testing.T, kind string, n int, before bool) bool {
-	w := newWorld(t)
+// crashAtWrite runs a command with a crash at write n, and reports whether the agent crashed.
+func crashAtWrite(t *testing.T, kind string, n int, before bool) bool {
+	w := newFixture(t)
 	l := w.start(nil)
-	w.settled(l)
+	w.waitSettled(l)
 	if kind == protocol.Start {
-		if _, err := w.give(l, w.request(l, protocol.Drain)); err != nil {
+		if _, err := w.runCommand(l, w.request(l, protocol.Drain)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.end()
+	l.stop()
 
-	fsys := &mortal{dieAt: n, before: before}
+	fsys := &crashFS{crashAt: n, crashBefore: before}
 	l = w.start(fsys)
-	if fsys.gone() == nil {
-		w.settled(l) // no tool is answered before the agent has adopted what runs
+	if fsys.check() == nil {
+		w.waitSettled(l) // requests are answered only after running processes are adopted
 	}
 	starts := map[string]int{"a": w.machine.Starts("a"), "b": w.machine.Starts("b")}
 	r := w.request(l, kind)
-	_, gave := w.give(l, r)
-	dead := fsys.gone() != nil
-	l.end()
-	if !dead && gave != nil {
-		t.Fatalf("without a death: %v", gave)
+	_, commandErr := w.runCommand(l, r)
+	dead := fsys.check() != nil
+	l.stop()
+	if !dead && commandErr != nil {
+		t.Fatalf("without a crash: %v", commandErr)
 	}
 
 	l = w.start(nil)
-	defer l.end()
-	w.settled(l)
+	defer l.stop()
+	w.waitSettled(l)
 	known := l.book.Command(r.ID) != nil
 	for _, i := range l.instances() {
 		o := l.book.Operation(r.ID, i.Name)
-		want := 0 // starts that the command brought
+		want := 0 // starts caused by the command
 		if o != nil {
 			if o.State != protocol.Done {
-				t.Errorf("%s: %s, %s, want it finished", i.Name, o.State, o.Reason)
+				t.Errorf("%s: %s, %s, want it done", i.Name, o.State, o.Reason)
 			}
 			if kind == protocol.Start || kind == protocol.Restart || kind == protocol.Upgrade {
 				want = 1
 			}
 			if is := w.machine.Program(i.Name); kind == protocol.Upgrade && (i.Program != "v2" || is != "node-v2") {
-				t.Errorf("%s: program %q is desired and %q runs", i.Name, i.Program, is)
+				t.Errorf("%s: desired program %q, running %q", i.Name, i.Program, is)
 			}
 			if i.Generation == 0 {
 				t.Errorf("%s: generation 0 after an operation", i.Name)
@@ -317,7 +317,7 @@
 		}
 		running := w.machine.Running(i.Name) != ""
 		if running != (i.Desired == "up") {
-			t.Errorf("%s: runs %v, desired %s", i.Name, running, i.Desired)
+			t.Errorf("%s: running %v, desired %s", i.Name, running, i.Desired)
 		}
 		if kind == protocol.Drain && o != nil && running {
 			t.Errorf("%s runs after its drain", i.Name)
@@ -329,9 +329,9 @@
 	if twice := w.machine.Twice(); len(twice) > 0 {
 		t.Errorf("%v were started while they ran", twice)
 	}
-	// The tool, whose answer was lost, sends the same again.
+	// The tool did not get the answer and sends the same command again.
 	if known {
-		_, err := w.give(l, r)
+		_, err := w.runCommand(l, r)
 		c := l.book.Command(r.ID)
 		if dead && err != nil && c.State == protocol.Open {
 			t.Errorf("sent again: %v", err)
@@ -348,51 +348,51 @@
 	return dead
 }
 
-func inBubble(t *testing.T, f func(t *testing.T, w *world)) {
+func withFixture(t *testing.T, f func(t *testing.T, w *fixture)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { f(t, newWorld(t)) })
+	synctest.Test(t, func(t *testing.T) { f(t, newFixture(t)) })
 }
 
-// An instance dies with a command half applied.
+// An instance ends, hangs or fails to start while a command is being executed.
 func TestInstanceDiesDuringACommand(t *testing.T) {
 	t.Run("before the signal", func(t *testing.T) {
-		inBubble(t, func(t *testing.T, w *world) {
+		withFixture(t, func(t *testing.T, w *fixture) {
 			l := w.start(nil)
-			defer l.end()
-			w.settled(l)
+			defer l.stop()
+			w.waitSettled(l)
 			r := w.request(l, protocol.Restart)
 			w.machine.Crash("a")
-			ends, err := w.give(l, r)
+			ends, err := w.runCommand(l, r)
 			if err != nil || ends["a"].State != protocol.Done || w.machine.Running("a") == "" {
 				t.Errorf("%+v, %v", ends["a"], err)
 			}
 		})
 	})
 	t.Run("after the signal", func(t *testing.T) {
-		inBubble(t, func(t *testing.T, w *world) {
+		withFixture(t, func(t *testing.T, w *fixture) {
 			l := w.start(nil)
-			defer l.end()
-			w.settled(l)
+			defer l.stop()
+			w.waitSettled(l)
 			w.machine.Deaf("a", true)
 			go func() {
 				time.Sleep(time.Second)
 				w.machine.Crash("a")
 			}()
-			ends, err := w.give(l, w.request(l, protocol.Drain))
+			ends, err := w.runCommand(l, w.request(l, protocol.Drain))
 			if err != nil || ends["a"].State != protocol.Done || w.machine.Running("a") != "" {
 				t.Errorf("%+v, %v", ends["a"], err)
 			}
 		})
 	})
 	t.Run("does not end", func(t *testing.T) {
-		inBubble(t, func(t *testing.T, w *world) {
+		withFixture(t, func(t *testing.T, w *fixture) {
 			l := w.start(nil)
-			defer l.end()
-			w.settled(l)
+			defer l.stop()
+			w.waitSettled(l)
 			w.machine.Deaf("a", true)
-			ends, err := w.give(l, w.request(l, protocol.Restart))
+			ends, err := w.runCommand(l, w.request(l, protocol.Restart))
 			if err != nil || ends["a"].State != protocol.Failed || !strings.Contains(ends["a"].Reason, "was killed") || w.machine.Running("a") == "" {
-				t.Errorf("%+v, %v, want it killed, told and started", ends["a"], err)
+				t.Errorf("%+v, %v, want it killed, reported and restarted", ends["a"], err)
 			}
 			if ends["b"].State != protocol.Done {
 				t.Errorf("b: %+v", ends["b"])
@@ -400,31 +400,31 @@
 		})
 	})
 	t.Run("between stop and start", func(t *testing.T) {
-		inBubble(t, func(t *testing.T, w *world) {
+		withFixture(t, func(t *testing.T, w *fixture) {
 			l := w.start(nil)
-			defer l.end()
-			w.settled(l)
+			defer l.stop()
+			w.waitSettled(l)
 			w.machine.Fail("a", errors.New("no such program"))
-			ends, err := w.give(l, w.request(l, protocol.Restart))
+			ends, err := w.runCommand(l, w.request(l, protocol.Restart))
 			if err != nil || ends["a"].State != protocol.Failed || !strings.Contains(ends["a"].Reason, "no such program") {
 				t.Errorf("%+v, %v", ends["a"], err)
 			}
-			w.machine.Fail("a", nil) // it is meant to be up, so it comes back by itself
-			w.settled(l)
+			w.machine.Fail("a", nil) // its desired state is up, so it is restarted
+			w.waitSettled(l)
 		})
 	})
 	t.Run("never serves", func(t *testing.T) {
-		inBubble(t, func(t *testing.T, w *world) {
+		withFixture(t, func(t *testing.T, w *fixture) {
 			l := w.start(nil)
-			defer l.end()
-			w.settled(l)
+			defer l.stop()
+			w.waitSettled(l)
 			w.machine.Stuck("a", true)
-			ends, err := w.give(l, w.request(l, protocol.Restart))
+			ends, err := w.runCommand(l, w.request(l, protocol.Restart))
 			if err != nil || ends["a"].State != protocol.Failed || !strings.Contains(ends["a"].Reason, "does not serve") {
 				t.Errorf("%+v, %v", ends["a"], err)
 			}
-			// One that hangs at its start can still be drained.
-			ends, err = w.give(l, w.request(l, protocol.Drain))
+			// An instance that hangs at startup can still be drained.
+			ends, err = w.runCommand(l, w.request(l, protocol.Drain))
 			if err != nil || ends["a"].State != protocol.Done {
 				t.Errorf("%+v, %v", ends["a"], err)
 			}
@@ -432,16 +432,16 @@
 	})
 }
 
-// Crashes are answered by starts with growing delays, up to a limit.
+// A crashed instance is restarted with growing delays, up to a limit of crashes.
 func TestCrashesUpToTheLimit(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+	withFixture(t, func(t *testing.T, w *fixture) {
 		l := w.start(nil)
-		defer l.end()
-		w.settled(l)
+		defer l.stop()
+		w.waitSettled(l)
 		began := time.Now()
 		for range w.cfg.Restart.Limit - 1 {
 			w.crash("a")
-			w.settled(l)
+			w.waitSettled(l)
 		}
 		if waited := time.Since(began); waited < 700*time.Millisecond {
 			t.Errorf("three crashes took %v, want the delays of 100, 200 and 400 ms", waited)
@@ -453,28 +453,28 @@
 			t.Fatalf("after the limit: %+v", a)
 		}
 		if l.instances()[1].State != protocol.StateUp {
-			t.Error("b suffers from a")
+			t.Error("b is affected by the crashes of a")
 		}
-		if ends, err := w.give(l, w.request(l, protocol.Start)); err != nil || ends["a"].State != protocol.Done {
+		if ends, err := w.runCommand(l, w.request(l, protocol.Start)); err != nil || ends["a"].State != protocol.Done {
 			t.Errorf("started by a command: %+v, %v", ends["a"], err)
 		}
 		time.Sleep(w.cfg.Restart.Steady.Duration)
 		w.crash("a")
-		w.settled(l)
+		w.waitSettled(l)
 		if c := l.instances()[0].Crashes; c != 1 {
 			t.Errorf("%d crashes in a row after a steady run, want 1", c)
 		}
 	})
 }
 
-// An instance that runs and has ceased to serve is shown so, and is left alone.
-func TestInstanceThatCeasesToServe(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+// An instance that runs but no longer serves is shown as running and is not restarted.
+func TestInstanceStopsServing(t *testing.T) {
+	withFixture(t, func(t *testing.T, w *fixture) {
 		l := w.start(nil)
-		defer l.end()
-		w.settled(l)
+		defer l.stop()
+		w.waitSettled(l)
 		w.machine.Stuck("a", true)
-		time.Sleep(steadyEvery + time.Second)
+		time.Sleep(steadyCheckInterval + time.Second)
 		if a := l.instances()[0]; a.State != protocol.StateRunning || !strings.Contains(a.Message, "/up has ceased") || w.machine.Starts("a") != 1 {
 			t.Errorf("%+v, started %d times", a, w.machine.Starts("a"))
 		}
@@ -486,11 +486,11 @@
 	})
 }
 
-// A tool that dies frees its lease within the stated time, not before.
-func TestDeadToolFreesItsLease(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+// The lease of a tool that has died expires after protocol.LeaseFor and not before.
+func TestDeadToolLeaseExpires(t *testing.T) {
+	withFixture(t, func(t *testing.T, w *fixture) {
 		l := w.start(nil)
-		w.settled(l)
+		w.waitSettled(l)
 		r := w.request(l, protocol.Drain)
 		if _, err := l.openCommand(r, ada); err != nil {
 			t.Fatal(err)
@@ -499,22 +499,22 @@
 		if _, err := l.renew(r.ID, ada); err != nil {
 			t.Fatal(err)
 		}
-		l.end() // a restart of the agent keeps the lease
+		l.stop() // a restart of the agent keeps the lease
 		l = w.start(nil)
-		defer l.end()
+		defer l.stop()
 		time.Sleep(protocol.LeaseFor - time.Second)
 		if h := l.instances()[0].Holder; h == nil || h.Operator != "ada" {
-			t.Errorf("held by %+v before the time was up", h)
+			t.Errorf("lease holder is %+v before the lease expires", h)
 		}
 		time.Sleep(2 * time.Second)
 		if h := l.instances()[0].Holder; h != nil {
-			t.Errorf("still held by %+v", h)
+			t.Errorf("lease holder is still %+v", h)
 		}
 		if _, err := l.runOperation(r.ID, "a", ada); code(err) != protocol.CodeConflict {
 			t.Errorf("an operation of an expired command: %v", err)
 		}
 		if w.machine.Running("a") == "" {
-			t.Error("it was drained all the same")
+			t.Error("it was drained after its command had expired")
 		}
 	})
 }
@@ -527,59 +527,59 @@
 	return fmt.Sprint(err)
 }
 
-// sick is a disk that refuses writes while it is told to.
-type sick struct {
+// failingFS is a file system whose writes fail while an error is set.
+type failingFS struct {
 	record.OS
 	mu  sync.Mutex
 	err error
 }
 
-func (s *sick) be(err error) {
+func (s *failingFS) setErr(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.err = err
 }
 
-func (s *sick) now() error {
+func (s *failingFS) currentErr() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.err
 }
 
-func (s *sick) Create(name string) (record.File, error) {
-	if err := s.now(); err != nil {
+func (s *failingFS) Create(name string) (record.File, error) {
+	if err := s.currentErr(); err != nil {
 		return nil, err
 	}
 	f, err := s.OS.Create(name)
-	return sickFile{f, s}, err
+	return failingFile{f, s}, err
 }
 
-func (s *sick) Append(name string) (record.File, error) {
+func (s *failingFS) Append(name string) (record.File, error) {
 	f, err := s.OS.Append(name)
-	return sickFile{f, s}, err
+	return failingFile{f, s}, err
 }
 
-type sickFile struct {
+type failingFile struct {
 	record.File
-	s *sick
+	fs *failingFS
 }
 
-func (f sickFile) Write(b []byte) (int, error) {
-	if err := f.s.now(); err != nil {
+func (f failingFile) Write(b []byte) (int, error) {
+	if err := f.fs.currentErr(); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, err
 	}
 	return f.File.Write(b)
 }
 
-// With a disk that is full or read-only no command is taken, and it says why; the
-// instances are looked after as before, and commands are taken once it is well.
+// While the disk is full, read-only or broken, commands are refused with the reason and
+// instances stay supervised. Commands are accepted again once the disk works.
 func TestDiskFullOrReadOnly(t *testing.T) {
 	for _, err := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
 		t.Run(err.Error(), func(t *testing.T) {
-			inBubble(t, func(t *testing.T, w *world) {
-				fsys := &sick{}
-				l := &life{runner: w.machine.Runner(), died: make(chan struct{})}
+			withFixture(t, func(t *testing.T, w *fixture) {
+				fsys := &failingFS{}
+				l := &runningAgent{runner: w.machine.Runner(), died: make(chan struct{})}
 				a, e := New(w.cfg, Options{Runner: l.runner, FS: fsys, First: true})
 				if e != nil {
 					t.Fatal(e)
@@ -588,54 +588,54 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				go a.Run(ctx)
-				w.settled(l)
-				half := w.request(l, protocol.Restart)
-				if _, e := l.openCommand(half, ada); e != nil {
+				w.waitSettled(l)
+				open := w.request(l, protocol.Restart)
+				if _, e := l.openCommand(open, ada); e != nil {
 					t.Fatal(e)
 				}
-				if _, e := l.runOperation(half.ID, "b", ada); e != nil {
+				if _, e := l.runOperation(open.ID, "b", ada); e != nil {
 					t.Fatal(e)
 				}
-				fsys.be(err) // under a running operation
-				o, e := l.waitOperation(context.Background(), half.ID, "b", protocol.WaitMost)
+				fsys.setErr(err) // while an operation is running
+				o, e := l.waitOperation(context.Background(), open.ID, "b", protocol.WaitMost)
 				if e != nil || o.State != protocol.Interrupted || !strings.Contains(o.Reason, err.Error()) {
-					t.Errorf("operation under way: %+v, %v, want it interrupted and why", o, e)
+					t.Errorf("running operation: %+v, %v, want it interrupted with the reason", o, e)
 				}
 				for range 3 {
-					w.last++
+					w.lastCommand++
 					if _, e := l.openCommand(protocol.CommandRequest{
-						ID: protocol.NewID(time.Now(), uint64(w.last)), Kind: protocol.Drain, Instances: []protocol.Seen{{Name: "a"}},
+						ID: protocol.NewID(time.Now(), uint64(w.lastCommand)), Kind: protocol.Drain, Instances: []protocol.Seen{{Name: "a"}},
 					}, caller{name: "ben", role: "operator"}); e == nil || code(e) != protocol.CodeRecord && code(e) != protocol.CodeConflict {
-						t.Errorf("a command was taken: %v", e)
+						t.Errorf("a command was accepted: %v", e)
 					}
 				}
 				if s := l.recordState(); !strings.Contains(s, err.Error()) {
 					t.Errorf("record: %q", s)
 				}
 				w.crash("a")
-				w.settled(l) // b as well: it is meant to be up
-				fsys.be(nil)
+				w.waitSettled(l) // b is restarted as well: its desired state is up
+				fsys.setErr(nil)
 				time.Sleep(protocol.LeaseFor + 3*time.Second)
 				if s := l.recordState(); s != "ok" {
-					t.Errorf("record after the disk is well: %q", s)
+					t.Errorf("record after the disk works again: %q", s)
 				}
-				if ends, e := w.give(l, w.request(l, protocol.Drain)); e != nil || ends["a"].State != protocol.Done {
-					t.Errorf("after the disk is well: %+v, %v", ends["a"], e)
+				if ends, e := w.runCommand(l, w.request(l, protocol.Drain)); e != nil || ends["a"].State != protocol.Done {
+					t.Errorf("after the disk works again: %+v, %v", ends["a"], e)
 				}
 				cancel()
 				synctest.Wait()
-				l = w.start(nil) // what was interrupted in memory only is in the record now
-				defer l.end()
-				if o := l.book.Operation(half.ID, "b"); o == nil || o.State != protocol.Interrupted {
-					t.Errorf("read again: %+v", o)
+				l = w.start(nil) // the interruption, at first in memory only, is in the record by now
+				defer l.stop()
+				if o := l.book.Operation(open.ID, "b"); o == nil || o.State != protocol.Interrupted {
+					t.Errorf("after a restart: %+v", o)
 				}
 			})
 		})
 	}
 }
 
-// write puts entries into the record of an agent that does not run.
-func (w *world) write(entries ...book.Entry) {
+// appendRecord appends entries to the record while no agent runs.
+func (w *fixture) appendRecord(entries ...book.Entry) {
 	w.t.Helper()
 	log, _, err := record.Open(record.OS{}, filepath.Join(w.cfg.State, "record"), w.cfg.Name, func(json.RawMessage) error { return nil })
 	if err != nil {
@@ -649,9 +649,10 @@
 	}
 }
 
-// What a dead agent left is finished if it is recent, or from a clock that was set
-// back since; if it is old it is marked, and can be resumed or aborted.
-func TestLeftOperations(t *testing.T) {
+// An operation left by a crashed agent is finished if it is recent, or has a time in the
+// future because the clock was set back; an old one is marked as interrupted and can be
+// resumed or aborted.
+func TestUnfinishedOperations(t *testing.T) {
 	for name, c := range map[string]struct {
 		ago  time.Duration
 		then string
@@ -664,24 +665,24 @@
 		"old, then aborted": {time.Hour, "abort", protocol.Aborted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, w *world) {
+			withFixture(t, func(t *testing.T, w *fixture) {
 				l := w.start(nil)
-				w.settled(l)
+				w.waitSettled(l)
 				r := w.request(l, protocol.Drain)
-				l.end()
+				l.stop()
 				then := time.Now().Add(-c.ago)
-				w.write(
+				w.appendRecord(
 					book.Entry{At: then, Open: &book.Open{Request: r, Operator: "ada"}},
 					book.Entry{At: then, Begin: &book.Begin{ID: r.ID, Instance: "a", Run: w.machine.Running("a")}},
 					book.Entry{At: then, Step: &book.Step{ID: r.ID, Instance: "a", Name: "term"}},
 				)
 				l = w.start(nil)
-				defer l.end()
+				defer l.stop()
 				time.Sleep(protocol.LeaseFor + 5*time.Second)
 				switch c.then {
 				case "resume":
 					r.Resume = true
-					if _, err := w.give(l, r); err != nil {
+					if _, err := w.runCommand(l, r); err != nil {
 						t.Fatal(err)
 					}
 				case "abort":
@@ -701,17 +702,17 @@
 	}
 }
 
-// A torn record costs its last entry; a damaged one is put aside, ids from before are
-// refused, and who was down stays down.
-func TestSpoiltRecord(t *testing.T) {
+// An incomplete last line is dropped from the record. A damaged record is moved aside;
+// then command ids from before are refused, and instances that were down stay down.
+func TestDamagedRecord(t *testing.T) {
 	t.Run("torn", func(t *testing.T) {
-		inBubble(t, func(t *testing.T, w *world) {
+		withFixture(t, func(t *testing.T, w *fixture) {
 			l := w.start(nil)
-			w.settled(l)
-			if _, err := w.give(l, w.request(l, protocol.Drain)); err != nil {
+			w.waitSettled(l)
+			if _, err := w.runCommand(l, w.request(l, protocol.Drain)); err != nil {
 				t.Fatal(err)
 			}
-			l.end()
+			l.stop()
 			f, err := os.OpenFile(filepath.Join(w.cfg.State, "record"), os.O_APPEND|os.O_WRONLY, 0)
 			if err != nil {
 				t.Fatal(err)
@@ -719,23 +720,23 @@
 			f.WriteString(`1234abcd {"at":"2026`)
 			f.Close()
 			l = w.start(nil)
-			defer l.end()
-			w.settled(l)
+			defer l.stop()
+			w.waitSettled(l)
 			if i := l.instances()[0]; i.Desired != "down" || i.Generation != 1 {
 				t.Errorf("%+v", i)
 			}
 		})
 	})
 	t.Run("damaged", func(t *testing.T) {
-		inBubble(t, func(t *testing.T, w *world) {
+		withFixture(t, func(t *testing.T, w *fixture) {
 			l := w.start(nil)
-			w.settled(l)
+			w.waitSettled(l)
 			r := w.request(l, protocol.Drain)
 			r.Instances = r.Instances[:1]
-			if _, err := w.give(l, r); err != nil {
+			if _, err := w.runCommand(l, r); err != nil {
 				t.Fatal(err)
 			}
-			l.end()
+			l.stop()
 			path := filepath.Join(w.cfg.State, "record")
 			text, err := os.ReadFile(path)
 			if err != nil {
@@ -748,120 +749,121 @@
 			}
 			time.Sleep(time.Second)
 			l = w.start(nil)
-			defer l.end()
-			w.settled(l)
+			defer l.stop()
+			w.waitSettled(l)
 			if _, err := os.Stat(path + ".damaged"); err != nil {
 				t.Error(err)
 			}
 			if w.machine.Running("a") != "" || w.machine.Running("b") == "" || w.machine.Starts("b") != 1 {
-				t.Error("want a down as it was found, and b never touched")
+				t.Error("want a still down, and b never restarted")
 			}
 			if _, err := l.openCommand(r, ada); code(err) != protocol.CodeTooOld {
 				t.Errorf("a command from before: %v", err)
 			}
 			time.Sleep(time.Second)
-			if ends, err := w.give(l, w.request(l, protocol.Start)); err != nil || ends["a"].State != protocol.Done {
+			if ends, err := w.runCommand(l, w.request(l, protocol.Start)); err != nil || ends["a"].State != protocol.Done {
 				t.Errorf("a new command: %+v, %v", ends["a"], err)
 			}
 		})
 	})
 }
 
-// A record that is gone altogether while instances run is a lost one, not a new one:
-// who is down stays down. An instance that is not in the file any more is named.
-func TestLostRecordAndStrays(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+// If the record is missing while instances run, it is treated as lost and not as a first
+// start: instances that are down stay down. A running instance that is no longer in the
+// agent's file is reported as unmanaged.
+func TestLostRecordAndUnmanagedInstances(t *testing.T) {
+	withFixture(t, func(t *testing.T, w *fixture) {
 		l := w.start(nil)
-		w.settled(l)
+		w.waitSettled(l)
 		r := w.request(l, protocol.Drain)
 		r.Instances = r.Instances[:1]
-		if _, err := w.give(l, r); err != nil {
+		if _, err := w.runCommand(l, r); err != nil {
 			t.Fatal(err)
 		}
-		l.end()
+		l.stop()
 		if err := os.Remove(filepath.Join(w.cfg.State, "record")); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		l = w.start(nil)
-		w.settled(l)
+		w.waitSettled(l)
 		if w.machine.Running("a") != "" || w.machine.Starts("b") != 1 {
-			t.Error("want a down as it was found, and b never touched")
+			t.Error("want a still down, and b never restarted")
 		}
 		if _, err := l.openCommand(r, ada); code(err) != protocol.CodeTooOld {
 			t.Errorf("a command from before: %v", err)
 		}
-		l.end()
+		l.stop()
 		w.cfg.Instance = w.cfg.Instance[:1]
 		l = w.start(nil)
-		defer l.end()
-		if !slices.Equal(l.strays, []string{"b"}) || w.machine.Running("b") == "" {
-			t.Errorf("strays %v, want b, running", l.strays)
+		defer l.stop()
+		if !slices.Equal(l.unmanaged, []string{"b"}) || w.machine.Running("b") == "" {
+			t.Errorf("unmanaged %v, want b, running", l.unmanaged)
 		}
 	})
 }
 
-// The record stays within its bound however much is commanded.
+// The record's size stays bounded for any number of commands.
 func TestRecordIsCompacted(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+	withFixture(t, func(t *testing.T, w *fixture) {
 		l := w.start(nil)
-		w.settled(l)
-		wide := protocol.CommandRequest{Kind: protocol.Reload, Plan: strings.Repeat("x", 1000)}
+		w.waitSettled(l)
+		large := protocol.CommandRequest{Kind: protocol.Reload, Plan: strings.Repeat("x", 1000)}
 		for range 5000 {
-			w.last++
-			wide.ID = protocol.NewID(time.Now(), uint64(w.last))
-			wide.Instances = []protocol.Seen{{Name: "a", Generation: l.instances()[0].Generation}}
-			if _, err := l.openCommand(wide, ada); err != nil {
+			w.lastCommand++
+			large.ID = protocol.NewID(time.Now(), uint64(w.lastCommand))
+			large.Instances = []protocol.Seen{{Name: "a", Generation: l.instances()[0].Generation}}
+			if _, err := l.openCommand(large, ada); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := l.closeCommand(wide.ID, ada, ""); err != nil {
+			if _, err := l.closeCommand(large.ID, ada, ""); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Millisecond)
 		}
 		size := l.record.Size()
-		l.end()
+		l.stop()
 		if size > 16<<20 {
 			t.Errorf("%d bytes", size)
 		}
 		l = w.start(nil)
-		defer l.end()
-		if l.book.Command(wide.ID) == nil {
-			t.Error("the last command is not there after the record was compacted")
+		defer l.stop()
+		if l.book.Command(large.ID) == nil {
+			t.Error("the last command is missing after the record was compacted")
 		}
 	})
 }
 
-func TestOneAgentToAFolder(t *testing.T) {
-	w := newWorld(t)
+func TestOneAgentPerStateDir(t *testing.T) {
+	w := newFixture(t)
 	first, err := New(w.cfg, Options{Runner: w.machine.Runner()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer first.guard.Close()
+	defer first.lockFile.Close()
 	if _, err := New(w.cfg, Options{Runner: w.machine.Runner()}); err == nil || !strings.Contains(err.Error(), "another one works on") {
 		t.Errorf("a second agent: %v", err)
 	}
 }
 
-func TestReloadThatFailsIsTold(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+func TestReload(t *testing.T) {
+	withFixture(t, func(t *testing.T, w *fixture) {
 		l := w.start(nil)
-		defer l.end()
-		w.settled(l)
-		ends, err := w.give(l, w.request(l, protocol.Reload))
+		defer l.stop()
+		w.waitSettled(l)
+		ends, err := w.runCommand(l, w.request(l, protocol.Reload))
 		if err != nil || ends["a"].State != protocol.Done || ends["a"].Steps[len(ends["a"].Steps)-1].Name != "reloaded" {
 			t.Errorf("%+v, %v", ends["a"], err)
 		}
 		if w.machine.Starts("a") != 1 {
-			t.Error("a reload started it again")
+			t.Error("a reload restarted the instance")
 		}
 	})
 }
 
-func TestConfigIsCheckedAsAWhole(t *testing.T) {
+func TestConfigReportsAllErrors(t *testing.T) {
 	if c, err := LoadConfig("../../../deploy/agent.toml"); err != nil || len(c.Instance) != 1 || c.Instance[0].Labels["room"] == "" {
-		t.Errorf("the example: %+v, %v", c, err)
+		t.Errorf("deploy/agent.toml: %+v, %v", c, err)
 	}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "agent.toml")
@@ -870,7 +872,7 @@
 	}
 	_, err := LoadConfig(path)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid file was accepted")
 	}
 	for _, want := range []string{
 		":1: name:", ":2: listen:", ":3: stat: unknown key, did you mean state?", "tls.ca: none given", ":6: restart.limit: 0",
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -22,13 +22,13 @@
 	"otterstep/internal/tomlfile"
 )
 
-// Config is an agent's file.
+// Config is the content of an agent's file.
 type Config struct {
 	Name   string `toml:"name"`
-	State  string `toml:"state"`  // the folder of the record, run files and logs; the agent makes it
-	Copy   string `toml:"copy"`   // a file beside the folder that tells what is desired if the record is lost; STATE.copy if empty
-	Socket string `toml:"socket"` // for tools on this machine; none if empty
-	Listen string `toml:"listen"` // for tools elsewhere, with TLS; none if empty
+	State  string `toml:"state"`  // folder for the record, run files and logs; created if missing
+	Copy   string `toml:"copy"`   // file outside the folder with a copy of the desired state, used if the record is lost; STATE.copy if empty
+	Socket string `toml:"socket"` // Unix socket for tools on this machine; none if empty
+	Listen string `toml:"listen"` // TCP address for remote tools, with TLS; none if empty
 
 	TLS struct {
 		CA   string `toml:"ca"`
@@ -44,68 +44,68 @@
 	} `toml:"restart"`
 
 	Wait struct {
-		Stop tomlfile.Duration `toml:"stop"` // from SIGTERM until SIGKILL
-		Up   tomlfile.Duration `toml:"up"`   // from the start until /up must answer 200
-		// Finish is how old an operation may be that a started agent still finishes;
-		// an older one is marked as interrupted.
+		Stop tomlfile.Duration `toml:"stop"` // time between SIGTERM and SIGKILL
+		Up   tomlfile.Duration `toml:"up"`   // time after a start within which /up must answer 200
+		// Finish is the maximum age of an unfinished operation that a restarted agent
+		// resumes; an older one is marked as interrupted.
 		Finish tomlfile.Duration `toml:"finish"`
 	} `toml:"wait"`
 
-	// Recovery says what is done with instances of which nobody knows what is desired.
+	// Recovery configures what happens to instances whose desired state is unknown.
 	Recovery struct {
-		Unknown string `toml:"unknown"` // "hold" (if empty), or "start-after 30s"
+		Unknown string `toml:"unknown"` // "hold" (the default) or "start-after 30s"
 		Group   []struct {
 			Name    string `toml:"name"`
 			Unknown string `toml:"unknown"`
 		} `toml:"group"`
 	} `toml:"recovery"`
 
-	// Pace bounds how many instances the agents of a fleet start together.
+	// Pace limits the rate at which all agents of a fleet together start instances.
 	Pace struct {
-		Rate   float64  `toml:"rate"`   // starts a second, of all agents together; 0: no bound
-		Agents int      `toml:"agents"` // how many there are; [council]'s if 0
-		Burst  int      `toml:"burst"`  // starts that all may make at once
-		First  []string `toml:"first"`  // groups that matter first, in this order
+		Rate   float64  `toml:"rate"`   // starts per second of all agents together; 0: unlimited
+		Agents int      `toml:"agents"` // number of agents; taken from [council] if 0
+		Burst  int      `toml:"burst"`  // starts that all agents together may make at once
+		First  []string `toml:"first"`  // groups to start first, in this order
 	} `toml:"pace"`
 
-	// Council is the fleet's; nil: this agent knows of none, and nothing of it runs.
+	// Council configures the fleet's council; nil: the agent has none and runs no part of it.
 	Council *Council `toml:"council"`
 
-	// Fleet brings this machine's instances to what the council says that the fleet should be; nil: nothing
-	// does. It takes [council].
+	// Fleet makes this machine's instances follow the fleet's desired state, which the council keeps; nil: they
+	// don't. It requires [council].
 	Fleet *Fleet `toml:"fleet"`
 
 	Instance []instance.Spec `toml:"instance"`
 }
 
-// Fleet is the table of a fleet whose desired state is kept by its council.
+// Fleet is the [fleet] table, for a fleet whose desired state is kept by its council.
 type Fleet struct {
 	Programs []Program `toml:"program"`
 }
 
-// Program is a version of the node's program, under the name that the fleet's document has for it.
+// Program is a version of the node's executable, under the name used in the fleet's desired state.
 type Program struct {
 	Name    string   `toml:"name"`
-	Command []string `toml:"command"` // the program and its arguments
+	Command []string `toml:"command"` // the executable and its arguments
 }
 
-// programsMost bounds the versions of an agent's file.
-const programsMost = 64
+// maxPrograms bounds the program versions in an agent's file.
+const maxPrograms = 64
 
-// check tells what is wrong with the table.
+// check reports errors in the table.
 func (c *Fleet) check(f *tomlfile.File, cfg *Config) {
 	if cfg.Council == nil {
-		f.Bad("fleet", "there is no [council]: nobody could agree on what the fleet should be")
+		f.Bad("fleet", "there is no [council], which keeps the fleet's desired state")
 	}
-	if len(c.Programs) > programsMost {
-		f.Bad("fleet.program", "%d are given, at most %d can be", len(c.Programs), programsMost)
+	if len(c.Programs) > maxPrograms {
+		f.Bad("fleet.program", "%d are given, at most %d are allowed", len(c.Programs), maxPrograms)
 	}
 	names := map[string]bool{}
 	for n, p := range c.Programs {
 		key := func(name string) string { return fmt.Sprintf("fleet.program[%d].%s", n+1, name) }
 		switch {
 		case !protocol.Name.MatchString(p.Name):
-			f.Bad(key("name"), "%q is no name", p.Name)
+			f.Bad(key("name"), "%q is not a valid name", p.Name)
 		case names[p.Name]:
 			f.Bad(key("name"), "%q is given twice", p.Name)
 		}
@@ -116,19 +116,20 @@
 	}
 }
 
-// Council is the table of a fleet whose work has one owner at a time.
+// Council is the [council] table, for a fleet in which each duty has one owner at a time.
 type Council struct {
-	Cluster string            `toml:"cluster"` // the fleet's id, the same in all its agents' files
+	Cluster string            `toml:"cluster"` // id of the fleet, the same in the files of all its agents
 	Lease   tomlfile.Duration `toml:"lease"`
-	Voters  []string          `toml:"voters"` // agents that found it: 3 or 5
+	Voters  []string          `toml:"voters"` // agents that bootstrap the council: 3 or 5
 	Agent   []struct {
 		Name    string `toml:"name"`
-		Address string `toml:"address"` // as in otterctl's file
-	} `toml:"agent"` // all of the fleet
+		Address string `toml:"address"` // in the same form as in otterctl's file
+	} `toml:"agent"` // all agents of the fleet
 }
 
-// unknownPolicy reads a policy for instances of which nothing is known: 0 holds.
-func unknownPolicy(text string) (after time.Duration, err error) {
+// parseUnknownPolicy parses the policy for instances whose desired state is unknown: the
+// delay before they are started, 0 to hold them.
+func parseUnknownPolicy(text string) (after time.Duration, err error) {
 	if text == "" || text == "hold" {
 		return 0, nil
 	}
@@ -140,60 +141,60 @@
 	return 0, fmt.Errorf("%q is neither \"hold\" nor of the form \"start-after 30s\"", text)
 }
 
-// startAfter gives the policy of a group. The file was checked.
-func (c *Config) startAfter(group string) time.Duration {
+// unknownStartDelay returns the policy of a group. The configuration has been checked.
+func (c *Config) unknownStartDelay(group string) time.Duration {
 	text := c.Recovery.Unknown
 	for _, g := range c.Recovery.Group {
 		if g.Name == group {
 			text = g.Unknown
 		}
 	}
-	after, _ := unknownPolicy(text)
+	after, _ := parseUnknownPolicy(text)
 	return after
 }
 
-// parties is how many agents start instances when all come back.
-func (c *Config) parties() int {
+// agentCount returns the number of agents that share the start rate.
+func (c *Config) agentCount() int {
 	if c.Pace.Agents == 0 && c.Council != nil {
 		return len(c.Council.Agent)
 	}
 	return c.Pace.Agents
 }
 
-// before orders instances: groups that matter first, then names.
-func (c *Config) before(a, b instance.Spec) int {
-	at := func(group string) int {
+// compareStartOrder orders instances by the priority of their group, then by name.
+func (c *Config) compareStartOrder(a, b instance.Spec) int {
+	rank := func(group string) int {
 		if i := slices.Index(c.Pace.First, group); i >= 0 {
 			return i
 		}
 		return len(c.Pace.First)
 	}
-	return cmp.Or(cmp.Compare(at(a.Group), at(b.Group)), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(cmp.Compare(rank(a.Group), rank(b.Group)), cmp.Compare(a.Name, b.Name))
 }
 
 const (
-	burstUsual           = 32
-	agentsMost           = 1000
-	leaseLeast, leaseMax = time.Second, time.Minute
-	leaseUsual           = 5 * time.Second
+	defaultBurst       = 32
+	maxAgents          = 1000
+	minLease, maxLease = time.Second, time.Minute
+	defaultLease       = 5 * time.Second
 )
 
-// check tells what is wrong with the table.
+// check reports errors in the table.
 func (c *Council) check(f *tomlfile.File, cfg *Config) {
 	if c.Lease.Duration == 0 {
-		c.Lease.Duration = leaseUsual
+		c.Lease.Duration = defaultLease
 	}
 	if !protocol.Name.MatchString(c.Cluster) {
-		f.Bad("council.cluster", "%q is no name: all agents of the fleet have the same", c.Cluster)
+		f.Bad("council.cluster", "%q is not a valid name; all agents of the fleet use the same one", c.Cluster)
 	}
-	if c.Lease.Duration < leaseLeast || c.Lease.Duration > leaseMax {
-		f.Bad("council.lease", "%v, %v to %v can be", c.Lease.Duration, leaseLeast, leaseMax)
+	if c.Lease.Duration < minLease || c.Lease.Duration > maxLease {
+		f.Bad("council.lease", "%v is outside the range %v to %v", c.Lease.Duration, minLease, maxLease)
 	}
 	if err := duty.CheckVoters(c.Voters); err != nil {
 		f.Bad("council.voters", "%v", err)
 	}
-	if len(c.Agent) == 0 || len(c.Agent) > agentsMost {
-		f.Bad("council.agent", "%d are given, 1 to %d can be", len(c.Agent), agentsMost)
+	if len(c.Agent) == 0 || len(c.Agent) > maxAgents {
+		f.Bad("council.agent", "%d are given, 1 to %d are allowed", len(c.Agent), maxAgents)
 	}
 	names := map[string]bool{}
 	for n := range c.Agent {
@@ -201,7 +202,7 @@
 		key := func(name string) string { return fmt.Sprintf("council.agent[%d].%s", n+1, name) }
 		switch {
 		case !protocol.Name.MatchString(a.Name):
-			f.Bad(key("name"), "%q is no name", a.Name)
+			f.Bad(key("name"), "%q is not a valid name", a.Name)
 		case names[a.Name]:
 			f.Bad(key("name"), "%q is given twice", a.Name)
 		}
@@ -222,7 +223,7 @@
 	}
 }
 
-// clients make the way to all agents of the fleet.
+// clients returns clients for all agents of the fleet.
 func (c *Config) clients() (all []*client.Client, err error) {
 	var conf *tls.Config
 	if c.TLS.Cert != "" {
@@ -240,13 +241,13 @@
 	return all, nil
 }
 
-// LoadConfig reads and checks an agent's file. Relative paths are taken from the
+// LoadConfig reads and checks an agent's file. Relative paths are resolved against the
 // file's folder.
 func LoadConfig(path string) (Config, error) {
 	c := Config{}
 	c.Restart.First.Duration, c.Restart.Most.Duration = 500*time.Millisecond, 30*time.Second
 	c.Restart.Steady.Duration, c.Restart.Limit = time.Minute, 8
-	c.Pace.Burst = burstUsual
+	c.Pace.Burst = defaultBurst
 	c.Wait.Stop.Duration, c.Wait.Up.Duration, c.Wait.Finish.Duration = 15*time.Second, 30*time.Second, 10*time.Minute
 	f, err := tomlfile.Load(path, &c)
 	if err != nil {
@@ -265,13 +266,13 @@
 		resolve(p)
 	}
 	if !protocol.Name.MatchString(c.Name) {
-		f.Bad("name", "%q is no name: letters, digits, '.', '_' and '-', 63 at most", c.Name)
+		f.Bad("name", "%q is not a valid name: letters, digits, '.', '_' and '-', 63 at most", c.Name)
 	}
 	if c.State == "" {
 		f.Bad("state", "none given: the folder of the record")
 	}
 	if c.Socket == "" && c.Listen == "" {
-		f.Bad("socket", "neither it nor listen is given: no tool could reach this agent")
+		f.Bad("socket", "neither socket nor listen is given: no tool could reach this agent")
 	}
 	if c.Listen != "" {
 		if _, _, err := net.SplitHostPort(c.Listen); err != nil {
@@ -279,21 +280,21 @@
 		}
 		for key, file := range map[string]string{"tls.ca": c.TLS.CA, "tls.cert": c.TLS.Cert, "tls.key": c.TLS.Key} {
 			if file == "" {
-				f.Bad(key, "none given, and listen needs it")
+				f.Bad(key, "none given, but listen requires it")
 			}
 		}
 	}
 	if c.Pace.Rate < 0 || c.Pace.Agents < 0 || c.Pace.Burst < 0 {
 		f.Bad("pace", "rate, agents and burst must not be negative")
 	}
-	if c.Pace.Rate > 0 && c.parties() == 0 {
-		f.Bad("pace.agents", "none given: how many agents the rate is for")
+	if c.Pace.Rate > 0 && c.agentCount() == 0 {
+		f.Bad("pace.agents", "none given: rate needs the number of agents that share it")
 	}
-	if _, err := unknownPolicy(c.Recovery.Unknown); err != nil {
+	if _, err := parseUnknownPolicy(c.Recovery.Unknown); err != nil {
 		f.Bad("recovery.unknown", "%v", err)
 	}
 	for n, g := range c.Recovery.Group {
-		if _, err := unknownPolicy(g.Unknown); err != nil {
+		if _, err := parseUnknownPolicy(g.Unknown); err != nil {
 			f.Bad(fmt.Sprintf("recovery.group[%d].unknown", n+1), "%v", err)
 		}
 	}
@@ -316,7 +317,7 @@
 		f.Bad("restart.first", "must be above 0 and at most restart.most")
 	}
 	if len(c.Instance) > protocol.InstancesMost {
-		f.Bad("instance", "%d are given, at most %d are taken", len(c.Instance), protocol.InstancesMost)
+		f.Bad("instance", "%d are given, at most %d are allowed", len(c.Instance), protocol.InstancesMost)
 	}
 	names := map[string]bool{}
 	for n := range c.Instance {
@@ -327,13 +328,13 @@
 		}
 		switch {
 		case !protocol.Name.MatchString(i.Name):
-			f.Bad(key("name"), "%q is no name: letters, digits, '.', '_' and '-', 63 at most", i.Name)
+			f.Bad(key("name"), "%q is not a valid name: letters, digits, '.', '_' and '-', 63 at most", i.Name)
 		case names[i.Name]:
 			f.Bad(key("name"), "%q is given twice", i.Name)
 		}
 		names[i.Name] = true
 		if i.Group != "" && !protocol.Name.MatchString(i.Group) {
-			f.Bad(key("group"), "%q is no name", i.Group)
+			f.Bad(key("group"), "%q is not a valid name", i.Group)
 		}
 		if i.SIP != "" {
 			if err := sip.CheckTarget(i.SIP); err != nil {
@@ -344,7 +345,7 @@
 			f.Bad(key("program"), "none given")
 		}
 		if i.Listen == "" {
-			if i.Listen, err = listenOf(i.Config); err != nil {
+			if i.Listen, err = readListen(i.Config); err != nil {
 				f.Bad(key("config"), "%v", err)
 			}
 		}
@@ -352,8 +353,8 @@
 	return c, f.Err()
 }
 
-// listenOf reads where an instance listens from its own configuration.
-func listenOf(path string) (string, error) {
+// readListen reads an instance's listen address from the instance's configuration file.
+func readListen(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
@@ -369,5 +370,5 @@
 }
 
 func (c *Config) backoff() backoff.Policy {
-	return backoff.Policy{First: c.Restart.First.Duration, Most: c.Restart.Most.Duration, Steady: c.Restart.Steady.Duration, Limit: c.Restart.Limit}
+	return backoff.Policy{Initial: c.Restart.First.Duration, Max: c.Restart.Most.Duration, StableAfter: c.Restart.Steady.Duration, MaxCrashes: c.Restart.Limit}
 }
--- a/internal/fleet/agent/council.go
+++ b/internal/fleet/agent/council.go
@@ -26,30 +26,30 @@
 )
 
 const (
-	// tryFor is what one voter may take over an answer, as long as others are left to ask.
-	tryFor = time.Second
-	// learnEvery is how often an agent that does not vote asks whether it is to.
-	learnEvery = 5 * time.Second
+	// callTimeout bounds a call to one voter, after which the next one is tried.
+	callTimeout = time.Second
+	// voterCheckInterval is how often an agent that does not vote checks whether it has become a voter.
+	voterCheckInterval = 5 * time.Second
 )
 
-// councillor is an agent's part in the council: its voter, if it has one, and the way to the
-// others. It implements owner.Council.
-type councillor struct {
-	agent *Agent
-	peers map[string]*client.Client
-	clock boottime.Clock
-	first bool
-	disk  func(dir string) (council.Stores, error)
+// participant is an agent's part in the council: its own voter, if it has one, and clients of the
+// other agents. It implements owner.Council.
+type participant struct {
+	agent      *Agent
+	peers      map[string]*client.Client
+	clock      boottime.Clock
+	firstStart bool
+	openStores func(dir string) (council.Stores, error)
 
-	mu     sync.Mutex
-	voter  *council.Council // nil: it only asks
-	leader string           // who led at last, as far as is known
-	voters []string
+	mu         sync.Mutex
+	voter      *council.Council // nil if the agent does not vote
+	lastLeader string           // the last known leader
+	voters     []string
 }
 
-// newCouncillor is for an agent whose file has [council].
-func newCouncillor(a *Agent, opt Options) (*councillor, error) {
-	c := &councillor{agent: a, peers: map[string]*client.Client{}, clock: opt.Clock, first: opt.First, disk: opt.Disk, voters: a.cfg.Council.Voters}
+// newParticipant requires that the agent's file has [council].
+func newParticipant(a *Agent, opt Options) (*participant, error) {
+	c := &participant{agent: a, peers: map[string]*client.Client{}, clock: opt.Clock, firstStart: opt.First, openStores: opt.Disk, voters: a.cfg.Council.Voters}
 	if c.clock == nil {
 		c.clock = boottime.System{}
 	}
@@ -61,78 +61,78 @@
 		c.peers[k.Name()] = k
 	}
 	if _, err := os.Stat(council.Folder(a.cfg.State)); err == nil || slices.Contains(c.voters, a.cfg.Name) {
-		c.vote()
+		c.startVoter()
 	}
 	return c, nil
 }
 
-// vote makes the agent's voter.
-func (c *councillor) vote() *council.Council {
+// startVoter creates the agent's voter.
+func (c *participant) startVoter() *council.Council {
 	cfg := c.agent.cfg
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.voter = council.New(council.Config{
 		Name: cfg.Name, Cluster: cfg.Council.Cluster, Dir: council.Folder(cfg.State), Witness: cfg.Copy + ".council", Voters: cfg.Council.Voters,
-		First: c.first, Lease: cfg.Council.Lease.Duration, Clock: c.clock, Peers: c, Log: c.agent.log, Disk: c.disk,
+		First: c.firstStart, Lease: cfg.Council.Lease.Duration, Clock: c.clock, Peers: c, Log: c.agent.log, Disk: c.openStores,
 	})
 	return c.voter
 }
 
-func (c *councillor) votes() *council.Council {
+func (c *participant) currentVoter() *council.Council {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.voter
 }
 
-// run takes part until ctx ends.
-func (c *councillor) run(ctx context.Context) {
+// run takes part in the council until ctx is done.
+func (c *participant) run(ctx context.Context) {
 	defer func() {
 		for _, k := range c.peers {
 			k.Close()
 		}
 	}()
-	every := time.NewTicker(learnEvery)
+	every := time.NewTicker(voterCheckInterval)
 	defer every.Stop()
-	var asking sync.WaitGroup
-	defer asking.Wait()
-	asking.Go(func() { c.reports(ctx) })
-	for c.votes() == nil {
+	var reporting sync.WaitGroup
+	defer reporting.Wait()
+	reporting.Go(func() { c.reportLoop(ctx) })
+	for c.currentVoter() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-every.C:
 		}
-		// Best effort: the next look does as well.
+		// Best effort: errors are ignored, as the next check tries again.
 		if v, err := c.View(ctx); err == nil && slices.Contains(v.Voters, c.agent.cfg.Name) {
-			c.agent.log.Info("this agent is to vote")
-			c.vote()
+			c.agent.log.Info("this agent has become a voter")
+			c.startVoter()
 		}
 	}
-	// The owner ends first: it gives its duty back, which takes the council.
+	// The owner stops before the voter: releasing its duty needs the council.
 	voting, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var work sync.WaitGroup
-	work.Go(func() { c.votes().Run(voting) })
+	work.Go(func() { c.currentVoter().Run(voting) })
 	all := make([]*client.Client, 0, len(c.peers))
 	for _, k := range c.peers {
 		all = append(all, k)
 	}
 	opt := owner.Options{
 		Name: c.agent.cfg.Name, Lease: c.agent.cfg.Council.Lease.Duration, Clock: c.clock,
-		Council: c, Fleet: group.New(all), Log: c.agent.log, Step: c.agent.steps,
+		Council: c, Fleet: group.New(all), Log: c.agent.log, Step: c.agent.stepHook,
 	}
-	var owning sync.WaitGroup
-	owning.Go(func() { owner.New(opt).Run(ctx) })
+	var owners sync.WaitGroup
+	owners.Go(func() { owner.New(opt).Run(ctx) })
 	if c.agent.cfg.Fleet != nil {
-		owning.Go(func() { owner.NewKeeper(opt).Run(ctx) })
+		owners.Go(func() { owner.NewKeeper(opt).Run(ctx) })
 	}
-	owning.Wait()
+	owners.Wait()
 	end()
 	work.Wait()
 }
 
 // Stream implements council.Peers.
-func (c *councillor) Stream(ctx context.Context, agent string, h duty.Hello) (net.Conn, error) {
+func (c *participant) Stream(ctx context.Context, agent string, h duty.Hello) (net.Conn, error) {
 	k := c.peers[agent]
 	if k == nil {
 		return nil, fmt.Errorf("agent %s is not in [council]", agent)
@@ -141,7 +141,7 @@
 }
 
 // Status implements council.Peers.
-func (c *councillor) Status(ctx context.Context, agent string) (duty.Status, error) {
+func (c *participant) Status(ctx context.Context, agent string) (duty.Status, error) {
 	k := c.peers[agent]
 	if k == nil {
 		return duty.Status{}, fmt.Errorf("agent %s is not in [council]", agent)
@@ -149,13 +149,13 @@
 	return k.CouncilStatus(ctx)
 }
 
-// candidates are the agents to ask, the likeliest leader first.
-func (c *councillor) candidates(own *council.Council) []string {
+// candidates returns the other agents to call, the most likely leader first.
+func (c *participant) candidates(voter *council.Council) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	leader := c.leader
-	if own != nil {
-		if known := own.Leader(); known != "" {
+	leader := c.lastLeader
+	if voter != nil {
+		if known := voter.Leader(); known != "" {
 			leader = known
 		}
 	}
@@ -168,23 +168,24 @@
 	return slices.DeleteFunc(list, func(name string) bool { return name == c.agent.cfg.Name || c.peers[name] == nil })
 }
 
-func noCouncil(err error) bool {
+func isNoCouncil(err error) bool {
 	var e *protocol.Error
 	return err != nil && (!errors.As(err, &e) || e.Code == protocol.CodeNoCouncil)
 }
 
-// ask puts a call to the leader, wherever it is: here, or at the others in turn.
-func (c *councillor) ask(ctx context.Context, here func(*council.Council) error, there func(context.Context, *client.Client) error) error {
-	own := c.votes()
-	var said []string
-	if own != nil && own.Leads() {
-		err := here(own)
-		if !noCouncil(err) {
+// callLeader calls the leader: this agent's voter if it leads, else the other agents in turn until one
+// answers as leader.
+func (c *participant) callLeader(ctx context.Context, local func(*council.Council) error, remote func(context.Context, *client.Client) error) error {
+	voter := c.currentVoter()
+	var failures []string
+	if voter != nil && voter.Leads() {
+		err := local(voter)
+		if !isNoCouncil(err) {
 			return err
 		}
-		said = append(said, err.Error())
+		failures = append(failures, err.Error())
 	}
-	list := c.candidates(own)
+	list := c.candidates(voter)
 	asked := map[string]bool{}
 	for len(list) > 0 && ctx.Err() == nil {
 		name := list[0]
@@ -193,29 +194,29 @@
 			continue
 		}
 		asked[name] = true
-		try, cancel := context.WithTimeout(ctx, tryFor)
-		err := there(try, c.peers[name])
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := remote(callCtx, c.peers[name])
 		cancel()
-		if !noCouncil(err) {
+		if !isNoCouncil(err) {
 			c.mu.Lock()
-			c.leader = name
+			c.lastLeader = name
 			c.mu.Unlock()
 			return err
 		}
-		said = append(said, fmt.Sprintf("%s: %v", name, err))
+		failures = append(failures, fmt.Sprintf("%s: %v", name, err))
 		var e *protocol.Error
 		if errors.As(err, &e) && e.Leader != "" && c.peers[e.Leader] != nil && !asked[e.Leader] {
 			list = append([]string{e.Leader}, list...)
 		}
 	}
-	return protocol.Errorf(protocol.CodeNoCouncil, "the council has no leader that can be reached from %s, so nothing for the fleet begins; nodes serve and agents supervise (%s)", c.agent.cfg.Name, strings.Join(said, "; "))
+	return protocol.Errorf(protocol.CodeNoCouncil, "the council has no leader that can be reached from %s, so no fleet operation can begin; nodes keep serving and agents keep supervising (%s)", c.agent.cfg.Name, strings.Join(failures, "; "))
 }
 
-// Do has a command agreed on.
-func (c *councillor) Do(ctx context.Context, k duty.Command) (a duty.Answer, err error) {
+// Do submits a command to the council.
+func (c *participant) Do(ctx context.Context, k duty.Command) (a duty.Answer, err error) {
 	k.Form = duty.Form
-	err = c.ask(ctx, func(own *council.Council) (err error) {
-		a, err = own.Do(k)
+	err = c.callLeader(ctx, func(voter *council.Council) (err error) {
+		a, err = voter.Do(k)
 		return err
 	}, func(ctx context.Context, peer *client.Client) (err error) {
 		a, err = peer.CouncilDo(ctx, k, true)
@@ -225,14 +226,14 @@
 }
 
 // Renew renews a duty's lease.
-func (c *councillor) Renew(ctx context.Context, r duty.Renewal) error {
-	return c.ask(ctx, func(own *council.Council) error { return own.Renew(r) },
+func (c *participant) Renew(ctx context.Context, r duty.Renewal) error {
+	return c.callLeader(ctx, func(voter *council.Council) error { return voter.Renew(r) },
 		func(ctx context.Context, peer *client.Client) error { return peer.CouncilRenew(ctx, r) })
 }
 
-// View gives what is agreed on; if no leader can be reached, what is known here or at some
-// voter, marked as possibly old.
-func (c *councillor) View(ctx context.Context) (v duty.View, err error) {
+// View returns the committed state. If no leader can be reached, it returns the state known here or at
+// another voter, marked as possibly outdated.
+func (c *participant) View(ctx context.Context) (v duty.View, err error) {
 	var old *duty.View
 	keep := func(got duty.View, err error) error {
 		if err == nil && !got.Current {
@@ -244,11 +245,11 @@
 		v = got
 		return err
 	}
-	err = c.ask(ctx, func(own *council.Council) error { return keep(own.View()) },
+	err = c.callLeader(ctx, func(voter *council.Council) error { return keep(voter.View()) },
 		func(ctx context.Context, peer *client.Client) error { return keep(peer.CouncilView(ctx, true)) })
 	if err != nil {
-		if own := c.votes(); own != nil && old == nil {
-			_ = keep(own.View())
+		if voter := c.currentVoter(); voter != nil && old == nil {
+			_ = keep(voter.View())
 		}
 		if old == nil {
 			return v, err
@@ -261,36 +262,36 @@
 	return v, nil
 }
 
-// Known gives what the agent's own voter knows, without asking anybody.
-func (c *councillor) Known() (duty.View, bool) {
-	own := c.votes()
-	if own == nil {
+// Known returns the state known to the agent's own voter, without any call.
+func (c *participant) Known() (duty.View, bool) {
+	voter := c.currentVoter()
+	if voter == nil {
 		return duty.View{}, false
 	}
-	return own.Known()
+	return voter.Known()
 }
 
-// Memories gives what the council keeps of all agents, as the agent's own voter knows it.
-func (c *councillor) Memories() map[string]duty.Memory { return c.votes().Memories() }
+// Memories returns the data that the council keeps for all agents, as known to the agent's own voter.
+func (c *participant) Memories() map[string]duty.Memory { return c.currentVoter().Memories() }
 
-// Changed tells of changes in what Known gives.
-func (c *councillor) Changed() <-chan struct{} { return c.votes().Changed() }
+// Changed returns a channel that signals changes of the result of Known.
+func (c *participant) Changed() <-chan struct{} { return c.currentVoter().Changed() }
 
-// councilCalls adds the calls of a fleet with a council.
-func (a *Agent) councilCalls(mux *http.ServeMux, handle func(pattern, role string, f func(r *http.Request, c caller) (any, error)), who func(*http.Request) caller) {
+// registerCouncilHandlers registers the handlers of an agent with a council.
+func (a *Agent) registerCouncilHandlers(mux *http.ServeMux, handle func(pattern, role string, f func(r *http.Request, c caller) (any, error)), identify func(*http.Request) caller) {
 	c := a.council
 	handle("POST /v1/fence", pki.Agent, func(r *http.Request, by caller) (any, error) {
 		var f protocol.Fence
-		if err := read(r, &f); err != nil {
+		if err := decodeStrict(r, &f); err != nil {
 			return nil, err
 		}
 		if by.fence == nil || f != *by.fence {
 			return nil, protocol.Errorf(protocol.CodeUsage, "fence: %v in the body, %v in %s", f, by.fence, protocol.FenceHeader)
 		}
-		return a.raise(f, by.name)
+		return a.raiseFence(f, by.name)
 	})
-	if a.herald != nil {
-		a.fleetCalls(handle)
+	if a.fleetBans != nil {
+		a.registerFleetHandlers(handle)
 	} else {
 		off := func(w http.ResponseWriter, _ *http.Request) {
 			reply(w, nil, protocol.Errorf(protocol.CodeOff, "this agent's file has no [fleet]"))
@@ -299,73 +300,73 @@
 		mux.HandleFunc("/v1/fleet/", off)
 	}
 	handle("GET /v1/council/status", pki.Viewer, func(*http.Request, caller) (any, error) {
-		own := c.votes()
-		if own == nil {
+		voter := c.currentVoter()
+		if voter == nil {
 			return duty.Status{Agent: a.cfg.Name, Cluster: a.cfg.Council.Cluster, State: duty.Outside, Members: []duty.Member{}}, nil
 		}
-		return own.Status(), nil
+		return voter.Status(), nil
 	})
 	handle("GET /v1/council", pki.Viewer, func(r *http.Request, _ caller) (any, error) {
 		if r.URL.Query().Get("direct") == "" {
 			return c.View(r.Context())
 		}
-		own := c.votes()
-		if own == nil {
+		voter := c.currentVoter()
+		if voter == nil {
 			return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s does not vote", a.cfg.Name)
 		}
-		return own.View()
+		return voter.View()
 	})
 	handle("POST /v1/council/command", pki.Viewer, func(r *http.Request, by caller) (any, error) {
 		var k duty.Command
-		if err := readLoose(r, &k); err != nil {
+		if err := decodeLenient(r, &k); err != nil {
 			return nil, err
 		}
-		if err := by.sign(&k); err != nil {
+		if err := by.setOperator(&k); err != nil {
 			return nil, err
 		}
-		if (k.Change != nil || k.Note != nil) && a.herald == nil {
+		if (k.Change != nil || k.Note != nil) && a.fleetBans == nil {
 			return nil, protocol.Errorf(protocol.CodeOff, "this agent's file has no [fleet]")
 		}
 		if k.Form != duty.Form {
-			return nil, protocol.Errorf(protocol.CodeVersion, "a command of form %d, %s knows form %d: bring tool and agents to one version", k.Form, a.cfg.Name, duty.Form)
+			return nil, protocol.Errorf(protocol.CodeVersion, "the command has format version %d, but %s supports %d: bring tool and agents to one version", k.Form, a.cfg.Name, duty.Form)
 		}
 		if r.URL.Query().Get("direct") == "" {
 			return c.Do(r.Context(), k)
 		}
-		own := c.votes()
-		if own == nil {
+		voter := c.currentVoter()
+		if voter == nil {
 			return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s does not vote", a.cfg.Name)
 		}
-		return own.Do(k)
+		return voter.Do(k)
 	})
 	handle("POST /v1/council/recover", pki.Operator, func(r *http.Request, by caller) (any, error) {
 		var q protocol.Recover
-		if err := read(r, &q); err != nil {
+		if err := decodeStrict(r, &q); err != nil {
 			return nil, err
 		}
-		own := c.votes()
+		voter := c.currentVoter()
 		switch {
 		case q.Cluster != a.cfg.Council.Cluster:
 			return nil, protocol.Errorf(protocol.CodeUsage, "cluster: %q, this agent's is %q", q.Cluster, a.cfg.Council.Cluster)
-		case own == nil:
-			return nil, protocol.Errorf(protocol.CodeUsage, "%s does not vote and knows nothing to go on with", a.cfg.Name)
+		case voter == nil:
+			return nil, protocol.Errorf(protocol.CodeUsage, "%s does not vote, so it has no state to recover the council from", a.cfg.Name)
 		}
-		a.log.Warn("the council is to be recovered", "operator", by.name)
-		return struct{}{}, own.Recover(r.Context())
+		a.log.Warn("council recovery requested", "operator", by.name)
+		return struct{}{}, voter.Recover(r.Context())
 	})
 	handle("GET /v1/council/backup", pki.Viewer, func(r *http.Request, by caller) (any, error) {
 		if by.role == pki.Viewer {
 			return nil, protocol.Errorf(protocol.CodeForbidden, "%q has the role %q, this takes %q", by.name, by.role, pki.Operator)
 		}
-		if own := c.votes(); r.URL.Query().Get("direct") != "" {
-			if own == nil {
+		if voter := c.currentVoter(); r.URL.Query().Get("direct") != "" {
+			if voter == nil {
 				return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s does not vote", a.cfg.Name)
 			}
-			return own.Backup()
+			return voter.Backup()
 		}
 		var b *duty.Backup
-		err := c.ask(r.Context(), func(own *council.Council) (err error) {
-			b, err = own.Backup()
+		err := c.callLeader(r.Context(), func(voter *council.Council) (err error) {
+			b, err = voter.Backup()
 			return err
 		}, func(ctx context.Context, peer *client.Client) (err error) {
 			b, err = peer.CouncilBackup(ctx, true)
@@ -375,25 +376,25 @@
 	})
 	handle("POST /v1/council/renew", pki.Agent, func(r *http.Request, _ caller) (any, error) {
 		var q duty.Renewal
-		if err := readLoose(r, &q); err != nil {
+		if err := decodeLenient(r, &q); err != nil {
 			return nil, err
 		}
-		own := c.votes()
-		if own == nil {
+		voter := c.currentVoter()
+		if voter == nil {
 			return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s does not vote", a.cfg.Name)
 		}
-		return struct{}{}, own.Renew(q)
+		return struct{}{}, voter.Renew(q)
 	})
 	mux.HandleFunc("GET /v1/council/stream", func(w http.ResponseWriter, r *http.Request) {
-		if err := a.stream(w, r, who(r)); err != nil {
+		if err := a.handleStream(w, r, identify(r)); err != nil {
 			reply(w, nil, err)
 		}
 	})
 }
 
-// Desired gives what the fleet should be; if no leader can be reached, what is known here or at some voter,
-// marked as possibly old.
-func (c *councillor) Desired(ctx context.Context) (v duty.FleetView, err error) {
+// Desired returns the fleet's desired state. If no leader can be reached, it returns the state known here or at
+// another voter, marked as possibly outdated.
+func (c *participant) Desired(ctx context.Context) (v duty.FleetView, err error) {
 	var old *duty.FleetView
 	keep := func(got duty.FleetView, err error) error {
 		if err == nil && !got.Current {
@@ -405,13 +406,13 @@
 		v = got
 		return err
 	}
-	err = c.ask(ctx, func(own *council.Council) error { return keep(own.Desired()) },
+	err = c.callLeader(ctx, func(voter *council.Council) error { return keep(voter.Desired()) },
 		func(ctx context.Context, peer *client.Client) error { return keep(peer.Desired(ctx, true)) })
 	if err == nil {
 		return v, nil
 	}
-	if own := c.votes(); own != nil && old == nil {
-		_ = keep(own.Desired())
+	if voter := c.currentVoter(); voter != nil && old == nil {
+		_ = keep(voter.Desired())
 	}
 	if old == nil {
 		return v, err
@@ -419,40 +420,40 @@
 	return *old, nil
 }
 
-// KnownDesired gives what the agent's own voter knows of it, if that is another version than the caller's.
-func (c *councillor) KnownDesired(but desired.Version) *desired.State {
-	return c.votes().KnownDesired(but)
+// KnownDesired returns the desired state known to the agent's own voter if its version differs from except.
+func (c *participant) KnownDesired(except desired.Version) *desired.State {
+	return c.currentVoter().KnownDesired(except)
 }
 
-// fleetCalls adds the calls of a fleet whose desired state the council keeps.
-func (a *Agent) fleetCalls(handle func(pattern, role string, f func(r *http.Request, c caller) (any, error))) {
-	handle("GET /v1/fleet", pki.Viewer, func(*http.Request, caller) (any, error) { return a.herald.state(), nil })
+// registerFleetHandlers registers the handlers of an agent whose fleet's desired state the council keeps.
+func (a *Agent) registerFleetHandlers(handle func(pattern, role string, f func(r *http.Request, c caller) (any, error))) {
+	handle("GET /v1/fleet", pki.Viewer, func(*http.Request, caller) (any, error) { return a.fleetBans.status(), nil })
 	handle("POST /v1/fleet", pki.Agent, func(r *http.Request, by caller) (any, error) {
 		var o protocol.FleetOrder
-		if err := readLoose(r, &o); err != nil {
+		if err := decodeLenient(r, &o); err != nil {
 			return nil, err
 		}
 		if by.fence == nil || by.fence.Duty != duty.Fleet {
 			return nil, protocol.Errorf(protocol.CodeUsage, "the fleet's word comes from the owner of the duty %s, with its token in %s", duty.Fleet, protocol.FenceHeader)
 		}
-		return a.herald.order(r.Context(), o, *by.fence)
+		return a.fleetBans.handleOrder(r.Context(), o, *by.fence)
 	})
 	handle("GET /v1/fleet/desired", pki.Viewer, func(r *http.Request, _ caller) (any, error) {
 		if r.URL.Query().Get("direct") == "" {
 			return a.council.Desired(r.Context())
 		}
-		own := a.council.votes()
-		if own == nil {
+		voter := a.council.currentVoter()
+		if voter == nil {
 			return nil, protocol.Errorf(protocol.CodeNoCouncil, "%s does not vote", a.cfg.Name)
 		}
-		return own.Desired()
+		return voter.Desired()
 	})
 }
 
-// sign writes whose word a command is, and refuses what the caller's role may not say. Another
-// agent passes an operator's word on as it was signed there.
-func (c caller) sign(k *duty.Command) error {
-	takes, by := pki.Operator, (*string)(nil)
+// setOperator sets the operator of a command to the caller, and refuses commands that the caller's role does
+// not permit. A command forwarded by another agent keeps the operator that was set there.
+func (c caller) setOperator(k *duty.Command) error {
+	required, by := pki.Operator, (*string)(nil)
 	switch {
 	case k.Submit != nil:
 		by = &k.Submit.Operator
@@ -465,14 +466,14 @@
 	case k.Change != nil && k.Change.Token == 0:
 		by = &k.Change.By
 	case k.Report != nil && c.role == pki.Agent && c.name != k.Report.Agent:
-		return protocol.Errorf(protocol.CodeForbidden, "%q reports in the name of %q", c.name, k.Report.Agent)
+		return protocol.Errorf(protocol.CodeForbidden, "%q may not report for %q", c.name, k.Report.Agent)
 	case k.Release != nil && k.Release.Forced:
 		by = &k.Release.By
 	default:
-		takes = pki.Agent
+		required = pki.Agent
 	}
-	if c.role != localRole && c.role != pki.Agent && c.role != takes {
-		return protocol.Errorf(protocol.CodeForbidden, "%q has the role %q, this takes %q", c.name, c.role, takes)
+	if c.role != localRole && c.role != pki.Agent && c.role != required {
+		return protocol.Errorf(protocol.CodeForbidden, "%q has the role %q, this takes %q", c.name, c.role, required)
 	}
 	if by == nil {
 		return nil
@@ -481,56 +482,56 @@
 		*by = c.name
 	}
 	if !protocol.Operator.MatchString(*by) {
-		return protocol.Errorf(protocol.CodeUsage, "%q is no operator's name", *by)
+		return protocol.Errorf(protocol.CodeUsage, "%q is not a valid operator name", *by)
 	}
 	return nil
 }
 
-// stream turns a request into a stream between two voters.
-func (a *Agent) stream(w http.ResponseWriter, r *http.Request, who caller) error {
+// handleStream upgrades a request to a stream between two voters.
+func (a *Agent) handleStream(w http.ResponseWriter, r *http.Request, who caller) error {
 	q := r.URL.Query()
 	h := duty.Hello{Cluster: q.Get("cluster"), Founding: q.Get("founding"), From: q.Get("from"), To: q.Get("to")}
-	own := a.council.votes()
+	voter := a.council.currentVoter()
 	var err error
 	if h.Epoch, err = strconv.ParseUint(q.Get("epoch"), 10, 64); err != nil {
-		return protocol.Errorf(protocol.CodeUsage, "epoch: %q is no number", q.Get("epoch"))
+		return protocol.Errorf(protocol.CodeUsage, "epoch: %q is not a number", q.Get("epoch"))
 	}
 	switch {
 	case !who.may(pki.Agent) || who.role == pki.Agent && who.name != duty.NameOf(h.From):
 		a.refused.add("role")
-		return protocol.Errorf(protocol.CodeForbidden, "%q may not speak for the voter %q", who.name, h.From)
-	case own == nil:
+		return protocol.Errorf(protocol.CodeForbidden, "%q may not open a stream for the voter %q", who.name, h.From)
+	case voter == nil:
 		return protocol.Errorf(protocol.CodeNoCouncil, "%s does not vote", a.cfg.Name)
 	case r.Header.Get("Upgrade") != client.StreamWord:
 		return protocol.Errorf(protocol.CodeUsage, "a stream needs Upgrade: %s", client.StreamWord)
 	}
-	if err := own.Check(h); err != nil {
+	if err := voter.Check(h); err != nil {
 		return err
 	}
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return fmt.Errorf("stream: %w", err)
 	}
-	// What the server set for a call does not hold for a stream; raft has limits of its own.
+	// The HTTP server's deadlines do not apply to streams; raft has its own timeouts.
 	err = conn.SetDeadline(time.Time{})
 	if err == nil {
 		_, err = fmt.Fprintf(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", client.StreamWord)
 	}
 	if err != nil {
 		conn.Close()
-		return nil // nobody is there to be told
+		return nil // the peer is gone, so there is nobody to report the error to
 	}
-	if err := own.Accept(begun{conn, buf.Reader}); err != nil {
-		a.log.Debug("a stream was not taken", "from", h.From, "err", err)
+	if err := voter.Accept(bufferedConn{conn, buf.Reader}); err != nil {
+		a.log.Debug("a stream was not accepted", "from", h.From, "err", err)
 	}
 	return nil
 }
 
-// begun is a connection of which some may have been read.
-type begun struct {
+// bufferedConn is a connection from which a prefix may already have been read into a buffer.
+type bufferedConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
 // Read implements net.Conn.
-func (b begun) Read(p []byte) (int, error) { return b.r.Read(p) }
+func (b bufferedConn) Read(p []byte) (int, error) { return b.r.Read(p) }
--- a/internal/fleet/agent/council_test.go
+++ b/internal/fleet/agent/council_test.go
@@ -21,20 +21,20 @@
 	"otterstep/internal/standin/instances"
 )
 
-// door is an address that is known before its agent listens, and passes on to it.
-type door struct {
+// forwarder is a TCP proxy whose address is known before its agent listens.
+type forwarder struct {
 	net.Listener
-	mu sync.Mutex
-	to string
+	mu     sync.Mutex
+	target string
 }
 
-func openDoor(t *testing.T) *door {
+func newForwarder(t *testing.T) *forwarder {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &door{Listener: l}
+	d := &forwarder{Listener: l}
 	var work sync.WaitGroup
 	t.Cleanup(func() { l.Close(); work.Wait() })
 	work.Go(func() {
@@ -44,7 +44,7 @@
 				return
 			}
 			d.mu.Lock()
-			to := d.to
+			to := d.target
 			d.mu.Unlock()
 			work.Go(func() {
 				defer in.Close()
@@ -61,49 +61,49 @@
 	return d
 }
 
-// Handle implements slog.Handler: it hears where the agent listens.
-func (d *door) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == "listens" {
+// Handle implements slog.Handler. It takes the agent's address from its log.
+func (d *forwarder) Handle(_ context.Context, r slog.Record) error {
+	if r.Message == "listening" {
 		r.Attrs(func(a slog.Attr) bool {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.to = a.Value.String()
+			d.target = a.Value.String()
 			return false
 		})
 	}
 	return nil
 }
 
-func (d *door) Enabled(context.Context, slog.Level) bool { return true }
-func (d *door) WithAttrs([]slog.Attr) slog.Handler       { return d }
-func (d *door) WithGroup(string) slog.Handler            { return d }
+func (d *forwarder) Enabled(context.Context, slog.Level) bool { return true }
+func (d *forwarder) WithAttrs([]slog.Attr) slog.Handler       { return d }
+func (d *forwarder) WithGroup(string) slog.Handler            { return d }
 
-// Three agents agree over mutual TLS, by the certificates that they have; and everybody may
-// do what their role allows and nothing else.
+// Three agents form a council over mutual TLS; and each role is permitted exactly the requests
+// that it should be.
 func TestCouncilOverTLS(t *testing.T) {
 	now := time.Now()
-	dir := authority(t, now)
+	dir := newAuthority(t, now)
 	names := []string{"m1", "m2", "m3"}
 	for _, name := range names[1:] {
 		if err := pki.Issue(dir, pki.Request{Name: name, Role: pki.Agent, Hosts: []string{"127.0.0.1"}, For: time.Hour}, now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	doors := map[string]*door{}
+	forwarders := map[string]*forwarder{}
 	table := &Council{Cluster: "fleet", Voters: names}
 	table.Lease.Duration = 2 * time.Second
 	for _, name := range names {
-		doors[name] = openDoor(t)
+		forwarders[name] = newForwarder(t)
 		table.Agent = append(table.Agent, struct {
 			Name    string `toml:"name"`
 			Address string `toml:"address"`
-		}{name, "https://" + doors[name].Addr().String()})
+		}{name, "https://" + forwarders[name].Addr().String()})
 	}
 	for _, name := range names {
-		cfg := newWorld(t).cfg
+		cfg := newFixture(t).cfg
 		cfg.Name, cfg.Listen, cfg.Council = name, "127.0.0.1:0", table
 		cfg.TLS.CA, cfg.TLS.Cert, cfg.TLS.Key = filepath.Join(dir, "ca.pem"), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key")
-		a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), First: true, Log: slog.New(doors[name])})
+		a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), First: true, Log: slog.New(forwarders[name])})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,9 @@
 			}
 		})
 	}
-	at := func(agent, who string) *client.Client { return as(t, doors[agent].Addr().String(), dir, dir, who) }
+	at := func(agent, who string) *client.Client {
+		return clientAs(t, forwarders[agent].Addr().String(), dir, dir, who)
+	}
 	ada, vera := at("m1", "ada"), at("m1", "vera")
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -177,7 +179,7 @@
 		"a viewer submits a job":                 {viewerSubmits, protocol.CodeForbidden},
 		"an operator raises a token":             {operatorRaises, protocol.CodeForbidden},
 		"an operator takes a duty":               {operatorAcquires, protocol.CodeForbidden},
-		"an operator looks with a fence":         {operatorFences, ""},
+		"an operator reads with a fence":         {operatorFences, ""},
 		"an agent orders without a duty":         {peerOrders, protocol.CodeForbidden},
 		"an agent's fence in the body alone":     {bodyOnly, protocol.CodeForbidden},
 		"an agent's order for nobody":            {noOperator, protocol.CodeUsage},
@@ -193,15 +195,15 @@
 			t.Errorf("%s: %v, want %q", name, c.err, c.code)
 		}
 	}
-	// An operator's job is signed with the name in the certificate, wherever it is handed in.
+	// A job's operator is the name in the certificate, at whichever agent it is submitted.
 	a, err := at("m2", "ada").CouncilDo(ctx, job(), false)
 	if err != nil || a.Job == nil || a.Job.Operator != "ada" {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
 
-// All that is wrong with the table is told at once, each with its line.
-func TestCouncilsTableIsChecked(t *testing.T) {
+// All errors in the [council] table are reported together, each with its line.
+func TestCouncilTableIsChecked(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "agent.toml")
 	for name, c := range map[string]struct {
@@ -210,7 +212,7 @@
 	}{
 		"two voters":  {"cluster = \"a\"\nvoters = [\"m1\", \"m2\"]\n", []string{":6: council.voters: 2 voters: 3 or 5 are needed"}},
 		"four voters": {"cluster = \"a\"\nvoters = [\"m1\", \"m2\", \"m3\", \"m4\"]\n", []string{"4 voters"}},
-		"a stranger":  {"cluster = \"a\"\nvoters = [\"m1\", \"m2\", \"m9\"]\n", []string{`:6: council.voters: "m9" is not among council.agent`}},
+		"unlisted":    {"cluster = \"a\"\nvoters = [\"m1\", \"m2\", \"m9\"]\n", []string{`:6: council.voters: "m9" is not among council.agent`}},
 		"all else": {"cluster = \"a b\"\nvoters = [\"m1\", \"m1\", \"m3\"]\nlease = \"10ms\"\nlese = 1\n", []string{
 			":5: council.cluster:", `"m1" is named twice`, ":7: council.lease: 10ms", ":8: council.lese: unknown key, did you mean council.lease?",
 		}},
@@ -229,8 +231,8 @@
 	}
 }
 
-// So with [fleet], which takes a council.
-func TestFleetsTableIsChecked(t *testing.T) {
+// The same for the [fleet] table, which requires a council.
+func TestFleetTableIsChecked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent.toml")
 	text := "name = \"m0\"\nstate = \"s\"\nsocket = \"s.sock\"\n[fleet]\n[[fleet.program]]\nname = \"v 2\"\n[[fleet.program]]\nname = \"v1\"\ncommand = [\"x\"]\n[[fleet.program]]\nname = \"v1\"\ncomand = [\"x\"]\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -238,7 +240,7 @@
 	}
 	_, err := LoadConfig(path)
 	for _, want := range []string{
-		":4: fleet: there is no [council]", `:6: fleet.program[1].name: "v 2" is no name`, "fleet.program[1].command: none given",
+		":4: fleet: there is no [council]", `:6: fleet.program[1].name: "v 2" is not a valid name`, "fleet.program[1].command: none given",
 		`:11: fleet.program[3].name: "v1" is given twice`, "did you mean fleet.program.command?",
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/fleet/agent/herald.go
+++ b/internal/fleet/agent/herald.go
@@ -16,280 +16,282 @@
 )
 
 const (
-	// An instance that does not confirm is told again after tellFirst, and later and later up to tellMost;
-	// one that has confirmed is told again after tellEvery: another process may answer there by now.
-	tellFirst  = 20 * time.Millisecond
-	tellMost   = 500 * time.Millisecond
-	tellEvery  = 5 * time.Second
-	tellWithin = time.Second
-	// confirmWithin is how long whoever brings a word waits for instances to confirm it.
-	confirmWithin = 300 * time.Millisecond
-	// sureFor is how long an agent may go without hearing that nothing later was said: then what it tells
-	// instances that come back may be old, and it says so.
-	sureFor = 3 * time.Second
+	// The bans are sent again to an instance that has not confirmed them after firstRetryDelay, doubled up to
+	// maxRetryDelay, and to one that has confirmed them after refreshInterval, as another process may be
+	// listening there by then.
+	firstRetryDelay = 20 * time.Millisecond
+	maxRetryDelay   = 500 * time.Millisecond
+	refreshInterval = 5 * time.Second
+	sendTimeout     = time.Second
+	// confirmTimeout is how long an order from the duty's owner waits for instances to confirm new bans.
+	confirmTimeout = 300 * time.Millisecond
+	// currentFor is how long bans count as current after the council or the duty's owner last confirmed that
+	// there are no newer ones. After that they may be outdated, and instances that start are told so.
+	currentFor = 3 * time.Second
 )
 
-// herald brings the fleet's word to this machine's instances until each has confirmed it. What it brings is
-// on the agent's disk.
-type herald struct {
+// banDistributor sends the fleet-wide bans ("the fleet's word" in messages) to this machine's instances until each
+// has confirmed them. The bans are stored in the agent's record.
+type banDistributor struct {
 	agent *Agent
-	clock boottime.Clock // goes on while the machine sleeps
+	clock boottime.Clock // includes time that the machine is suspended
 
-	mu    sync.Mutex
-	heard time.Duration // on clock: when it was last heard that nothing later was said
-	known bool          // it was, since the start
-	tells map[string]*telling
-	news  chan struct{} // closed and replaced with each confirmation
+	mu          sync.Mutex
+	currentAt   time.Duration // on clock: when the bans were last confirmed to be the newest
+	everCurrent bool          // the bans were confirmed at least once since the start
+	deliveries  map[string]*delivery
+	changed     chan struct{} // closed and replaced with each answer
 }
 
-// telling is how far the word has come at one instance.
-type telling struct {
+// delivery is the state of sending the bans to one instance.
+type delivery struct {
 	wake chan struct{}
 
-	process string // the token of the process that the rest is about; "": none runs
-	is      *control.Fleet
-	since   time.Time // of this version, by this process's word
-	why     string    // it does not confirm
+	processToken string // token of the process that the following fields refer to; "" if none runs
+	answer       *control.Fleet
+	since        time.Time // when this process first confirmed this version
+	lastErr      string    // why it has not confirmed
 }
 
-func newHerald(a *Agent, clock boottime.Clock) *herald {
-	h := &herald{agent: a, clock: clock, tells: map[string]*telling{}, news: make(chan struct{})}
+func newBanDistributor(a *Agent, clock boottime.Clock) *banDistributor {
+	h := &banDistributor{agent: a, clock: clock, deliveries: map[string]*delivery{}, changed: make(chan struct{})}
 	for name, u := range a.units {
 		if u.def.Control != "" {
-			h.tells[name] = &telling{wake: make(chan struct{}, 1)}
+			h.deliveries[name] = &delivery{wake: make(chan struct{}, 1)}
 		}
 	}
 	return h
 }
 
-// run tells all instances until ctx ends.
-func (h *herald) run(ctx context.Context) {
+// run sends the bans to all instances until ctx is done.
+func (h *banDistributor) run(ctx context.Context) {
 	var all sync.WaitGroup
-	for name, t := range h.tells {
-		all.Go(func() { h.attend(ctx, h.agent.units[name], t) })
+	for name, t := range h.deliveries {
+		all.Go(func() { h.deliver(ctx, h.agent.units[name], t) })
 	}
 	all.Wait()
 }
 
-// wake has an instance be told at once, or all if name is "".
-func (h *herald) wake(name string) {
-	for n, t := range h.tells {
+// wake triggers sending to an instance, or to all if name is "".
+func (h *banDistributor) wake(name string) {
+	for n, t := range h.deliveries {
 		if name != "" && n != name {
 			continue
 		}
 		select {
 		case t.wake <- struct{}{}:
-		default: // it is to be told already
+		default: // already triggered
 		}
 	}
 }
 
-// word gives what is to be told, and whether it is sure that nothing later was said.
-func (h *herald) word() control.Word {
+// current returns the bans to send, and whether they are known to be the newest.
+func (h *banDistributor) current() control.Word {
 	h.agent.mu.RLock()
 	w, token := h.agent.book.Word(), h.agent.book.Fences()[duty.Fleet]
 	h.agent.mu.RUnlock()
 	w.Token = uint64(token)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return control.Word{Word: w, Sure: h.sure()}
+	return control.Word{Word: w, Sure: h.isCurrent()}
 }
 
-// sure needs mu.
-func (h *herald) sure() bool {
-	age := h.clock.Now() - h.heard
-	return h.known && age >= 0 && age < sureFor
+// isCurrent reports whether the bans were confirmed to be the newest within currentFor. The caller holds mu.
+func (h *banDistributor) isCurrent() bool {
+	age := h.clock.Now() - h.currentAt
+	return h.everCurrent && age >= 0 && age < currentFor
 }
 
-// attend tells one instance.
-func (h *herald) attend(ctx context.Context, u *unit, t *telling) {
-	again := tellFirst
+// deliver sends the bans to one instance until ctx is done.
+func (h *banDistributor) deliver(ctx context.Context, u *unit, t *delivery) {
+	again := firstRetryDelay
 	for {
-		wait := tellEvery
-		switch token := u.look().token; {
+		wait := refreshInterval
+		switch token := u.currentView().token; {
 		case token == "":
-			h.note(t, "", nil, nil)
-		case h.tell(ctx, u, t, token):
-			again = tellFirst
+			h.recordAnswer(t, "", nil, nil)
+		case h.send(ctx, u, t, token):
+			again = firstRetryDelay
 		default:
 			wait = again
-			again = min(2*again, tellMost)
+			again = min(2*again, maxRetryDelay)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.wake:
-			again = tellFirst
+			again = firstRetryDelay
 		case <-time.After(wait):
 		}
 	}
 }
 
-// tell tells a process; false if it is to be told again soon.
-func (h *herald) tell(ctx context.Context, u *unit, t *telling, process string) bool {
-	w := h.word()
-	limit, cancel := context.WithTimeout(ctx, tellWithin)
+// send sends the bans to a process. It returns false if they have to be sent again soon.
+func (h *banDistributor) send(ctx context.Context, u *unit, t *delivery, processToken string) bool {
+	bans := h.current()
+	sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	is, err := h.agent.runner.Tell(limit, u.def, w)
+	answer, err := h.agent.runner.Tell(sendCtx, u.def, bans)
 	if ctx.Err() != nil {
 		return true
 	}
-	if u.look().token != process {
-		return false // another one may have answered
+	if u.currentView().token != processToken {
+		return false // another process may have answered
 	}
 	if err != nil {
-		h.note(t, process, nil, err)
+		h.recordAnswer(t, processToken, nil, err)
 		return errors.Is(err, control.ErrNoFleet)
 	}
-	if is.Version != w.Version { // a later one was there by the time that it looked
-		is.Version = min(is.Version, w.Version)
+	if answer.Version != bans.Version { // newer bans had arrived when the instance answered
+		answer.Version = min(answer.Version, bans.Version)
 	}
-	h.note(t, process, &is, nil)
-	return w.Sure || is.Waits == ""
+	h.recordAnswer(t, processToken, &answer, nil)
+	return bans.Sure || answer.Waits == ""
 }
 
-// note keeps what a process has answered.
-func (h *herald) note(t *telling, process string, is *control.Fleet, err error) {
+// recordAnswer records a process's answer to the bans.
+func (h *banDistributor) recordAnswer(t *delivery, processToken string, answer *control.Fleet, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	same := t.process == process && t.is != nil
-	t.why = ""
+	same := t.processToken == processToken && t.answer != nil
+	t.lastErr = ""
 	switch {
-	case is != nil:
-		if !same || t.is.Version != is.Version {
+	case answer != nil:
+		if !same || t.answer.Version != answer.Version {
 			t.since = time.Now()
 		}
-		t.is = is
+		t.answer = answer
 	case err != nil:
-		t.why = err.Error()
+		t.lastErr = err.Error()
 		if !same {
-			t.is = nil
+			t.answer = nil
 		}
 	default:
-		t.is = nil
+		t.answer = nil
 	}
-	t.process = process
-	close(h.news)
-	h.news = make(chan struct{})
+	t.processToken = processToken
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-// hear notes that nothing later than what the agent has was said by now.
-func (h *herald) hear(at time.Duration) {
+// markCurrent records that at time at there were no newer bans than the agent's.
+func (h *banDistributor) markCurrent(at time.Duration) {
 	h.mu.Lock()
-	unsure := !h.sure()
-	if at > h.heard || h.heard > h.clock.Now() { // the latter: the clock was set back
-		h.heard = at
+	wasOutdated := !h.isCurrent()
+	if at > h.currentAt || h.currentAt > h.clock.Now() { // the second case: the clock went backwards
+		h.currentAt = at
 	}
-	h.known = true
+	h.everCurrent = true
 	h.mu.Unlock()
-	if unsure {
+	if wasOutdated {
 		h.wake("")
 	}
 }
 
-// learn takes over a word that the council or the duty's owner has told; asked is when that was asked for, on
-// the clock.
-func (h *herald) learn(w cordon.Word, fence *protocol.Fence, asked time.Duration) error {
+// update stores bans received from the council or the duty's owner. asked is the clock's time when they were
+// requested.
+func (h *banDistributor) update(bans cordon.Word, fence *protocol.Fence, asked time.Duration) error {
 	h.agent.mu.RLock()
 	before := h.agent.book.Word().Version
 	h.agent.mu.RUnlock()
-	if fence == nil && w.Version < before {
-		return nil // a leader that is catching up, or an answer that was held
+	if fence == nil && bans.Version < before {
+		return nil // the leader is catching up, or the answer was delayed
 	}
-	if _, err := h.agent.write(book.Entry{Fleet: &book.Fleet{Word: w, Fence: fence}}); err != nil {
+	if _, err := h.agent.commit(book.Entry{Fleet: &book.Fleet{Word: bans, Fence: fence}}); err != nil {
 		return err
 	}
-	h.hear(asked)
-	if w.Version != before {
+	h.markCurrent(asked)
+	if bans.Version != before {
 		h.wake("")
 	}
 	return nil
 }
 
-// order carries out an owner's order: a word to be told, or a look behind its token.
-func (h *herald) order(ctx context.Context, o protocol.FleetOrder, fence protocol.Fence) (*protocol.Fleet, error) {
+// handleOrder executes an order of the duty's owner: to distribute new bans, or to raise its token and
+// return the status.
+func (h *banDistributor) handleOrder(ctx context.Context, o protocol.FleetOrder, fence protocol.Fence) (*protocol.Fleet, error) {
 	asked := h.clock.Now()
 	if o.Word != nil {
-		if err := h.learn(*o.Word, &fence, asked); err != nil {
+		if err := h.update(*o.Word, &fence, asked); err != nil {
 			return nil, err
 		}
 	} else {
-		if _, err := h.agent.write(book.Entry{Fence: &book.Fence{Fence: fence, By: "fleet"}}); err != nil {
+		if _, err := h.agent.commit(book.Entry{Fence: &book.Fence{Fence: fence, By: "fleet"}}); err != nil {
 			return nil, err
 		}
 		h.agent.mu.RLock()
 		has := protocol.Token(h.agent.book.Word().Version)
 		h.agent.mu.RUnlock()
 		if has == o.Version {
-			h.hear(asked)
+			h.markCurrent(asked)
 		}
 	}
-	limit := time.NewTimer(confirmWithin)
+	limit := time.NewTimer(confirmTimeout)
 	defer limit.Stop()
 	for {
 		h.mu.Lock()
-		news := h.news
+		changed := h.changed
 		h.mu.Unlock()
-		is := h.state()
-		if o.Word == nil || h.confirmed(is) {
-			return is, nil
+		status := h.status()
+		if o.Word == nil || h.allConfirmed(status) {
+			return status, nil
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-limit.C:
-			return h.state(), nil
+			return h.status(), nil
 		case <-ctx.Done():
-			return h.state(), nil
+			return h.status(), nil
 		}
 	}
 }
 
-// confirmed tells whether all instances that run, and can be told, have the agent's version.
-func (h *herald) confirmed(is *protocol.Fleet) bool {
-	for _, t := range is.Instances {
-		if t.Runs && t.Version != is.Version && h.tells[t.Instance] != nil {
+// allConfirmed reports whether all running instances with a control socket have the agent's version.
+func (h *banDistributor) allConfirmed(status *protocol.Fleet) bool {
+	for _, t := range status.Instances {
+		if t.Runs && t.Version != status.Version && h.deliveries[t.Instance] != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// state tells how far the word has come.
-func (h *herald) state() *protocol.Fleet {
-	w := h.word()
+// status returns how far the bans have been distributed.
+func (h *banDistributor) status() *protocol.Fleet {
+	bans := h.current()
 	all := map[string]protocol.Instance{}
 	for _, i := range h.agent.instances() {
 		all[i.Name] = i
 	}
-	is := &protocol.Fleet{Agent: h.agent.cfg.Name, Version: protocol.Token(w.Version), Token: protocol.Token(w.Token), Instances: []protocol.Told{}}
+	status := &protocol.Fleet{Agent: h.agent.cfg.Name, Version: protocol.Token(bans.Version), Token: protocol.Token(bans.Token), Instances: []protocol.Told{}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if is.Known = h.known; h.known {
-		is.Heard = max(0, h.clock.Now()-h.heard)
+	if status.Known = h.everCurrent; h.everCurrent {
+		status.Heard = max(0, h.clock.Now()-h.currentAt)
 	}
-	for _, name := range h.agent.order {
-		t := h.tells[name]
+	for _, name := range h.agent.unitNames {
+		t := h.deliveries[name]
 		u := h.agent.units[name]
-		told := protocol.Told{Instance: name, Group: u.def.Group, Zone: u.def.Labels["zone"], Desired: all[name].Desired, State: all[name].State, Program: all[name].Program}
-		token := u.look().token
-		told.Runs = token != ""
+		entry := protocol.Told{Instance: name, Group: u.def.Group, Zone: u.def.Labels["zone"], Desired: all[name].Desired, State: all[name].State, Program: all[name].Program}
+		token := u.currentView().token
+		entry.Runs = token != ""
 		switch {
 		case t == nil:
-			told.Waits = "the agent's file names no control socket for it: it can't be told"
+			entry.Waits = "the agent's file names no control socket for it: it can't be told"
 		case token == "":
-			told.Waits = "does not run: it is told when it does"
-		case t.process != token || t.is == nil && t.why == "":
-			told.Waits = "not asked yet"
-		case t.is == nil:
-			told.Waits = t.why
+			entry.Waits = "does not run: it is told when it does"
+		case t.processToken != token || t.answer == nil && t.lastErr == "":
+			entry.Waits = "not asked yet"
+		case t.answer == nil:
+			entry.Waits = t.lastErr
 		default:
-			told.Version, told.Since, told.Listed = protocol.Token(t.is.Version), t.since, t.is.Listed
-			told.Missing, told.Hand, told.Waits = t.is.Missing, t.is.Hand, t.is.Waits
-			if t.why != "" {
-				told.Waits = fmt.Sprintf("has not confirmed again: %s", t.why)
+			entry.Version, entry.Since, entry.Listed = protocol.Token(t.answer.Version), t.since, t.answer.Listed
+			entry.Missing, entry.Hand, entry.Waits = t.answer.Missing, t.answer.Hand, t.answer.Waits
+			if t.lastErr != "" {
+				entry.Waits = fmt.Sprintf("has not confirmed again: %s", t.lastErr)
 			}
 		}
-		is.Instances = append(is.Instances, told)
+		status.Instances = append(status.Instances, entry)
 	}
-	return is
+	return status
 }
--- a/internal/fleet/agent/peers.go
+++ b/internal/fleet/agent/peers.go
@@ -9,35 +9,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// peers lets in connections of one user and of root, as the kernel tells who is at
-// the other end (SO_PEERCRED, unix(7)). The socket's mode keeps others off already;
-// this holds where it was changed. A connection's remote address is the user's name.
-type peers struct {
+// credentialListener accepts connections only from one user and from root, as identified by
+// the kernel (SO_PEERCRED, unix(7)). The socket's mode already excludes others; this check
+// also holds if the mode was changed. A connection's remote address is the user's name.
+type credentialListener struct {
 	net.Listener
 	uid    int
 	refuse func(cause string)
 }
 
 // Accept implements net.Listener.
-func (l peers) Accept() (net.Conn, error) {
+func (l credentialListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		uid, err := peerOf(c)
+		uid, err := peerUID(c)
 		if err == nil && (uid == l.uid || uid == 0) {
-			return peer{c, userOf(uid)}, nil
+			return credentialConn{c, userAddrOf(uid)}, nil
 		}
 		l.refuse("user")
 		c.Close()
 	}
 }
 
-func peerOf(c net.Conn) (uid int, err error) {
+func peerUID(c net.Conn) (uid int, err error) {
 	u, ok := c.(*net.UnixConn)
 	if !ok {
-		return 0, fmt.Errorf("%T is no Unix socket", c)
+		return 0, fmt.Errorf("%T is not a Unix socket", c)
 	}
 	raw, err := u.SyscallConn()
 	if err != nil {
@@ -53,18 +53,18 @@
 	return int(cred.Uid), nil
 }
 
-type peer struct {
+type credentialConn struct {
 	net.Conn
 	addr userAddr
 }
 
 // RemoteAddr implements net.Conn.
-func (p peer) RemoteAddr() net.Addr { return p.addr }
+func (p credentialConn) RemoteAddr() net.Addr { return p.addr }
 
-// userAddr is a user of this machine as an address.
+// userAddr is a net.Addr that names a user of this machine.
 type userAddr string
 
-func userOf(uid int) userAddr {
+func userAddrOf(uid int) userAddr {
 	id := strconv.Itoa(uid)
 	if u, err := user.LookupId(id); err == nil {
 		id = u.Username
--- a/internal/fleet/agent/recovery.go
+++ b/internal/fleet/agent/recovery.go
@@ -20,60 +20,61 @@
 )
 
 const (
-	settleEvery = 100 * time.Millisecond
-	// Reports that fail are sent again after a time drawn from this on, up to twice it, so that
-	// agents that were cut off together don't come back in step; those that have arrived are
-	// sent again after reportEvery, in case the council has lost them.
-	reportAgain = 200 * time.Millisecond
-	reportEvery = time.Minute
+	resolveInterval = 100 * time.Millisecond
+	// A failed report is retried after a random delay between reportRetryDelay and twice that, so
+	// that agents that were disconnected together don't retry in step. A successful one is
+	// repeated after reportInterval, in case the council has lost it.
+	reportRetryDelay = 200 * time.Millisecond
+	reportInterval   = time.Minute
 )
 
-// kept is what the copy beside the record holds: enough to know what is desired, and which
-// tokens have been seen, when the record is gone.
-type kept struct {
+// stateCopy is the content of the record's copy: the desired state and the fencing tokens seen,
+// which are needed if the record is lost.
+type stateCopy struct {
 	Life      book.Life                 `json:"life"`
-	Instances map[string]keptInstance   `json:"instances"`
+	Instances map[string]copiedInstance `json:"instances"`
 	Fences    map[string]protocol.Token `json:"fences,omitempty"`
 }
 
-type keptInstance struct {
+type copiedInstance struct {
 	Up         bool   `json:"up"`
 	Generation uint64 `json:"generation"`
 	Held       string `json:"held,omitempty"`
 	Program    string `json:"program,omitempty"`
 }
 
-// memory is what the agent knows of its own memory, and what it holds back until it knows
-// more. It is under the agent's mu.
-type memory struct {
-	kind    recovery.Memory
-	began   time.Time
-	first   bool
-	council recovery.Council
-	known   bool // the council has heard of this agent
-	back    int  // agents that came back with this one
-	// words are those of before this start, and the council's, by instance.
-	words map[string][]recovery.Word
-	held  map[string]*held
-	turns *pace.Turns // of starts, counted from began
-	due   map[string]time.Time
-	// excess are instances that run and are meant to be down by what was learnt.
-	excess map[string]bool
-	report chan struct{} // something is to be told to the council
+// recoveryTracker holds the state of the record as found at the start, and the instances that are
+// held until their desired state is known. It is guarded by the agent's mu.
+type recoveryTracker struct {
+	kind           recovery.Memory
+	began          time.Time
+	firstStart     bool
+	council        recovery.Council
+	knownToCouncil bool // the council has data about this agent
+	recentStarts   int  // agents that started at about the same time as this one
+	// sources are the desired states found in the record and its copy at the start and received
+	// from the council, by instance.
+	sources       map[string][]recovery.Word
+	held          map[string]*heldInstance
+	startSchedule *pace.Turns // start times relative to began
+	startTimes    map[string]time.Time
+	// unwanted are running instances whose recovered desired state is down.
+	unwanted     map[string]bool
+	reportNeeded chan struct{} // signals that a report to the council is due
 }
 
-// held is an instance that is held back.
-type held struct {
+// heldInstance is an instance that is neither started nor stopped, as its desired state is not known yet.
+type heldInstance struct {
 	since   time.Time
 	verdict recovery.Verdict
 }
 
-// remember reads the copy, judges what the record is worth, and writes the beginning of this
-// life down. Until settle has cleared them all instances are held.
-func (a *Agent) remember(fsys record.FS, found record.Found, running []string, first bool) error {
-	var copied *kept
-	log, at, err := record.Open(fsys, a.cfg.Copy, a.cfg.Name, func(text json.RawMessage) error {
-		var k kept
+// initRecovery reads the record's copy, determines whether the record is intact, and records this
+// start. All instances are held until resolveHeld releases them.
+func (a *Agent) initRecovery(fsys record.FS, found record.Found, running []string, first bool) error {
+	var copied *stateCopy
+	log, copyFound, err := record.Open(fsys, a.cfg.Copy, a.cfg.Name, func(text json.RawMessage) error {
+		var k stateCopy
 		if err := json.Unmarshal(text, &k); err != nil {
 			return err
 		}
@@ -83,21 +84,21 @@
 	if err != nil {
 		return fmt.Errorf("agent: copy: %w", err)
 	}
-	if at.Aside != "" {
-		a.log.Error("the record's copy was damaged: it is kept aside", "aside", at.Aside, "why", at.Why)
+	if copyFound.Aside != "" {
+		a.log.Error("the record's copy was damaged; the damaged file is kept", "aside", copyFound.Aside, "why", copyFound.Why)
 		copied = nil
 	}
-	a.copy = log
-	m := &a.memory
-	m.began, m.first = time.Now(), first
+	a.recordCopy = log
+	m := &a.recovery
+	m.began, m.firstStart = time.Now(), first
 	life := a.book.Life()
-	spoilt := found.New || found.Aside != ""
+	lost := found.New || found.Aside != ""
 	switch {
-	case found.New && at.New && len(running) == 0:
+	case found.New && copyFound.New && len(running) == 0:
 		m.kind = recovery.Blank
-	case spoilt:
+	case lost:
 		m.kind = recovery.Lost
-	case copied != nil && (copied.Life.Folder != life.Folder || copied.Life.Starts > life.Starts || a.behind(copied)):
+	case copied != nil && (copied.Life.Folder != life.Folder || copied.Life.Starts > life.Starts || a.recordIsOlder(copied)):
 		m.kind = recovery.Older
 	default:
 		m.kind = recovery.Whole
@@ -115,55 +116,55 @@
 	}
 	whole := m.kind == recovery.Whole || m.kind == recovery.Blank && first
 	next.Forgetful = a.cfg.Council != nil && (next.Forgetful || !whole)
-	for _, name := range a.order {
-		m.held[name] = &held{since: m.began}
+	for _, name := range a.unitNames {
+		m.held[name] = &heldInstance{since: m.began}
 		i, _ := a.book.Instance(name)
 		if i.Held == "" && (whole || i.Generation > 0) {
-			m.words[name] = append(m.words[name], recovery.Word{Source: "the record", Up: i.Up, Generation: i.Generation, Program: i.Program})
+			m.sources[name] = append(m.sources[name], recovery.Word{Source: "the record", Up: i.Up, Generation: i.Generation, Program: i.Program})
 		}
 		if copied == nil {
 			continue
 		}
 		if c, known := copied.Instances[name]; known && c.Held == "" {
-			m.words[name] = append(m.words[name], recovery.Word{Source: "its copy", Up: c.Up, Generation: c.Generation, Program: c.Program})
+			m.sources[name] = append(m.sources[name], recovery.Word{Source: "its copy", Up: c.Up, Generation: c.Generation, Program: c.Program})
 		} else if known && i.Held == "" && !whole {
 			a.book.Apply(book.Entry{Hold: &book.Hold{Instances: []string{name}, Why: c.Held}})
 		}
 	}
 	if !whole {
-		a.log.Error("the agent's memory is not what it was: nothing is started of which nobody knows what is desired", "memory", m.kind.String(), "forgetful", next.Forgetful)
+		a.log.Error("the agent's record is lost or outdated: instances whose desired state is unknown are held", "memory", m.kind.String(), "forgetful", next.Forgetful)
 		a.book.Forgotten(time.Now())
-		a.book.Apply(book.Entry{Hold: &book.Hold{Instances: a.order, Why: m.kind.String()}})
-		if copied != nil { // tokens are never lowered
+		a.book.Apply(book.Entry{Hold: &book.Hold{Instances: a.unitNames, Why: m.kind.String()}})
+		if copied != nil { // fencing tokens must never decrease
 			a.book.Apply(book.Entry{Learn: &book.Learn{Fences: copied.Fences, Source: "its copy"}})
 		}
 	}
 	entry := book.Entry{At: time.Now(), Life: &next}
 	a.book.Apply(entry)
-	b := pace.Bound{Parties: a.cfg.parties(), Rate: a.cfg.Pace.Rate, Burst: a.cfg.Pace.Burst}
-	m.turns = b.Turns(randv2.Float64)
-	if whole && m.council == recovery.None && a.cfg.Pace.Rate == 0 && !slices.ContainsFunc(a.order, a.isHeld) {
-		clear(m.held) // nobody is to be asked, and nobody is waited for
+	b := pace.Bound{Parties: a.cfg.agentCount(), Rate: a.cfg.Pace.Rate, Burst: a.cfg.Pace.Burst}
+	m.startSchedule = b.Turns(randv2.Float64)
+	if whole && m.council == recovery.None && a.cfg.Pace.Rate == 0 && !slices.ContainsFunc(a.unitNames, a.wasHeld) {
+		clear(m.held) // there is no council to ask and no pace to keep
 	}
-	a.compacted = a.record.Size()
+	a.compactedSize = a.record.Size()
 	if whole {
 		err := a.record.Append(entry)
 		if err == nil {
-			err = a.keep()
+			err = a.writeCopy()
 		}
 		if err == nil {
 			return nil
 		}
-		a.complain(err)
+		a.logRecordError(err)
 	}
-	a.dirty = errors.New("not written since the agent began")
-	a.mend()
+	a.recordErr = errors.New("not written since the agent started")
+	a.repairRecord()
 	return nil
 }
 
-// behind tells that the copy knows more than the record: each is written after the record, so
-// that the record was put back.
-func (a *Agent) behind(k *kept) bool {
+// recordIsOlder reports whether the copy is newer than the record. As the copy is always written
+// after the record, this means that the record was restored from an older state.
+func (a *Agent) recordIsOlder(k *stateCopy) bool {
 	for name, c := range k.Instances {
 		if i, _ := a.book.Instance(name); c.Generation > i.Generation {
 			return true
@@ -178,46 +179,47 @@
 	return false
 }
 
-// isHeld tells that an agent of before held an instance.
-func (a *Agent) isHeld(name string) bool {
+// wasHeld reports whether an earlier run of the agent held an instance.
+func (a *Agent) wasHeld(name string) bool {
 	i, _ := a.book.Instance(name)
 	return i.Held != ""
 }
 
-// keep writes the copy; it needs commit.
-func (a *Agent) keep() error {
+// writeCopy writes the record's copy. The caller holds commitMu.
+func (a *Agent) writeCopy() error {
 	a.mu.RLock()
-	k := kept{Life: a.book.Life(), Instances: map[string]keptInstance{}, Fences: a.book.Fences()}
-	for _, name := range a.order {
+	k := stateCopy{Life: a.book.Life(), Instances: map[string]copiedInstance{}, Fences: a.book.Fences()}
+	for _, name := range a.unitNames {
 		i, _ := a.book.Instance(name)
-		k.Instances[name] = keptInstance{i.Up, i.Generation, i.Held, i.Program}
+		k.Instances[name] = copiedInstance{i.Up, i.Generation, i.Held, i.Program}
 	}
 	a.mu.RUnlock()
-	return a.copy.Rewrite(k)
+	return a.recordCopy.Rewrite(k)
 }
 
-// desires tells whether an entry changes what the copy holds.
-func desires(e book.Entry) bool {
+// changesCopy reports whether an entry changes the content of the record's copy.
+func changesCopy(e book.Entry) bool {
 	return e.Begin != nil || e.Fence != nil || e.Life != nil || e.Hold != nil || e.Learn != nil || e.Fleet != nil && e.Fleet.Fence != nil || e.Open != nil && e.Open.Request.Fence != nil
 }
 
-// settle clears the instances of which enough is known by now, and says why others wait.
-func (a *Agent) settle() {
+// resolveHeld releases the held instances whose desired state is known by now, and updates the
+// reasons for holding the others.
+func (a *Agent) resolveHeld() {
 	now := time.Now()
 	a.mu.Lock()
-	m := &a.memory
+	m := &a.recovery
 	learnt := map[string]book.Word{}
 	cleared := []string{}
 	source := ""
 	for name, h := range m.held {
-		view := a.units[name].look()
+		view := a.units[name].currentView()
 		i, _ := a.book.Instance(name)
 		f := recovery.Facts{
-			Memory: m.kind, First: m.first, Council: m.council, Known: m.known, Words: slices.Clone(m.words[name]),
-			Runs: view.token != "", Elapsed: now.Sub(m.began), StartAfter: a.cfg.startAfter(a.units[name].def.Group),
+			Memory: m.kind, First: m.firstStart, Council: m.council, Known: m.knownToCouncil, Words: slices.Clone(m.sources[name]),
+			Runs: view.token != "", Elapsed: now.Sub(m.began), StartAfter: a.cfg.unknownStartDelay(a.units[name].def.Group),
 		}
 		if i.Held != "" && f.Memory == recovery.Whole {
-			f.Memory = recovery.Lost // by an agent of before, and nobody has decided since
+			f.Memory = recovery.Lost // held by an earlier run of the agent and not decided since
 		}
 		if f.Runs && f.Memory != recovery.Whole {
 			f.Words = append(f.Words, recovery.Word{Source: "its process", Up: true})
@@ -231,7 +233,7 @@
 		if w := (book.Word{Up: v.Word.Up, Generation: max(v.Word.Generation, i.Generation), Program: v.Word.Program}); i.Held != "" || w != (book.Word{Up: i.Up, Generation: i.Generation, Program: i.Program}) {
 			learnt[name], source = w, v.Word.Source
 			if f.Memory != recovery.Whole {
-				a.log.Warn("what is desired was learnt again", "instance", name, "why", v.Why)
+				a.log.Warn("recovered the desired state", "instance", name, "why", v.Why)
 			}
 		}
 	}
@@ -240,31 +242,32 @@
 		return
 	}
 	if len(learnt) > 0 {
-		if _, err := a.write(book.Entry{Learn: &book.Learn{Instances: learnt, Source: source}}); err != nil {
-			return // it is tried again
+		if _, err := a.commit(book.Entry{Learn: &book.Learn{Instances: learnt, Source: source}}); err != nil {
+			return // retried at the next interval
 		}
 	}
-	a.clear(cleared)
+	a.releaseHeld(cleared)
 }
 
-// clear lets units go on; those that are to be started have their turn by the fleet's pace.
-func (a *Agent) clear(names []string) {
-	slices.SortFunc(names, func(x, y string) int { return a.cfg.before(a.units[x].def, a.units[y].def) })
+// releaseHeld releases units. Those to be started get a start time that keeps the fleet's start rate,
+// unless the council has answered that so few agents started that all their starts fit the burst.
+func (a *Agent) releaseHeld(names []string) {
+	slices.SortFunc(names, func(x, y string) int { return a.cfg.compareStartOrder(a.units[x].def, a.units[y].def) })
 	a.mu.Lock()
-	m := &a.memory
-	paced := a.cfg.Pace.Rate > 0 && !(m.council == recovery.Answered && m.back*len(a.order) <= a.cfg.Pace.Burst)
+	m := &a.recovery
+	paced := a.cfg.Pace.Rate > 0 && !(m.council == recovery.Answered && m.recentStarts*len(a.unitNames) <= a.cfg.Pace.Burst)
 	for _, name := range names {
 		if m.held[name] == nil {
 			continue
 		}
 		delete(m.held, name)
 		i, _ := a.book.Instance(name)
-		runs := a.units[name].look().token != ""
+		runs := a.units[name].currentView().token != ""
 		switch {
 		case runs && !i.Up:
-			m.excess[name] = true
+			m.unwanted[name] = true
 		case !runs && i.Up && paced:
-			m.due[name] = m.began.Add(m.turns.Next(time.Since(m.began)))
+			m.startTimes[name] = m.began.Add(m.startSchedule.Next(time.Since(m.began)))
 		}
 	}
 	a.mu.Unlock()
@@ -273,33 +276,34 @@
 	}
 }
 
-// turn tells whether an instance that is down may be started, and how long it has to wait.
-func (a *Agent) turn(name string) (wait time.Duration, ok bool) {
+// startDelay reports whether a stopped instance may be started, and after what delay.
+func (a *Agent) startDelay(name string) (wait time.Duration, ok bool) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	i, _ := a.book.Instance(name)
-	if !i.Up || i.Held != "" || a.memory.held[name] != nil {
+	if !i.Up || i.Held != "" || a.recovery.held[name] != nil {
 		return 0, false
 	}
-	return time.Until(a.memory.due[name]), true
+	return time.Until(a.recovery.startTimes[name]), true
 }
 
-// tooMuch tells, once, that an instance runs which is meant to be down.
-func (a *Agent) tooMuch(name string) bool {
+// takeUnwanted reports whether an instance is to be stopped because its recovered desired state is down,
+// and clears the mark.
+func (a *Agent) takeUnwanted(name string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	is := a.memory.excess[name]
-	delete(a.memory.excess, name)
-	return is
+	unwanted := a.recovery.unwanted[name]
+	delete(a.recovery.unwanted, name)
+	return unwanted
 }
 
-// recover settles what is held until ctx ends.
-func (a *Agent) recover(ctx context.Context) {
-	every := time.NewTicker(settleEvery)
+// runRecovery calls resolveHeld periodically until no instance is held or ctx is done.
+func (a *Agent) runRecovery(ctx context.Context) {
+	every := time.NewTicker(resolveInterval)
 	defer every.Stop()
 	for {
 		a.mu.RLock()
-		more := len(a.memory.held)
+		more := len(a.recovery.held)
 		a.mu.RUnlock()
 		if more == 0 {
 			return
@@ -308,21 +312,22 @@
 		case <-ctx.Done():
 			return
 		case <-every.C:
-			a.settle()
+			a.resolveHeld()
 		}
 	}
 }
 
-// forgetful tells that the agent may have known tokens that it knows no more: its memory is not
-// what it was, or may be of before with its copy, which only the council can tell.
-func (a *Agent) forgetful() bool {
+// mayLackTokens reports whether the agent may have lost fencing tokens that it had seen: its record was
+// lost or outdated, or record and copy may both have been restored from an older state, which only
+// the council can tell.
+func (a *Agent) mayLackTokens() bool {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	return a.book.Life().Forgetful || a.memory.council == recovery.Silent
+	return a.book.Life().Forgetful || a.recovery.council == recovery.Silent
 }
 
-// ownReport is what the council is to know of this agent. One that has forgotten asks first.
-func (a *Agent) ownReport() duty.Report {
+// report returns this agent's report to the council. An agent that may have lost tokens only asks for its data.
+func (a *Agent) report() duty.Report {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	life := a.book.Life()
@@ -331,24 +336,25 @@
 		return r
 	}
 	r.Instances = map[string]duty.Desired{}
-	for _, name := range a.order {
-		if i, _ := a.book.Instance(name); i.Held == "" && a.memory.held[name] == nil {
+	for _, name := range a.unitNames {
+		if i, _ := a.book.Instance(name); i.Held == "" && a.recovery.held[name] == nil {
 			r.Instances[name] = duty.Desired{Up: i.Up, Generation: i.Generation, Group: a.units[name].def.Group, Program: i.Program}
 		}
 	}
 	return r
 }
 
-// told takes the council's answer in. From then on the agent is as wise as the fleet.
-func (a *Agent) told(t duty.Told) error {
+// handleReportAnswer applies the council's answer to a report: fencing tokens, and on the first answer the
+// desired states that the council knows.
+func (a *Agent) handleReportAnswer(t duty.Told) error {
 	learn := book.Learn{Fences: t.Fences, Whole: true, Source: "the council"}
 	a.mu.RLock()
-	fences, asked := a.book.Fences(), a.memory.council != recovery.Silent
+	fences, asked := a.book.Fences(), a.recovery.council != recovery.Silent
 	forgetful := a.book.Life().Forgetful
 	a.mu.RUnlock()
 	maps.DeleteFunc(learn.Fences, func(d string, token protocol.Token) bool { return token <= fences[d] })
 	if len(learn.Fences) > 0 && !asked || forgetful {
-		if _, err := a.write(book.Entry{Learn: &learn}); err != nil {
+		if _, err := a.commit(book.Entry{Learn: &learn}); err != nil {
 			return err
 		}
 	}
@@ -356,81 +362,81 @@
 		return nil
 	}
 	a.mu.Lock()
-	m := &a.memory
-	m.council, m.known, m.back = recovery.Answered, t.Known, t.Back
+	m := &a.recovery
+	m.council, m.knownToCouncil, m.recentStarts = recovery.Answered, t.Known, t.Back
 	for name, d := range t.Instances {
-		m.words[name] = append(m.words[name], recovery.Word{Source: "the council", Up: d.Up, Generation: d.Generation, Program: d.Program})
+		m.sources[name] = append(m.sources[name], recovery.Word{Source: "the council", Up: d.Up, Generation: d.Generation, Program: d.Program})
 	}
 	a.mu.Unlock()
-	a.settle()
+	a.resolveHeld()
 	return nil
 }
 
-// reports tells the council of this agent, and hears what it has forgotten, until ctx ends.
-func (c *councillor) reports(ctx context.Context) {
+// reportLoop sends reports to the council and applies the answers until ctx is done.
+func (c *participant) reportLoop(ctx context.Context) {
 	a := c.agent
 	for ctx.Err() == nil {
-		limit, cancel := context.WithTimeout(ctx, tryFor*3)
-		r := a.ownReport()
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout*3)
+		r := a.report()
 		asked := c.clock.Now()
-		answer, err := c.Do(limit, duty.Command{Report: &r})
+		answer, err := c.Do(callCtx, duty.Command{Report: &r})
 		cancel()
 		if err == nil && answer.Told != nil {
-			err = a.told(*answer.Told)
-			if err == nil && a.herald != nil {
-				err = a.herald.learn(answer.Told.Word, nil, asked)
+			err = a.handleReportAnswer(*answer.Told)
+			if err == nil && a.fleetBans != nil {
+				err = a.fleetBans.update(answer.Told.Word, nil, asked)
 			}
 		}
-		wait := reportEvery
+		wait := reportInterval
 		if err != nil || r.Asks {
-			wait = reportAgain + time.Duration(randv2.Int64N(int64(reportAgain)))
+			wait = reportRetryDelay + time.Duration(randv2.Int64N(int64(reportRetryDelay)))
 			if err == nil {
-				wait = 0 // now it has something to say
+				wait = 0 // the agent has its tokens now and can send a full report
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-a.memory.report:
+		case <-a.recovery.reportNeeded:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// recoveryState gives what is held, and why.
+// recoveryState returns the held instances and why they are held.
 func (a *Agent) recoveryState() protocol.Recovery {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	m := &a.memory
+	m := &a.recovery
 	life := a.book.Life()
 	r := protocol.Recovery{
 		Agent: a.cfg.Name, Memory: m.kind.String(), Forgetful: life.Forgetful, Folder: life.Folder, Starts: life.Starts,
 		Council: [...]string{"none", "silent", "answered"}[m.council], Held: []protocol.Held{},
 	}
-	for _, name := range a.order {
+	for _, name := range a.unitNames {
 		h := m.held[name]
 		if h == nil {
 			continue
 		}
-		is := protocol.Held{Instance: name, Since: h.since, Why: h.verdict.Why, Runs: a.units[name].look().token != ""}
+		held := protocol.Held{Instance: name, Since: h.since, Why: h.verdict.Why, Runs: a.units[name].currentView().token != ""}
 		if h.verdict.Until > 0 {
-			is.Until = m.began.Add(h.verdict.Until)
+			held.Until = m.began.Add(h.verdict.Until)
 		}
-		r.Held = append(r.Held, is)
+		r.Held = append(r.Held, held)
 	}
 	return r
 }
 
-// decide takes an operator's word on a held instance.
+// decide applies an operator's decision on a held instance.
 func (a *Agent) decide(name string, up bool, by string) error {
 	if a.units[name] == nil {
 		return &protocol.Error{Code: protocol.CodeNotFound, Instance: name, Text: fmt.Sprintf("no instance %q is known here", name)}
 	}
-	a.commit.Lock()
+	a.commitMu.Lock()
 	a.mu.RLock()
 	i, _ := a.book.Instance(name)
-	waits := a.memory.held[name] != nil
+	waits := a.recovery.held[name] != nil
 	newest, program := i.Generation, i.Program
-	for _, w := range a.memory.words[name] {
+	for _, w := range a.recovery.sources[name] {
 		if w.Generation >= newest && w.Program != "" {
 			program = w.Program
 		}
@@ -438,15 +444,15 @@
 	}
 	a.mu.RUnlock()
 	if !waits {
-		a.commit.Unlock()
-		return &protocol.Error{Code: protocol.CodeConflict, Instance: name, Text: fmt.Sprintf("%s is not held: another operator or the council has decided; start or drain it", name)}
+		a.commitMu.Unlock()
+		return &protocol.Error{Code: protocol.CodeConflict, Instance: name, Text: fmt.Sprintf("%s is not held: another operator or the council has decided; use start or drain", name)}
 	}
-	_, err := a.writeLocked(book.Entry{Learn: &book.Learn{Instances: map[string]book.Word{name: {Up: up, Generation: newest + 1, Program: program}}, Source: "operator " + by}})
-	a.commit.Unlock()
+	_, err := a.commitLocked(book.Entry{Learn: &book.Learn{Instances: map[string]book.Word{name: {Up: up, Generation: newest + 1, Program: program}}, Source: "operator " + by}})
+	a.commitMu.Unlock()
 	if err != nil {
 		return err
 	}
-	a.log.Info("decided", "instance", name, "up", up, "operator", by)
-	a.clear([]string{name})
+	a.log.Info("an operator decided on a held instance", "instance", name, "up", up, "operator", by)
+	a.releaseHeld([]string{name})
 	return nil
 }
--- a/internal/fleet/agent/server.go
+++ b/internal/fleet/agent/server.go
@@ -25,16 +25,16 @@
 )
 
 const (
-	connectionsMost = 256 // on each of the agent's listeners; further ones wait in the kernel
-	commandsShown   = 200
-	readWithin      = 5 * time.Second
-	idleFor         = 30 * time.Second
+	maxConnections    = 256 // per listener; further connections wait in the kernel's accept queue
+	maxCommandsListed = 200
+	readTimeout       = 5 * time.Second
+	idleTimeout       = 30 * time.Second
 )
 
-// refusals counts who was turned away, by cause.
+// refusals counts refused connections and requests by cause.
 type refusals struct {
 	mu     sync.Mutex
-	counts map[string]int64 // the causes are few: those in this package
+	counts map[string]int64 // the causes are a small fixed set
 }
 
 func (r *refusals) add(cause string) {
@@ -52,31 +52,31 @@
 	return maps.Clone(r.counts)
 }
 
-// localRole is that of this machine's user, who may do what any role may.
+// localRole is the role of this machine's user, which includes the rights of all other roles.
 const localRole = "local"
 
-// caller is who asks.
+// caller identifies the sender of a request.
 type caller struct {
 	name string
-	role string // of package pki, localRole, or "" for nobody
-	// fence is the duty for which it orders, if it owns one.
+	role string // a role of package pki, localRole, or "" for none
+	// fence is the duty in whose name the caller gives orders, if any.
 	fence *protocol.Fence
 }
 
-// may tells whether the caller's role allows what a call takes. An agent may look, and order
-// only as the owner of a duty; an operator never does so.
-func (c caller) may(takes string) bool {
+// may reports whether the caller's role permits a request that requires a role. An agent may view,
+// and may give orders only as the owner of a duty; an operator may not act as an owner.
+func (c caller) may(required string) bool {
 	switch {
 	case c.role == localRole:
 		return true
 	case c.role == "":
 		return false
-	case takes == pki.Operator && c.role == pki.Agent:
+	case required == pki.Operator && c.role == pki.Agent:
 		return c.fence != nil
-	case takes == pki.Operator && c.fence != nil:
+	case required == pki.Operator && c.fence != nil:
 		return false
 	}
-	return takes == pki.Viewer || takes == c.role
+	return required == pki.Viewer || required == c.role
 }
 
 // server is one of the agent's listeners.
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// listen opens the socket and the port that the configuration names.
+// listen opens the configured Unix socket and TCP listener.
 func (a *Agent) listen() (servers []*server, err error) {
 	defer func() {
 		if err != nil {
@@ -108,7 +108,7 @@
 		if err != nil {
 			return servers, fmt.Errorf("agent: socket: %w", err)
 		}
-		servers = append(servers, a.server(netutil.LimitListener(peers{l, os.Getuid(), a.refused.add}, connectionsMost), localCaller))
+		servers = append(servers, a.server(netutil.LimitListener(credentialListener{l, os.Getuid(), a.refused.add}, maxConnections), localCaller))
 	}
 	if a.cfg.Listen != "" {
 		conf, err := pki.ServerConfig(a.cfg.TLS.CA, a.cfg.TLS.Cert, a.cfg.TLS.Key, a.refused.add)
@@ -119,26 +119,26 @@
 		if err != nil {
 			return servers, fmt.Errorf("agent: listen: %w", err)
 		}
-		a.log.Info("listens", "addr", l.Addr().String())
-		servers = append(servers, a.server(tls.NewListener(netutil.LimitListener(l, connectionsMost), conf), remoteCaller))
+		a.log.Info("listening", "addr", l.Addr().String())
+		servers = append(servers, a.server(tls.NewListener(netutil.LimitListener(l, maxConnections), conf), remoteCaller))
 	}
 	return servers, nil
 }
 
-// server makes one; who tells who asks.
-func (a *Agent) server(l net.Listener, who func(*http.Request) caller) *server {
+// server returns a server for a listener; identify determines the caller of a request.
+func (a *Agent) server(l net.Listener, identify func(*http.Request) caller) *server {
 	return &server{l, &http.Server{
-		Handler: a.handler(who), ReadHeaderTimeout: readWithin, ReadTimeout: 2 * readWithin, WriteTimeout: protocol.WaitMost + 2*readWithin,
-		IdleTimeout: idleFor, MaxHeaderBytes: 16 << 10,
+		Handler: a.handler(identify), ReadHeaderTimeout: readTimeout, ReadTimeout: 2 * readTimeout, WriteTimeout: protocol.WaitMost + 2*readTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug),
 	}}
 }
 
-func (a *Agent) handler(whoAsks func(*http.Request) caller) http.Handler {
+func (a *Agent) handler(identify func(*http.Request) caller) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern, role string, f func(r *http.Request, c caller) (any, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			c := whoAsks(r)
+			c := identify(r)
 			if c.role == pki.Agent && a.cfg.Council == nil {
 				c.role = ""
 			}
@@ -148,9 +148,9 @@
 					reply(w, nil, err)
 					return
 				}
-				if r.Method != http.MethodGet && a.forgetful() {
-					// Its token may be the highest known here and still be an old one.
-					reply(w, nil, protocol.Errorf(protocol.CodeForgetful, "%s may have lost its memory and takes no order before the council has told it which tokens there were", a.cfg.Name))
+				if r.Method != http.MethodGet && a.mayLackTokens() {
+					// The token may be the highest known here and still be outdated.
+					reply(w, nil, protocol.Errorf(protocol.CodeForgetful, "%s may have lost its fencing tokens and takes no order before it has received them from the council", a.cfg.Name))
 					return
 				}
 			}
@@ -166,35 +166,35 @@
 	handle("GET /v1/agent", pki.Viewer, func(*http.Request, caller) (any, error) {
 		return protocol.Agent{
 			Name: a.cfg.Name, Protocol: protocol.Version, Version: a.version, Started: a.started,
-			Instances: len(a.order), Record: a.recordState(), Refused: a.refused.all(), Strays: a.strays,
+			Instances: len(a.unitNames), Record: a.recordState(), Refused: a.refused.all(), Strays: a.unmanaged,
 		}, nil
 	})
 	handle("GET /v1/instances", pki.Viewer, func(*http.Request, caller) (any, error) { return a.instances(), nil })
 	handle("GET /v1/instances/{name}/inspect", pki.Viewer, func(r *http.Request, _ caller) (any, error) { return a.inspect(r) })
 	handle("POST /v1/instances/{name}/kept", pki.Operator, func(r *http.Request, c caller) (any, error) {
 		var k control.Keep
-		if err := read(r, &k); err != nil {
+		if err := decodeStrict(r, &k); err != nil {
 			return nil, err
 		}
 		if err := k.Check(); err != nil {
 			return nil, protocol.Errorf(protocol.CodeUsage, "%v", err)
 		}
-		u, err := a.controlled(r)
+		u, err := a.controlledUnit(r)
 		if err != nil {
 			return nil, err
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), lookWait)
+		ctx, cancel := context.WithTimeout(r.Context(), inspectTimeout)
 		defer cancel()
 		if err := a.runner.Keep(ctx, u.def, k); err != nil {
 			return nil, protocol.Errorf(protocol.CodeFailed, "%s: %v", u.def.Name, err)
 		}
-		a.log.Info("told an instance what becomes of what it keeps", "instance", u.def.Name, "do", k.Do, "operator", c.name)
+		a.log.Info("sent an instance a command about its saved state", "instance", u.def.Name, "do", k.Do, "operator", c.name)
 		return a.inspect(r)
 	})
 	handle("GET /v1/recovery", pki.Viewer, func(*http.Request, caller) (any, error) { return a.recoveryState(), nil })
 	handle("POST /v1/recovery/{instance}", pki.Operator, func(r *http.Request, c caller) (any, error) {
 		var q protocol.Decision
-		if err := read(r, &q); err != nil {
+		if err := decodeStrict(r, &q); err != nil {
 			return nil, err
 		}
 		if err := a.decide(r.PathValue("instance"), q.Up, c.name); err != nil {
@@ -202,14 +202,14 @@
 		}
 		return a.recoveryState(), nil
 	})
-	handle("GET /v1/commands", pki.Viewer, func(*http.Request, caller) (any, error) { return a.commands(commandsShown), nil })
+	handle("GET /v1/commands", pki.Viewer, func(*http.Request, caller) (any, error) { return a.commands(maxCommandsListed), nil })
 	handle("GET /v1/commands/{id}", pki.Viewer, func(r *http.Request, _ caller) (any, error) { return a.command(r.PathValue("id")) })
 	handle("POST /v1/commands", pki.Operator, func(r *http.Request, c caller) (any, error) {
 		var q protocol.CommandRequest
-		if err := read(r, &q); err != nil {
+		if err := decodeStrict(r, &q); err != nil {
 			return nil, err
 		}
-		// The body's fence makes agents from before there were any refuse the command.
+		// The fence is repeated in the body so that agents of versions without fences refuse the command.
 		if (q.Fence == nil) != (c.fence == nil) || q.Fence != nil && *q.Fence != *c.fence {
 			return nil, protocol.Errorf(protocol.CodeUsage, "fence: %v in the body, %v in %s", q.Fence, c.fence, protocol.FenceHeader)
 		}
@@ -220,7 +220,7 @@
 	})
 	handle("POST /v1/commands/{id}/close", pki.Operator, func(r *http.Request, c caller) (any, error) {
 		var q protocol.CloseRequest
-		if err := read(r, &q); err != nil {
+		if err := decodeStrict(r, &q); err != nil {
 			return nil, err
 		}
 		return a.closeCommand(r.PathValue("id"), c, q.Reason)
@@ -236,14 +236,14 @@
 		if text := r.URL.Query().Get("wait"); text != "" {
 			ms, err := strconv.ParseInt(text, 10, 64)
 			if err != nil || ms < 0 {
-				return nil, protocol.Errorf(protocol.CodeUsage, "wait: %q is no number of milliseconds", text)
+				return nil, protocol.Errorf(protocol.CodeUsage, "wait: %q is not a number of milliseconds", text)
 			}
 			wait = time.Duration(min(ms, protocol.WaitMost.Milliseconds())) * time.Millisecond
 		}
 		return a.waitOperation(r.Context(), r.PathValue("id"), r.PathValue("instance"), wait)
 	})
 	if a.council != nil {
-		a.councilCalls(mux, handle, whoAsks)
+		a.registerCouncilHandlers(mux, handle, identify)
 	} else {
 		off := func(w http.ResponseWriter, _ *http.Request) {
 			reply(w, nil, protocol.Errorf(protocol.CodeOff, "this agent's file has no [council]"))
@@ -256,26 +256,26 @@
 		reply(w, nil, protocol.Errorf(protocol.CodeNotFound, "%s %s: no such call", r.Method, r.URL.Path))
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if v := asks(r); v != strconv.Itoa(protocol.Version) {
+		if v := requestedVersion(r); v != strconv.Itoa(protocol.Version) {
 			a.refused.add("version")
-			reply(w, nil, protocol.Errorf(protocol.CodeVersion, "asked in protocol version %q, this agent (%s) speaks version %d: bring tool and agent to one version", v, a.version, protocol.Version))
+			reply(w, nil, protocol.Errorf(protocol.CodeVersion, "the request has protocol version %q, this agent (%s) speaks version %d: bring tool and agent to one version", v, a.version, protocol.Version))
 			return
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-// readFence takes a fence if this agent is one of a fleet with a council.
+// readFence parses a fence header. It fails if this agent has no council.
 func (a *Agent) readFence(text string) (*protocol.Fence, error) {
 	if a.cfg.Council == nil {
-		return nil, protocol.Errorf(protocol.CodeUsage, "%s: this agent's file has no [council]: it knows of no duties", protocol.FenceHeader)
+		return nil, protocol.Errorf(protocol.CodeUsage, "%s: this agent's file has no [council], so it accepts no fences", protocol.FenceHeader)
 	}
 	return protocol.ReadFence(text)
 }
 
-// asks gives the protocol's version that a request is in; "?" if its path and its
-// header differ or tell none.
-func asks(r *http.Request) string {
+// requestedVersion returns the protocol version of a request; "?" if its path has none or its
+// header differs.
+func requestedVersion(r *http.Request) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	v, ok := strings.CutPrefix(first, "v")
 	if h := r.Header.Get(protocol.VersionHeader); !ok || h != "" && h != v {
@@ -284,11 +284,11 @@
 	return v
 }
 
-// localCaller goes by the user that peers has let in.
+// localCaller identifies the caller by the user name from credentialListener.
 func localCaller(r *http.Request) caller { return caller{name: r.RemoteAddr, role: localRole} }
 
-// remoteCaller goes by the certificate. Without one there is no role: that the
-// connection is TLS is not taken for granted here.
+// remoteCaller identifies the caller by its certificate. Without TLS the caller has no role:
+// this does not rely on the listener being a TLS one.
 func remoteCaller(r *http.Request) caller {
 	if r.TLS == nil {
 		return caller{name: r.RemoteAddr}
@@ -297,15 +297,15 @@
 	return caller{name: name, role: role}
 }
 
-// read takes a request's body, which must be one JSON value of known fields.
-func read(r *http.Request, into any) error { return readBody(r, into, true) }
+// decodeStrict decodes a request's body, which must be a single JSON value without unknown fields.
+func decodeStrict(r *http.Request, into any) error { return decodeBody(r, into, true) }
 
-// readLoose is read for what agents of two versions say to each other during an upgrade: what a
-// newer one adds to a command that this one knows is passed over. What it must not pass over
-// has another form (duty.Form).
-func readLoose(r *http.Request, into any) error { return readBody(r, into, false) }
+// decodeLenient is decodeStrict for messages between agents of different versions during an upgrade:
+// unknown fields that a newer agent adds are ignored. Changes that must not be ignored get a new
+// format version (duty.Form).
+func decodeLenient(r *http.Request, into any) error { return decodeBody(r, into, false) }
 
-func readBody(r *http.Request, into any, strict bool) error {
+func decodeBody(r *http.Request, into any, strict bool) error {
 	text, err := io.ReadAll(io.LimitReader(r.Body, protocol.BodyMost+1))
 	if err != nil {
 		return protocol.Errorf(protocol.CodeUsage, "body: %v", err)
@@ -345,8 +345,8 @@
 	_, _ = w.Write(append(text, '\n'))
 }
 
-// controlled gives the instance that a call is about, if it has a control socket.
-func (a *Agent) controlled(r *http.Request) (*unit, error) {
+// controlledUnit returns the unit named in a request. It fails if the instance has no control socket.
+func (a *Agent) controlledUnit(r *http.Request) (*unit, error) {
 	u := a.units[r.PathValue("name")]
 	if u == nil {
 		return nil, protocol.Errorf(protocol.CodeNotFound, "no instance %q is known here", r.PathValue("name"))
@@ -357,9 +357,9 @@
 	return u, nil
 }
 
-// inspect asks the instance's control socket.
+// inspect returns the instance's status from its control socket.
 func (a *Agent) inspect(r *http.Request) (any, error) {
-	u, err := a.controlled(r)
+	u, err := a.controlledUnit(r)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/agent/server_test.go
+++ b/internal/fleet/agent/server_test.go
@@ -23,8 +23,8 @@
 	"otterstep/internal/standin/instances"
 )
 
-// TestMain lets the test binary be another user of the machine, who connects to a
-// socket and says what came of it.
+// TestMain lets the test binary run as another user, which connects to a socket and
+// prints the result.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("OTTERAGENT_CONNECT"); path != "" {
 		c, err := net.Dial("unix", path)
@@ -41,9 +41,9 @@
 	os.Exit(m.Run())
 }
 
-// authority makes an authority with certificates for an agent, a viewer and an
-// operator, and gives its folder.
-func authority(t *testing.T, now time.Time) string {
+// newAuthority creates a certificate authority with certificates for an agent, a viewer
+// and an operator, and returns its folder.
+func newAuthority(t *testing.T, now time.Time) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := pki.Init(dir, "fleet", now); err != nil {
@@ -60,10 +60,10 @@
 	return dir
 }
 
-// remote starts an agent that listens with TLS, and gives its address.
-func remote(t *testing.T, dir string) (*Agent, string) {
+// startRemote starts an agent that listens with TLS, and returns its address.
+func startRemote(t *testing.T, dir string) (*Agent, string) {
 	t.Helper()
-	cfg := newWorld(t).cfg
+	cfg := newFixture(t).cfg
 	cfg.Listen = "127.0.0.1:0"
 	cfg.TLS.CA, cfg.TLS.Cert, cfg.TLS.Key = filepath.Join(dir, "ca.pem"), filepath.Join(dir, "m1.pem"), filepath.Join(dir, "m1.key")
 	a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), Version: "test", First: true})
@@ -80,12 +80,12 @@
 	t.Cleanup(func() {
 		cancel()
 		<-ended
-		a.guard.Close()
+		a.lockFile.Close()
 	})
 	return a, servers[0].listener.Addr().String()
 }
 
-func as(t *testing.T, addr, caDir, certDir, name string) *client.Client {
+func clientAs(t *testing.T, addr, caDir, certDir, name string) *client.Client {
 	t.Helper()
 	conf, err := pki.ClientConfig(filepath.Join(caDir, "ca.pem"), filepath.Join(certDir, name+".pem"), filepath.Join(certDir, name+".key"))
 	if err != nil {
@@ -99,35 +99,35 @@
 	return c
 }
 
-// A viewer looks and may not command; an expired certificate, one of another
-// authority, an agent's own and none at all are turned away, and each is counted.
-func TestWhoIsLetIn(t *testing.T) {
+// A viewer may read but not give commands. Clients with an expired certificate, one of
+// another authority, an agent's certificate or none are refused, and each is counted.
+func TestCertificateAuthorization(t *testing.T) {
 	now := time.Now()
-	dir := authority(t, now)
-	a, addr := remote(t, dir)
+	dir := newAuthority(t, now)
+	a, addr := startRemote(t, dir)
 	ctx := t.Context()
-	if _, err := as(t, addr, dir, dir, "vera").Agent(ctx); err != nil {
-		t.Errorf("a viewer looks: %v", err)
+	if _, err := clientAs(t, addr, dir, dir, "vera").Agent(ctx); err != nil {
+		t.Errorf("a viewer reads: %v", err)
 	}
 	drain := protocol.CommandRequest{ID: protocol.NewID(now, 1), Kind: protocol.Drain, Instances: []protocol.Seen{{Name: "a"}}}
-	if _, err := as(t, addr, dir, dir, "vera").Open(ctx, drain); code(err) != protocol.CodeForbidden {
-		t.Errorf("a viewer commands: %v", err)
+	if _, err := clientAs(t, addr, dir, dir, "vera").Open(ctx, drain); code(err) != protocol.CodeForbidden {
+		t.Errorf("a viewer gives a command: %v", err)
 	}
-	if c, err := as(t, addr, dir, dir, "ada").Open(ctx, drain); err != nil || c.Operator != "ada" {
-		t.Errorf("an operator commands: %+v, %v", c, err)
+	if c, err := clientAs(t, addr, dir, dir, "ada").Open(ctx, drain); err != nil || c.Operator != "ada" {
+		t.Errorf("an operator gives a command: %+v, %v", c, err)
 	}
-	other := authority(t, now)
-	if _, err := as(t, addr, dir, other, "ada").Agent(ctx); err == nil {
-		t.Error("a certificate of another authority was let in")
+	other := newAuthority(t, now)
+	if _, err := clientAs(t, addr, dir, other, "ada").Agent(ctx); err == nil {
+		t.Error("a certificate of another authority was accepted")
 	}
 	if err := pki.Issue(dir, pki.Request{Name: "old", Role: pki.Operator, For: time.Minute}, now.Add(-time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := as(t, addr, dir, dir, "old").Agent(ctx); err == nil {
-		t.Error("an expired certificate was let in")
+	if _, err := clientAs(t, addr, dir, dir, "old").Agent(ctx); err == nil {
+		t.Error("an expired certificate was accepted")
 	}
-	if _, err := as(t, addr, dir, dir, "m1").Agent(ctx); err == nil {
-		t.Error("an agent's certificate was let in as a tool's")
+	if _, err := clientAs(t, addr, dir, dir, "m1").Agent(ctx); err == nil {
+		t.Error("an agent's certificate was accepted as a tool's")
 	}
 	conf, err := pki.ClientConfig(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ada.pem"), filepath.Join(dir, "ada.key"))
 	if err != nil {
@@ -139,12 +139,12 @@
 		t.Fatal(err)
 	}
 	if _, err := none.Agent(ctx); err == nil {
-		t.Error("a client with no certificate was let in")
+		t.Error("a client without a certificate was accepted")
 	}
 	old := conf.Clone()
 	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
 	if _, err := tls.Dial("tcp", addr, old); err == nil {
-		t.Error("TLS 1.2 was taken")
+		t.Error("TLS 1.2 was accepted")
 	}
 	want := map[string]int64{"role": 2, "certificate: authority": 1, "certificate: expired": 1, "certificate: none": 1}
 	if got := a.refused.all(); fmt.Sprint(got) != fmt.Sprint(want) {
@@ -152,11 +152,11 @@
 	}
 }
 
-// local starts an agent on a Unix socket.
-func local(t *testing.T) (*Agent, string) {
+// startLocal starts an agent that listens on a Unix socket.
+func startLocal(t *testing.T) (*Agent, string) {
 	t.Helper()
-	cfg := newWorld(t).cfg
-	dir, err := os.MkdirTemp("", "oa") // short: a socket's path is bounded
+	cfg := newFixture(t).cfg
+	dir, err := os.MkdirTemp("", "oa") // short, as a socket's path length is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,13 +186,13 @@
 	}
 }
 
-// A second user of the machine can't use the socket, neither as it is nor with its
-// mode opened up.
-func TestSecondUser(t *testing.T) {
+// Another user of the machine can't use the socket, neither with its own mode nor after
+// the mode was changed to 0777.
+func TestOtherUserIsRefused(t *testing.T) {
 	if os.Getuid() != 0 {
 		t.Skip("only root can become another user")
 	}
-	a, socket := local(t)
+	a, socket := startLocal(t)
 	program := filepath.Join(filepath.Dir(socket), "other")
 	text, err := os.ReadFile("/proc/self/exe")
 	if err != nil {
@@ -212,14 +212,14 @@
 		}
 		return string(out)
 	}
-	if said := connect(); !strings.Contains(said, "permission denied") {
-		t.Errorf("with the socket's own mode: %q", said)
+	if out := connect(); !strings.Contains(out, "permission denied") {
+		t.Errorf("with the socket's own mode: %q", out)
 	}
 	if err := os.Chmod(socket, 0o777); err != nil {
 		t.Fatal(err)
 	}
 	if said := connect(); strings.HasPrefix(said, "<nil>") {
-		t.Errorf("with the mode opened: %q", said)
+		t.Errorf("with mode 0777: %q", said)
 	}
 	if n := a.refused.all()["user"]; n != 1 {
 		t.Errorf("%d refusals counted, want 1", n)
@@ -242,22 +242,22 @@
 	defer resp.Body.Close()
 	var e protocol.Error
 	if err := json.NewDecoder(resp.Body).Decode(&e); err != nil {
-		t.Errorf("%s: the answer holds no error: %v", path, err)
+		t.Errorf("%s: the response body is not an error: %v", path, err)
 	}
 	return resp.StatusCode, e
 }
 
-// Requests that are too large, malformed, of unknown fields or of another version are
-// refused clearly, and change nothing.
+// Requests that are too large, malformed, have unknown fields or another version are
+// refused with a specific error, and change nothing.
 func TestBadRequestsAreRefused(t *testing.T) {
-	a, socket := local(t)
+	a, socket := startLocal(t)
 	good := fmt.Sprintf(`{"id":%q,"kind":"drain","instances":[{"name":"a","generation":0}]`, protocol.NewID(time.Now(), 1))
 	for name, c := range map[string]struct {
 		path   string
 		header http.Header
 		body   string
 		code   string
-		word   string
+		text   string
 	}{
 		"too large":     {"/v1/commands", nil, good + `,"plan":"` + strings.Repeat("x", protocol.BodyMost) + `"}`, protocol.CodeUsage, "over 1048576 bytes"},
 		"unknown field": {"/v1/commands", nil, good + `,"force":true}`, protocol.CodeUsage, "force"},
@@ -275,12 +275,12 @@
 			c.header = http.Header{}
 		}
 		status, e := post(t, socket, c.path, c.header, []byte(c.body))
-		if status/100 != 4 || e.Code != c.code || !strings.Contains(e.Text, c.word) {
-			t.Errorf("%s: %d %+v, want %s with %q", name, status, e, c.code, c.word)
+		if status/100 != 4 || e.Code != c.code || !strings.Contains(e.Text, c.text) {
+			t.Errorf("%s: %d %+v, want %s with %q", name, status, e, c.code, c.text)
 		}
 	}
 	if commands := a.commands(10); len(commands) != 0 {
-		t.Errorf("commands were taken: %+v", commands)
+		t.Errorf("commands were accepted: %+v", commands)
 	}
 	c, err := client.New("m1", "unix:"+socket, nil)
 	if err != nil {
@@ -288,7 +288,7 @@
 	}
 	defer c.Close()
 	if _, err := c.Inspect(t.Context(), "zzz"); code(err) != protocol.CodeNotFound {
-		t.Errorf("inspect of nobody: %v", err)
+		t.Errorf("inspecting an unknown instance: %v", err)
 	}
 	if s, err := c.Agent(t.Context()); err != nil || s.Refused["version"] != 4 || s.Record != "ok" || s.Protocol != protocol.Version {
 		t.Errorf("agent: %+v, %v", s, err)
@@ -304,7 +304,7 @@
 			t.Fatal(err)
 		}
 		var q protocol.CommandRequest
-		if err := read(r, &q); err != nil && code(err) != protocol.CodeUsage {
+		if err := decodeStrict(r, &q); err != nil && code(err) != protocol.CodeUsage {
 			t.Errorf("%v", err)
 		}
 	})
