--- a/internal/fleet/agent/unit.go
+++ b/internal/fleet/agent/unit.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	upEvery = 50 * time.Millisecond
-	upWait  = time.Second
-	// checkEvery is for processes that no operation waits for and that don't serve;
-	// those that serve are asked every steadyEvery, as one may hang.
-	checkEvery  = 250 * time.Millisecond
-	steadyEvery = 5 * time.Second
-	lookWait    = time.Second
-	trimAt      = time.Minute
-	// afterKill is how long the kernel may take over a SIGKILL.
-	afterKill = 10 * time.Second
+	upPollInterval = 50 * time.Millisecond
+	upWait         = time.Second
+	// Outside operations, processes that don't serve are checked every checkInterval,
+	// and those that serve every steadyCheckInterval, as they may hang.
+	checkInterval       = 250 * time.Millisecond
+	steadyCheckInterval = 5 * time.Second
+	inspectTimeout      = time.Second
+	trimInterval        = time.Minute
+	// killTimeout is how long to wait for a process to end after SIGKILL.
+	killTimeout = 10 * time.Second
 )
 
-// unit looks after one instance. Its goroutine alone starts, signals and waits for
-// the process; others read its view.
+// unit supervises one instance. Only its goroutine starts, signals and waits for the
+// process; other goroutines read its view.
 type unit struct {
 	def    instance.Spec
 	agent  *Agent
 	log    *slog.Logger
-	wanted chan struct{} // an operation was begun
+	wakeup chan struct{} // signals that an operation was begun or the instance was released
 
-	// The goroutine's own.
-	process instance.Process // nil: none runs
-	token   string           // of the process that runs, or ran last
-	by      string           // the order that a process was started for last, "" if none was
-	tracker backoff.Tracker
-	retry   *time.Timer // next start after a crash
-	check   *time.Timer // next look at /up
+	// The following fields are used only by the unit's goroutine.
+	process    instance.Process // nil if none runs
+	token      string           // of the current or last process
+	startedFor string           // the order for which a process was last started, "" if none
+	tracker    backoff.Tracker
+	startTimer *time.Timer // next start after a crash
+	checkTimer *time.Timer // next check of /up
 
 	mu   sync.Mutex
 	view view
@@ -62,17 +62,17 @@
 
 func newUnit(a *Agent, def instance.Spec) *unit {
 	u := &unit{
-		def: def, agent: a, log: a.log.With("instance", def.Name), wanted: make(chan struct{}, 1),
-		tracker: backoff.Tracker{Policy: a.cfg.backoff()}, retry: time.NewTimer(time.Hour), check: time.NewTimer(time.Hour),
+		def: def, agent: a, log: a.log.With("instance", def.Name), wakeup: make(chan struct{}, 1),
+		tracker: backoff.Tracker{Policy: a.cfg.backoff()}, startTimer: time.NewTimer(time.Hour), checkTimer: time.NewTimer(time.Hour),
 	}
-	u.retry.Stop()
-	u.check.Stop()
-	u.show(protocol.StateDown, "")
+	u.startTimer.Stop()
+	u.checkTimer.Stop()
+	u.setState(protocol.StateDown, "")
 	return u
 }
 
-// show sets what others see.
-func (u *unit) show(state, message string) {
+// setState updates the view.
+func (u *unit) setState(state, message string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if state != u.view.state {
@@ -87,35 +87,35 @@
 	}
 }
 
-func (u *unit) look() view {
+func (u *unit) currentView() view {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.view
 }
 
-func (u *unit) has(p instance.Process, token string, pid int) {
+func (u *unit) setProcess(p instance.Process, token string, pid int) {
 	u.process, u.token = p, token
 	u.mu.Lock()
 	u.view.pid, u.view.order = pid, orderOf(token)
 	u.mu.Unlock()
 }
 
-// tellSoon has the fleet's word brought to the process that has begun.
-func (u *unit) tellSoon() {
-	if h := u.agent.herald; h != nil {
+// wakeFleetBans triggers sending the fleet-wide bans to the process that was just started.
+func (u *unit) wakeFleetBans() {
+	if h := u.agent.fleetBans; h != nil {
 		h.wake(u.def.Name)
 	}
 }
 
-// gone forgets a process that has ended.
-func (u *unit) gone() {
+// releaseProcess releases a process that has ended.
+func (u *unit) releaseProcess() {
 	u.process.Release()
 	u.process = nil
 }
 
-// run looks after the instance until ctx ends; the process stays. Call adopt first.
+// run supervises the instance until ctx is done; the process keeps running. Call adopt first.
 func (u *unit) run(ctx context.Context) {
-	trim := time.NewTicker(trimAt)
+	trim := time.NewTicker(trimInterval)
 	defer trim.Stop()
 	for {
 		if ctx.Err() != nil {
@@ -128,146 +128,146 @@
 		var done <-chan struct{}
 		if u.process != nil {
 			done = u.process.Done()
-			if u.agent.tooMuch(u.def.Name) {
-				u.endExcess()
+			if u.agent.takeUnwanted(u.def.Name) {
+				u.stopUnwanted()
 			}
-		} else if wait, may := u.agent.turn(u.def.Name); may && u.look().state == protocol.StateDown {
+		} else if wait, may := u.agent.startDelay(u.def.Name); may && u.currentView().state == protocol.StateDown {
 			if wait <= 0 {
 				u.launch()
 				continue
 			}
-			u.show(protocol.StatePaced, fmt.Sprintf("started in %v, as others may come back too", wait.Round(time.Millisecond)))
-			u.retry.Reset(wait)
+			u.setState(protocol.StatePaced, fmt.Sprintf("started in %v to keep the fleet's start rate", wait.Round(time.Millisecond)))
+			u.startTimer.Reset(wait)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-u.wanted:
+		case <-u.wakeup:
 		case <-done:
 			state := u.process.State()
-			u.gone()
-			if _, may := u.agent.turn(u.def.Name); !may {
-				u.show(protocol.StateDown, "ended: "+state)
+			u.releaseProcess()
+			if _, may := u.agent.startDelay(u.def.Name); !may {
+				u.setState(protocol.StateDown, "ended: "+state)
 				continue
 			}
-			u.crashed(fmt.Sprintf("ended unasked: %s", state))
-		case <-u.retry.C:
-			if wait, may := u.agent.turn(u.def.Name); may && wait > 0 {
-				u.retry.Reset(wait)
+			u.crashed(fmt.Sprintf("exited unexpectedly: %s", state))
+		case <-u.startTimer.C:
+			if wait, may := u.agent.startDelay(u.def.Name); may && wait > 0 {
+				u.startTimer.Reset(wait)
 			} else if may {
 				u.launch()
 			} else {
-				u.show(protocol.StateDown, "")
+				u.setState(protocol.StateDown, "")
 			}
-		case <-u.check.C:
+		case <-u.checkTimer.C:
 			if u.process != nil {
-				u.lookUp(ctx)
+				u.checkUp(ctx)
 			}
 		case <-trim.C:
 			if err := u.agent.runner.Trim(u.def); err != nil {
-				u.log.Warn("the instance's log can't be trimmed", "err", err)
+				u.log.Warn("the instance's log can't be rotated", "err", err)
 			}
 		}
 	}
 }
 
-// wake has the unit look again at what there is to do.
+// wake makes the unit check for new work.
 func (u *unit) wake() {
 	select {
-	case u.wanted <- struct{}{}:
-	default: // it will look
+	case u.wakeup <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// endExcess ends a process that runs although the newest word, learnt again, says down: a
-// drain that was under way when the memory was lost, or one that the agent had never heard of.
-func (u *unit) endExcess() {
-	u.log.Warn("drains an instance that runs and is meant to be down", "pid", u.look().pid)
-	u.show(protocol.StateStopping, "the newest word says down")
+// stopUnwanted stops a process whose recovered desired state is down: a drain was in progress when
+// the record was lost, or the agent had never received it.
+func (u *unit) stopUnwanted() {
+	u.log.Warn("draining an instance that runs and is meant to be down", "pid", u.currentView().pid)
+	u.setState(protocol.StateStopping, "the newest word says down")
 	if err := u.process.Signal(syscall.SIGTERM); err != nil {
-		u.show(protocol.StateRunning, fmt.Sprintf("is meant to be down, and can't be signalled: %v", err))
+		u.setState(protocol.StateRunning, fmt.Sprintf("is meant to be down, but can't be signalled: %v", err))
 	}
 }
 
-// orderEnd ends an order's id in a token.
-const orderEnd = "."
+// orderSeparator separates an order's id from the random part of a token.
+const orderSeparator = "."
 
-// orderOf gives the order that a token names, "" if it names none.
+// orderOf returns the order's id in a token, "" if there is none.
 func orderOf(token string) string {
-	order, _, named := strings.Cut(token, orderEnd)
+	order, _, named := strings.Cut(token, orderSeparator)
 	if !named {
 		return ""
 	}
 	return order
 }
 
-// adopt finds the process that runs.
+// adopt adopts the running process, if any.
 func (u *unit) adopt() {
 	p, token, pid, err := u.agent.runner.Adopt(u.def)
 	switch {
 	case err != nil:
-		u.log.Error("a process that can't be told holds the instance's run file", "err", err)
-		u.show(protocol.StateUnknown, err.Error())
+		u.log.Error("the instance's run file is locked by a process that can't be identified", "err", err)
+		u.setState(protocol.StateUnknown, err.Error())
 	case p == nil:
-		u.by = orderOf(token)
+		u.startedFor = orderOf(token)
 	default:
-		u.has(p, token, pid)
-		u.by = orderOf(token)
-		u.tracker.Started(time.Now())
+		u.setProcess(p, token, pid)
+		u.startedFor = orderOf(token)
+		u.tracker.RecordStart(time.Now())
 		u.log.Info("adopted", "pid", pid)
-		u.show(protocol.StateRunning, "adopted")
-		u.check.Reset(0)
+		u.setState(protocol.StateRunning, "adopted")
+		u.checkTimer.Reset(0)
 	}
 }
 
-// lookUp asks a running process's /up, and again later. One that does not serve (any
-// more) is shown so, and left alone: it may hold requests.
-func (u *unit) lookUp(ctx context.Context) {
-	switch up, was := u.agent.runner.Up(ctx, u.def), u.look().state; {
+// checkUp checks a running process's /up and schedules the next check. A process that does
+// not serve is shown as such but not restarted, as it may still hold requests.
+func (u *unit) checkUp(ctx context.Context) {
+	switch up, was := u.agent.runner.Up(ctx, u.def), u.currentView().state; {
 	case up:
-		u.show(protocol.StateUp, "")
-		u.check.Reset(steadyEvery)
+		u.setState(protocol.StateUp, "")
+		u.checkTimer.Reset(steadyCheckInterval)
 	case was == protocol.StateUp:
-		u.show(protocol.StateRunning, "/up has ceased to answer 200")
+		u.setState(protocol.StateRunning, "/up has ceased to answer 200")
 		fallthrough
 	default:
-		u.check.Reset(checkEvery)
+		u.checkTimer.Reset(checkInterval)
 	}
 }
 
-// crashed waits for the next start, or gives up.
+// crashed schedules the next start, or gives up.
 func (u *unit) crashed(why string) {
-	wait, giveUp := u.tracker.Crashed(time.Now())
+	wait, giveUp := u.tracker.RecordCrash(time.Now())
 	if giveUp {
-		u.log.Error("crashed too often and is left alone", "crashes", u.tracker.Crashes(), "last", why)
-		u.show(protocol.StateGaveUp, fmt.Sprintf("%s; %d crashes in a row, start it by a command", why, u.tracker.Crashes()))
+		u.log.Error("crashed too often and is not restarted", "crashes", u.tracker.Crashes(), "last", why)
+		u.setState(protocol.StateGaveUp, fmt.Sprintf("%s; %d crashes in a row, start it by a command", why, u.tracker.Crashes()))
 		return
 	}
 	u.log.Warn("crashed", "why", why, "next_start_in", wait)
-	u.show(protocol.StateBackoff, fmt.Sprintf("%s; next start in %v", why, wait))
-	u.retry.Reset(wait)
+	u.setState(protocol.StateBackoff, fmt.Sprintf("%s; next start in %v", why, wait))
+	u.startTimer.Reset(wait)
 }
 
-// launch starts the process outside any operation.
+// launch starts the process outside of operations.
 func (u *unit) launch() {
-	if err := u.start(u.by); err != nil {
+	if err := u.start(u.startedFor); err != nil {
 		u.crashed(err.Error())
 		return
 	}
-	u.log.Info("started", "pid", u.look().pid)
-	u.check.Reset(upEvery)
+	u.log.Info("started", "pid", u.currentView().pid)
+	u.checkTimer.Reset(upPollInterval)
 }
 
-// start starts a process under a new token, which names the order that it is started for, or the
-// latest that one was: the run file then tells of it also where the record was put back to before
-// the order. by is "" if there was none.
+// start starts a process with a new token, which contains the order that it is started for, or the
+// latest such order. The run file thus identifies the order even if the record is restored from a
+// state before it. by is "" if there was none.
 func (u *unit) start(by string) error {
-	u.retry.Stop()
+	u.startTimer.Stop()
 	token := rand.Text()
-	if u.by = by; by != "" {
-		token = by + orderEnd + token
+	if u.startedFor = by; by != "" {
+		token = by + orderSeparator + token
 	}
-	def, err := u.spec()
+	def, err := u.desiredSpec()
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
@@ -275,44 +275,44 @@
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	u.has(p, token, pid)
-	u.tracker.Started(time.Now())
-	u.show(protocol.StateRunning, "")
-	u.tellSoon()
+	u.setProcess(p, token, pid)
+	u.tracker.RecordStart(time.Now())
+	u.setState(protocol.StateRunning, "")
+	u.wakeFleetBans()
 	return nil
 }
 
-// spec is the instance's definition with the program that is desired now.
-func (u *unit) spec() (instance.Spec, error) {
+// desiredSpec returns the instance's definition with the currently desired program.
+func (u *unit) desiredSpec() (instance.Spec, error) {
 	u.agent.mu.RLock()
 	kept, _ := u.agent.book.Instance(u.def.Name)
 	u.agent.mu.RUnlock()
 	def := u.def
-	command, err := u.agent.program(kept.Program)
+	command, err := u.agent.programCommand(kept.Program)
 	if command != nil {
 		def.Program = command
 	}
 	return def, err
 }
 
-// awaitUp waits until /up answers 200, the process ends, or its time is up.
+// awaitUp waits until /up answers 200, the process ends, or the time limit is over.
 func (u *unit) awaitUp(ctx context.Context) error {
 	limit := u.agent.cfg.Wait.Up.Duration
-	over := time.NewTimer(limit)
-	defer over.Stop()
-	every := time.NewTicker(upEvery)
+	timeout := time.NewTimer(limit)
+	defer timeout.Stop()
+	every := time.NewTicker(upPollInterval)
 	defer every.Stop()
 	for {
 		if u.agent.runner.Up(ctx, u.def) {
-			u.show(protocol.StateUp, "")
-			u.check.Reset(steadyEvery)
+			u.setState(protocol.StateUp, "")
+			u.checkTimer.Reset(steadyCheckInterval)
 			return nil
 		}
 		select {
 		case <-every.C:
 		case <-u.process.Done():
-			return fmt.Errorf("ended before it served: %s", u.process.State())
-		case <-over.C:
+			return fmt.Errorf("exited before it served: %s", u.process.State())
+		case <-timeout.C:
 			return fmt.Errorf("does not serve within %v", limit)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -322,20 +322,20 @@
 
 // ---- operations
 
-// errLeft means that the agent ends while an operation is under way: the next one
-// goes on with it.
-var errLeft = errors.New("the agent ends")
+// errAgentEnding means that the agent exits during an operation, which the next agent
+// resumes.
+var errAgentEnding = errors.New("the agent is shutting down")
 
-// perform carries an operation out, from wherever it stands: each part looks at the
-// truth first, so that it can be taken up again after the agent has died anywhere.
+// perform executes an operation. Each part first checks the actual state, so that an
+// operation can be resumed after the agent has died at any point.
 func (u *unit) perform(ctx context.Context, op *protocol.Operation) {
 	if op.Kind != protocol.Reload {
 		u.tracker.Reset()
-		u.retry.Stop()
+		u.startTimer.Stop()
 	}
-	u.log.Info("operation", "kind", op.Kind, "command", op.Command, "operator", op.Operator)
+	u.log.Info("operation begins", "kind", op.Kind, "command", op.Command, "operator", op.Operator)
 	var warning error
-	err := u.unknown()
+	err := u.resolveUnknown()
 	if err == nil {
 		switch op.Kind {
 		case protocol.Drain:
@@ -343,9 +343,9 @@
 		case protocol.Start:
 			err = u.ensureUp(ctx, op)
 		case protocol.Restart, protocol.Upgrade:
-			// The process that ran when the operation began has to go; another one is
-			// already the new one.
-			if u.process != nil && u.token == u.agent.runAt(op) && u.by != op.Command {
+			// Only the process that ran when the operation began is replaced; any other
+			// one was already started by it.
+			if u.process != nil && u.token == u.agent.tokenAtBegin(op) && u.startedFor != op.Command {
 				warning, err = u.stop(ctx, op)
 			}
 			if err == nil {
@@ -362,7 +362,7 @@
 	var refused *protocol.Error
 	switch {
 	case err == nil:
-	case ctx.Err() != nil || errors.Is(err, errLeft):
+	case ctx.Err() != nil || errors.Is(err, errAgentEnding):
 		return
 	case errors.As(err, &refused) && (refused.Code == protocol.CodeRecord || refused.Code == protocol.CodeFenced):
 		state, reason = protocol.Interrupted, err.Error()
@@ -370,15 +370,15 @@
 		state, reason = protocol.Failed, err.Error()
 	}
 	u.log.Info("operation ended", "kind", op.Kind, "command", op.Command, "state", state, "reason", reason)
-	u.agent.end(op, state, reason)
-	if _, may := u.agent.turn(u.def.Name); u.process == nil && may && u.look().state != protocol.StateUnknown {
+	u.agent.endOperation(op, state, reason)
+	if _, may := u.agent.startDelay(u.def.Name); u.process == nil && may && u.currentView().state != protocol.StateUnknown {
 		u.crashed(reason)
 	}
 }
 
-// unknown looks once more at a process that could not be told.
-func (u *unit) unknown() error {
-	if u.look().state != protocol.StateUnknown {
+// resolveUnknown tries again to adopt a process that could not be identified.
+func (u *unit) resolveUnknown() error {
+	if u.currentView().state != protocol.StateUnknown {
 		return nil
 	}
 	p, token, pid, err := u.agent.runner.Adopt(u.def)
@@ -386,51 +386,51 @@
 		return err
 	}
 	if p == nil {
-		u.show(protocol.StateDown, "")
+		u.setState(protocol.StateDown, "")
 	} else {
-		u.has(p, token, pid)
-		u.show(protocol.StateRunning, "adopted")
+		u.setProcess(p, token, pid)
+		u.setState(protocol.StateRunning, "adopted")
 	}
 	return nil
 }
 
-// stop drains the process. One that does not end in time is killed, which loses
-// what it held: the warning says so.
+// stop drains the process. If it does not end in time it is killed, which loses its
+// requests; the warning says so.
 func (u *unit) stop(ctx context.Context, op *protocol.Operation) (warning, err error) {
 	if u.process == nil {
-		u.show(protocol.StateDown, "")
-		return nil, u.agent.step(op, "exited", "it did not run")
+		u.setState(protocol.StateDown, "")
+		return nil, u.agent.recordStep(op, "exited", "it did not run")
 	}
-	if err := u.agent.step(op, "term", fmt.Sprintf("pid %d", u.look().pid)); err != nil {
+	if err := u.agent.recordStep(op, "term", fmt.Sprintf("pid %d", u.currentView().pid)); err != nil {
 		return nil, err
 	}
-	u.show(protocol.StateStopping, "")
+	u.setState(protocol.StateStopping, "")
 	if err := u.process.Signal(syscall.SIGTERM); err != nil {
 		return nil, err
 	}
 	limit := u.agent.cfg.Wait.Stop.Duration
-	if !u.ended(ctx, limit) {
+	if !u.waitEnded(ctx, limit) {
 		if ctx.Err() != nil {
-			return nil, errLeft
+			return nil, errAgentEnding
 		}
-		if err := u.agent.step(op, "kill", fmt.Sprintf("not ended %v after SIGTERM", limit)); err != nil {
+		if err := u.agent.recordStep(op, "kill", fmt.Sprintf("not ended %v after SIGTERM", limit)); err != nil {
 			return nil, err
 		}
 		if err := u.process.Signal(syscall.SIGKILL); err != nil {
 			return nil, err
 		}
-		if !u.ended(ctx, afterKill) {
-			return nil, fmt.Errorf("not ended %v after SIGKILL", afterKill)
+		if !u.waitEnded(ctx, killTimeout) {
+			return nil, fmt.Errorf("not ended %v after SIGKILL", killTimeout)
 		}
-		warning = fmt.Errorf("not ended %v after SIGTERM, so it was killed: what it held is lost", limit)
+		warning = fmt.Errorf("not ended %v after SIGTERM, so it was killed: the requests that it held are lost", limit)
 	}
 	state := u.process.State()
-	u.gone()
-	u.show(protocol.StateDown, "")
-	return warning, u.agent.step(op, "exited", state)
+	u.releaseProcess()
+	u.setState(protocol.StateDown, "")
+	return warning, u.agent.recordStep(op, "exited", state)
 }
 
-func (u *unit) ended(ctx context.Context, within time.Duration) bool {
+func (u *unit) waitEnded(ctx context.Context, within time.Duration) bool {
 	limit := time.NewTimer(within)
 	defer limit.Stop()
 	select {
@@ -446,37 +446,37 @@
 func (u *unit) ensureUp(ctx context.Context, op *protocol.Operation) error {
 	if u.process != nil {
 		select {
-		case <-u.process.Done(): // it died while the operation was on its way here
-			u.gone()
+		case <-u.process.Done(): // it ended earlier in the operation
+			u.releaseProcess()
 		default:
 		}
 	}
 	if u.process == nil {
-		if err := u.agent.step(op, "launch", ""); err != nil {
+		if err := u.agent.recordStep(op, "launch", ""); err != nil {
 			return err
 		}
 		if err := u.start(op.Command); err != nil {
 			return err
 		}
 	}
-	if err := u.agent.step(op, "started", fmt.Sprintf("pid %d", u.look().pid)); err != nil {
+	if err := u.agent.recordStep(op, "started", fmt.Sprintf("pid %d", u.currentView().pid)); err != nil {
 		return err
 	}
 	err := u.awaitUp(ctx)
 	if err != nil && ctx.Err() == nil {
 		select {
 		case <-u.process.Done():
-			u.gone()
+			u.releaseProcess()
 		default:
-			u.show(protocol.StateRunning, err.Error())
-			u.check.Reset(checkEvery)
+			u.setState(protocol.StateRunning, err.Error())
+			u.checkTimer.Reset(checkInterval)
 		}
 	}
 	return err
 }
 
-// reload signals SIGHUP. Where the instance has a control socket its answer tells
-// how the reload went; else nothing does.
+// reload sends SIGHUP. The result of the reload is known only if the instance has a
+// control socket.
 func (u *unit) reload(ctx context.Context, op *protocol.Operation) error {
 	if u.process == nil {
 		return errors.New("it does not run")
@@ -489,17 +489,17 @@
 		}
 		before = i.Reloads
 	}
-	if err := u.agent.step(op, "hup", fmt.Sprintf("pid %d", u.look().pid)); err != nil {
+	if err := u.agent.recordStep(op, "hup", fmt.Sprintf("pid %d", u.currentView().pid)); err != nil {
 		return err
 	}
 	if err := u.process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
 	if before < 0 {
-		return u.agent.step(op, "signalled", "without a control socket nothing tells how it went")
+		return u.agent.recordStep(op, "signalled", "without a control socket the result is unknown")
 	}
 	limit := time.Now().Add(u.agent.cfg.Wait.Up.Duration)
-	every := time.NewTicker(upEvery)
+	every := time.NewTicker(upPollInterval)
 	defer every.Stop()
 	for {
 		i, err := u.inspect(ctx)
@@ -507,7 +507,7 @@
 		case err == nil && i.Reloads > before && i.ReloadError != "":
 			return fmt.Errorf("the instance keeps its old configuration: %s", i.ReloadError)
 		case err == nil && i.Reloads > before:
-			return u.agent.step(op, "reloaded", "")
+			return u.agent.recordStep(op, "reloaded", "")
 		case time.Now().After(limit):
 			return fmt.Errorf("no reload within %v of SIGHUP", u.agent.cfg.Wait.Up.Duration)
 		}
@@ -515,16 +515,16 @@
 		case <-every.C:
 		case <-u.process.Done():
 			state := u.process.State()
-			u.gone()
-			return fmt.Errorf("ended at the reload: %s", state)
+			u.releaseProcess()
+			return fmt.Errorf("exited during the reload: %s", state)
 		case <-ctx.Done():
-			return errLeft
+			return errAgentEnding
 		}
 	}
 }
 
 func (u *unit) inspect(ctx context.Context) (control.Inspection, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookWait)
+	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
 	return u.agent.runner.Inspect(ctx, u.def)
 }
