--- a/cmd/otteragent/main.go
+++ b/cmd/otteragent/main.go
@@ -1,6 +1,6 @@
-// Command otteragent looks after one machine's instances: it starts them, starts
-// them again when they crash, and carries out what operators command. It carries no
-// client traffic, and takes no instance down when it ends or dies.
+// Command otteragent supervises the instances on one machine: it starts them, restarts
+// them after crashes, and executes operators' commands. It carries no client traffic, and
+// instances keep running when it exits or crashes.
 package main
 
 import (
@@ -16,19 +16,19 @@
 	"otterstep/internal/fleet/proc"
 )
 
-// launchWord makes this program the launcher of an instance: see package proc.
-const launchWord = "launch"
+// launchCommand makes this program act as the launcher of an instance; see package proc.
+const launchCommand = "launch"
 
 func main() {
-	if len(os.Args) > 4 && os.Args[1] == launchWord {
-		_ = proc.Launch(os.Args[2], os.Args[3], os.Args[4:]) // it told its parent why it returned
+	if len(os.Args) > 4 && os.Args[1] == launchCommand {
+		_ = proc.Launch(os.Args[2], os.Args[3], os.Args[4:]) // the error has been reported to the parent
 		os.Exit(cli.Failed)
 	}
 	os.Exit(cli.Run(command()))
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "otteragent", Short: "Looks after one machine's instances of the node", Version: buildinfo.Version()}
+	root := &cobra.Command{Use: "otteragent", Short: "Supervises the node instances on one machine", Version: buildinfo.Version()}
 	file, first := "", false
 	load := func() (agent.Config, error) {
 		cfg, err := agent.LoadConfig(file)
@@ -38,14 +38,14 @@
 		return cfg, nil
 	}
 	run := &cobra.Command{
-		Use: "run", Short: "Look after the instances until SIGTERM; they go on", Args: cobra.NoArgs,
+		Use: "run", Short: "Supervise the instances until SIGTERM; they keep running afterwards", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := load()
 			if err != nil {
 				return err
 			}
 			a, err := agent.New(cfg, agent.Options{
-				Launcher: []string{"/proc/self/exe", launchWord}, Version: buildinfo.Version(),
+				Launcher: []string{"/proc/self/exe", launchCommand}, Version: buildinfo.Version(),
 				Log: slog.New(slog.NewTextHandler(os.Stderr, nil)), First: first,
 			})
 			if err != nil {
@@ -54,9 +54,9 @@
 			return a.Run(c.Context())
 		},
 	}
-	run.Flags().BoolVar(&first, "first", false, "this agent starts for the first time: an empty state folder is no loss. With [council] the first of its voters founds it once all are there")
+	run.Flags().BoolVar(&first, "first", false, "this agent starts for the first time: an empty state folder is expected. With [council], the first voter bootstraps the council once all voters are reachable")
 	check := &cobra.Command{
-		Use: "check", Short: "Say all that is wrong with the agent's file, and start nothing", Args: cobra.NoArgs,
+		Use: "check", Short: "Report all errors in the agent's file without starting anything", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := load()
 			if err == nil {
