--- a/internal/fleet/agent/recovery.go
+++ b/internal/fleet/agent/recovery.go
@@ -208,7 +208,7 @@
 	now := time.Now()
 	a.mu.Lock()
 	m := &a.recovery
-	learnt := map[string]book.Word{}
+	recovered := map[string]book.Word{}
 	cleared := []string{}
 	source := ""
 	for name, h := range m.held {
@@ -231,7 +231,7 @@
 		}
 		cleared = append(cleared, name)
 		if w := (book.Word{Up: v.Word.Up, Generation: max(v.Word.Generation, i.Generation), Program: v.Word.Program}); i.Held != "" || w != (book.Word{Up: i.Up, Generation: i.Generation, Program: i.Program}) {
-			learnt[name], source = w, v.Word.Source
+			recovered[name], source = w, v.Word.Source
 			if f.Memory != recovery.Whole {
 				a.log.Warn("recovered the desired state", "instance", name, "why", v.Why)
 			}
@@ -241,8 +241,8 @@
 	if len(cleared) == 0 {
 		return
 	}
-	if len(learnt) > 0 {
-		if _, err := a.commit(book.Entry{Learn: &book.Learn{Instances: learnt, Source: source}}); err != nil {
+	if len(recovered) > 0 {
+		if _, err := a.commit(book.Entry{Learn: &book.Learn{Instances: recovered, Source: source}}); err != nil {
 			return // retried at the next interval
 		}
 	}
