--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what the project's command lines share: how a program ends.
+// Package cli runs a program's command line and maps its result to an exit code.
 package cli
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes of every program. They are stable.
+// Exit codes of every program. They are stable.
 const (
 	OK       = 0
-	Failed   = 1 // some or all of it failed
-	Usage    = 2 // it was asked in a way that can't be understood; nothing was done
-	Silent   = 3 // nothing failed that answered, and some did not answer
+	Failed   = 1 // some or all of the work failed
+	Usage    = 2 // invalid command line; nothing was done
+	Silent   = 3 // some did not answer; nothing failed at those that did
 	Conflict = 4 // another command came first; nothing was done
 )
 
-// Exit is an error with an exit code. What there is to say was said if Err is nil.
+// Exit is an error with an exit code. If Err is nil, no message is printed.
 type Exit struct {
 	Code int
 	Err  error
@@ -35,22 +35,22 @@
 	return e.Err.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Exit) Unwrap() error { return e.Err }
 
-// Run runs a command line until it is done or SIGTERM or SIGINT ends its context,
-// and gives the exit code. Errors that come before a command runs are of usage.
+// Run runs a command line and returns the exit code. SIGTERM and SIGINT cancel its
+// context. Errors before the command itself runs are usage errors.
 func Run(root *cobra.Command) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return RunWith(ctx, root, os.Stderr)
 }
 
-// RunWith is Run with a context, and another place for what goes wrong.
+// RunWith is Run with a context, and with a writer for error messages.
 func RunWith(ctx context.Context, root *cobra.Command, stderr io.Writer) int {
-	understood := false
+	parsed := false
 	root.SilenceErrors, root.SilenceUsage = true, true
-	root.PersistentPreRun = func(*cobra.Command, []string) { understood = true }
+	root.PersistentPreRun = func(*cobra.Command, []string) { parsed = true }
 	err := root.ExecuteContext(ctx)
 	if err == nil {
 		return OK
@@ -60,7 +60,7 @@
 	switch {
 	case errors.As(err, &exit):
 		code = exit.Code
-	case !understood:
+	case !parsed:
 		code = Usage
 	}
 	if exit == nil || exit.Err != nil {
--- a/internal/fleet/pki/pki.go
+++ b/internal/fleet/pki/pki.go
@@ -1,6 +1,7 @@
-// Package pki makes and checks the certificates of a fleet: one authority, one
-// certificate for each agent and each operator. A certificate's common name is who
-// it is for, its organizational unit the role. TLS is 1.3 (RFC 8446) and mutual.
+// Package pki issues and verifies the certificates of a fleet: one certificate
+// authority, one certificate for each agent and each operator. A certificate's common
+// name is its holder's name, its organizational unit the role. TLS is 1.3 (RFC 8446)
+// and mutual.
 package pki
 
 import (
@@ -25,28 +26,28 @@
 	"otterstep/internal/tlsfile"
 )
 
-// The roles.
+// Roles.
 const (
-	Viewer   = "viewer"   // may look
-	Operator = "operator" // may look and command
-	Agent    = "agent"    // answers tools; orders what a duty that it owns calls for
+	Viewer   = "viewer"   // may read
+	Operator = "operator" // may read and send commands
+	Agent    = "agent"    // serves tools; sends commands to other agents under a duty that it owns
 )
 
 const (
-	caFor = 10 * 365 * 24 * time.Hour
-	// slack is how far back a certificate is valid, as clocks differ.
-	slack = 5 * time.Minute
+	caValidity = 10 * 365 * 24 * time.Hour
+	// clockSkew is how long before its issue a certificate is already valid, as clocks differ.
+	clockSkew = 5 * time.Minute
 
 	caCert, caKey = "ca.pem", "ca.key"
 )
 
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,62}$`)
 
-// Init makes an authority in a folder: ca.pem, to be handed out, and ca.key, to be
-// kept. It replaces nothing.
+// Init creates a certificate authority in a directory: ca.pem, to be distributed, and
+// ca.key, to be kept secret. It overwrites no file.
 func Init(folder, name string, now time.Time) error {
-	if !nameForm.MatchString(name) {
-		return fmt.Errorf("pki: %q is no name", name)
+	if !namePattern.MatchString(name) {
+		return fmt.Errorf("pki: %q is not a valid name", name)
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return fmt.Errorf("pki: %w", err)
@@ -55,7 +56,7 @@
 	if err != nil {
 		return fmt.Errorf("pki: %w", err)
 	}
-	c, err := template(name, "authority", now, caFor)
+	c, err := template(name, "authority", now, caValidity)
 	if err != nil {
 		return err
 	}
@@ -65,30 +66,30 @@
 	if err != nil {
 		return fmt.Errorf("pki: %w", err)
 	}
-	return save(filepath.Join(folder, caCert), filepath.Join(folder, caKey), der, key)
+	return saveKeyPair(filepath.Join(folder, caCert), filepath.Join(folder, caKey), der, key)
 }
 
-// Request says what to issue.
+// Request describes a certificate to issue.
 type Request struct {
 	Name  string
 	Role  string
-	Hosts []string // Agent: the names and addresses at which tools reach it
+	Hosts []string // for role Agent: the host names and addresses at which tools reach it
 	For   time.Duration
 }
 
-// Issue makes NAME.pem and NAME.key in the authority's folder. It replaces nothing.
+// Issue creates NAME.pem and NAME.key in the authority's directory. It overwrites no file.
 func Issue(folder string, r Request, now time.Time) error {
 	switch {
-	case !nameForm.MatchString(r.Name) || r.Name == "ca":
-		return fmt.Errorf("pki: %q is no name", r.Name)
+	case !namePattern.MatchString(r.Name) || r.Name == "ca":
+		return fmt.Errorf("pki: %q is not a valid name", r.Name)
 	case !slices.Contains([]string{Viewer, Operator, Agent}, r.Role):
 		return fmt.Errorf("pki: unknown role %q: %s, %s or %s", r.Role, Viewer, Operator, Agent)
 	case r.Role == Agent && len(r.Hosts) == 0:
-		return errors.New("pki: an agent's certificate needs the names or addresses at which tools reach it")
+		return errors.New("pki: an agent's certificate needs the host names or addresses at which tools reach it")
 	case r.Role != Agent && len(r.Hosts) > 0:
-		return fmt.Errorf("pki: a %s has no names or addresses", r.Role)
+		return fmt.Errorf("pki: a certificate for a %s has no host names or addresses", r.Role)
 	case r.For <= 0:
-		return fmt.Errorf("pki: valid for %v: no time at all", r.For)
+		return fmt.Errorf("pki: validity of %v is not positive", r.For)
 	}
 	ca, err := tls.LoadX509KeyPair(filepath.Join(folder, caCert), filepath.Join(folder, caKey))
 	if err != nil {
@@ -101,7 +102,7 @@
 	c.KeyUsage = x509.KeyUsageDigitalSignature
 	c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	if r.Role == Agent {
-		// As a client towards other agents, for the council and a duty's orders.
+		// An agent is also a client of other agents: for the council and for a duty's orders.
 		c.ExtKeyUsage = append(c.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
 	}
 	for _, host := range r.Hosts {
@@ -119,7 +120,7 @@
 	if err != nil {
 		return fmt.Errorf("pki: %w", err)
 	}
-	return save(filepath.Join(folder, r.Name+".pem"), filepath.Join(folder, r.Name+".key"), der, key)
+	return saveKeyPair(filepath.Join(folder, r.Name+".pem"), filepath.Join(folder, r.Name+".key"), der, key)
 }
 
 func template(name, unit string, now time.Time, valid time.Duration) (*x509.Certificate, error) {
@@ -129,24 +130,24 @@
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{unit}},
-		NotBefore: now.Add(-slack), NotAfter: now.Add(valid),
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(valid),
 	}, nil
 }
 
-// save writes a certificate and its key. The key comes first: without it the
-// certificate is of no use.
-func save(certFile, keyFile string, der []byte, key *ecdsa.PrivateKey) error {
+// saveKeyPair writes a key and its certificate. The key is written first, since the
+// certificate is unusable without it.
+func saveKeyPair(certFile, keyFile string, der []byte, key *ecdsa.PrivateKey) error {
 	secret, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return fmt.Errorf("pki: %w", err)
 	}
-	if err := create(keyFile, 0o600, &pem.Block{Type: "PRIVATE KEY", Bytes: secret}); err != nil {
+	if err := writePEM(keyFile, 0o600, &pem.Block{Type: "PRIVATE KEY", Bytes: secret}); err != nil {
 		return err
 	}
-	return create(certFile, 0o644, &pem.Block{Type: "CERTIFICATE", Bytes: der})
+	return writePEM(certFile, 0o644, &pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
-func create(path string, mode os.FileMode, b *pem.Block) error {
+func writePEM(path string, mode os.FileMode, b *pem.Block) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, mode)
 	if err != nil {
 		return fmt.Errorf("pki: %w", err)
@@ -161,8 +162,8 @@
 	return nil
 }
 
-// ServerConfig is an agent's side. Each client that is turned away is told to
-// refuse, with the cause: none, expired, authority or other.
+// ServerConfig returns the TLS configuration of an agent as a server. refuse is called for
+// each rejected client with "certificate: " and the cause: none, expired, authority or other.
 func ServerConfig(ca, cert, key string, refuse func(cause string)) (*tls.Config, error) {
 	roots, err := tlsfile.Pool(ca)
 	if err != nil {
@@ -174,12 +175,12 @@
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own},
-		// Asked for here and required below, where the cause can be told and counted.
+		// Requested here and required in VerifyConnection, which can report the cause.
 		ClientAuth: tls.RequestClientCert,
-		// Each connection is checked in full: no earlier session stands for it.
+		// No session resumption: each connection is verified in full.
 		SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			cause, err := verify(s.PeerCertificates, roots)
+			cause, err := verifyClient(s.PeerCertificates, roots)
 			if err != nil {
 				refuse("certificate: " + cause)
 			}
@@ -188,7 +189,7 @@
 	}, nil
 }
 
-func verify(chain []*x509.Certificate, roots *x509.CertPool) (cause string, err error) {
+func verifyClient(chain []*x509.Certificate, roots *x509.CertPool) (cause string, err error) {
 	if len(chain) == 0 {
 		return "none", errors.New("no client certificate")
 	}
@@ -206,7 +207,7 @@
 	return "other", err
 }
 
-// ClientConfig is a tool's side.
+// ClientConfig returns the TLS configuration of a client of agents.
 func ClientConfig(ca, cert, key string) (*tls.Config, error) {
 	roots, err := tlsfile.Pool(ca)
 	if err != nil {
@@ -219,8 +220,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: roots, Certificates: []tls.Certificate{own}}, nil
 }
 
-// Who gives the name and the role of a verified client; no role if its certificate
-// names none.
+// Who returns the name and the role of a verified client. The role is empty if its
+// certificate has no known one.
 func Who(s *tls.ConnectionState) (name, role string) {
 	if len(s.PeerCertificates) == 0 {
 		return "", ""
--- a/internal/fleet/pki/pki_test.go
+++ b/internal/fleet/pki/pki_test.go
@@ -16,14 +16,14 @@
 		t.Fatal(err)
 	}
 	if err := Init(dir, "fleet", now); err == nil {
-		t.Error("a second authority replaced the first")
+		t.Error("a second authority overwrote the first")
 	}
 	ada := Request{Name: "ada", Role: Operator, For: time.Hour}
 	if err := Issue(dir, ada, now); err != nil {
 		t.Fatal(err)
 	}
 	if err := Issue(dir, ada, now); err == nil {
-		t.Error("a certificate was replaced")
+		t.Error("a certificate was overwritten")
 	}
 	for _, name := range []string{"ca.key", "ada.key"} {
 		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Mode().Perm() != 0o600 {
@@ -52,16 +52,16 @@
 	if err := Init(dir, "fleet", now); err != nil {
 		t.Fatal(err)
 	}
-	for word, r := range map[string]Request{
-		"no name":      {Name: "../ada", Role: Operator, For: time.Hour},
-		"\"ca\"":       {Name: "ca", Role: Operator, For: time.Hour},
-		"unknown role": {Name: "ada", Role: "root", For: time.Hour},
-		"no time":      {Name: "ada", Role: Operator},
-		"has no names": {Name: "ada", Role: Viewer, Hosts: []string{"x"}, For: time.Hour},
-		"needs the":    {Name: "m1", Role: Agent, For: time.Hour},
+	for want, r := range map[string]Request{
+		"not a valid name":  {Name: "../ada", Role: Operator, For: time.Hour},
+		"\"ca\"":            {Name: "ca", Role: Operator, For: time.Hour},
+		"unknown role":      {Name: "ada", Role: "root", For: time.Hour},
+		"not positive":      {Name: "ada", Role: Operator},
+		"has no host names": {Name: "ada", Role: Viewer, Hosts: []string{"x"}, For: time.Hour},
+		"needs the":         {Name: "m1", Role: Agent, For: time.Hour},
 	} {
-		if err := Issue(dir, r, now); err == nil || !strings.Contains(err.Error(), word) {
-			t.Errorf("%+v: %v, want %q", r, err, word)
+		if err := Issue(dir, r, now); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%+v: %v, want %q", r, err, want)
 		}
 	}
 }
