--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls one agent.
+// Package client is the HTTP client of one agent.
 package client
 
 import (
@@ -25,11 +25,11 @@
 	name string
 	base string
 	http *http.Transport
-	dial func(ctx context.Context) (net.Conn, error) // a connection of its own
+	dial func(ctx context.Context) (net.Conn, error) // opens a separate connection, for streams
 }
 
-// New makes a client of the agent at an address: "unix:/path" or "https://host:port".
-// conf is for the latter.
+// New returns a client of the agent at an address: "unix:/path" or "https://host:port".
+// conf is used for the latter.
 func New(name, address string, conf *tls.Config) (*Client, error) {
 	t := &http.Transport{TLSClientConfig: conf, MaxIdleConnsPerHost: 16, IdleConnTimeout: 10 * time.Second}
 	c := &Client{name: name, http: t}
@@ -59,14 +59,14 @@
 	return c, nil
 }
 
-// Name is the agent's, as the operator's list has it.
+// Name returns the agent's name in the operator's list.
 func (c *Client) Name() string { return c.name }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Unanswered means that an agent gave no answer that can be used: whether it did
-// what it was asked is not known.
+// Unanswered reports that an agent gave no usable answer: whether it executed the
+// call is unknown.
 type Unanswered struct {
 	Agent  string
 	Waited time.Duration
@@ -77,14 +77,14 @@
 	return fmt.Sprintf("agent %s did not answer in %v: %v", e.Agent, e.Waited.Round(time.Millisecond), e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Unanswered) Unwrap() error { return e.Err }
 
-// call makes a call. An error is a *protocol.Error, the agent's own, or an
-// *Unanswered.
+// call sends a request and decodes the answer. An error is the *protocol.Error that
+// the agent returned, or an *Unanswered.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
 	began := time.Now()
-	err := c.try(ctx, method, path, body, into)
+	err := c.roundTrip(ctx, method, path, body, into)
 	var refused *protocol.Error
 	if err == nil || errors.As(err, &refused) {
 		return err
@@ -92,7 +92,7 @@
 	return &Unanswered{c.name, time.Since(began), err}
 }
 
-func (c *Client) try(ctx context.Context, method, path string, body, into any) error {
+func (c *Client) roundTrip(ctx context.Context, method, path string, body, into any) error {
 	var text io.Reader = http.NoBody
 	if body != nil {
 		b, err := json.Marshal(body)
@@ -114,70 +114,71 @@
 		return err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, protocol.AnswerMost+1))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, protocol.MaxAnswerSize+1))
 	switch v := resp.Header.Get(protocol.VersionHeader); {
 	case err != nil:
 		return err
-	case len(answer) > protocol.AnswerMost:
-		return fmt.Errorf("an answer of over %d bytes", protocol.AnswerMost)
+	case len(answer) > protocol.MaxAnswerSize:
+		return fmt.Errorf("answer exceeds %d bytes", protocol.MaxAnswerSize)
 	case resp.StatusCode/100 != 2:
 		e := &protocol.Error{}
 		if err := json.Unmarshal(answer, e); err != nil || e.Code == "" {
-			return fmt.Errorf("answered %s and no word of an agent's: %.80q", resp.Status, answer)
+			return fmt.Errorf("answered %s without an agent's error: %.80q", resp.Status, answer)
 		}
 		return e
 	case v != strconv.Itoa(protocol.Version):
 		return protocol.Errorf(protocol.CodeVersion, "answers in protocol version %q, this tool speaks version %d: bring tool and agent to one version", v, protocol.Version)
 	}
 	if err := json.Unmarshal(answer, into); err != nil {
-		return fmt.Errorf("an answer that can't be read: %w", err)
+		return fmt.Errorf("answer can't be read: %w", err)
 	}
 	return nil
 }
 
 type fenceKey struct{}
 
-// WithFence makes calls under a context the orders of a duty's owner.
+// WithFence returns a context whose calls carry a fence, as orders of a duty's owner.
 func WithFence(ctx context.Context, f protocol.Fence) context.Context {
 	return context.WithValue(ctx, fenceKey{}, f)
 }
 
-// Agent asks for the agent's own state.
+// Agent returns the agent's own state.
 func (c *Client) Agent(ctx context.Context) (a protocol.Agent, err error) {
 	return a, c.call(ctx, http.MethodGet, "/agent", nil, &a)
 }
 
-// Instances asks for the instances.
+// Instances returns the agent's instances.
 func (c *Client) Instances(ctx context.Context) (list []protocol.Instance, err error) {
 	return list, c.call(ctx, http.MethodGet, "/instances", nil, &list)
 }
 
-// Recovery asks what the agent knows of its own memory, and what it holds.
+// Recovery returns the state of the agent's stored data and its held instances.
 func (c *Client) Recovery(ctx context.Context) (r protocol.Recovery, err error) {
 	return r, c.call(ctx, http.MethodGet, "/recovery", nil, &r)
 }
 
-// Decide says what is desired of an instance that is held.
+// Decide sets the desired state of a held instance.
 func (c *Client) Decide(ctx context.Context, instance string, up bool) (r protocol.Recovery, err error) {
 	return r, c.call(ctx, http.MethodPost, "/recovery/"+url.PathEscape(instance), protocol.Decision{Up: up}, &r)
 }
 
-// Inspect asks what an instance is doing.
+// Inspect returns an instance's inspection.
 func (c *Client) Inspect(ctx context.Context, instance string) (i control.Inspection, err error) {
 	return i, c.call(ctx, http.MethodGet, "/instances/"+url.PathEscape(instance)+"/inspect", nil, &i)
 }
 
-// Keep has an instance do something with what it keeps for its way back.
-func (c *Client) Keep(ctx context.Context, instance string, k control.Keep) (i control.Inspection, err error) {
+// SendStateCommand sends a command on an instance's saved state, which it uses to restart
+// without discovery.
+func (c *Client) SendStateCommand(ctx context.Context, instance string, k control.Keep) (i control.Inspection, err error) {
 	return i, c.call(ctx, http.MethodPost, "/instances/"+url.PathEscape(instance)+"/kept", k, &i)
 }
 
-// Commands asks for the latest commands.
+// Commands returns the latest commands.
 func (c *Client) Commands(ctx context.Context) (list []protocol.Command, err error) {
 	return list, c.call(ctx, http.MethodGet, "/commands", nil, &list)
 }
 
-// Command asks for one command.
+// Command returns one command.
 func (c *Client) Command(ctx context.Context, id string) (k protocol.Command, err error) {
 	return k, c.call(ctx, http.MethodGet, "/commands/"+url.PathEscape(id), nil, &k)
 }
@@ -192,22 +193,22 @@
 	return k, c.call(ctx, http.MethodPost, "/commands/"+id+"/renew", nil, &k)
 }
 
-// CloseCommand ends a command and frees its instances.
+// CloseCommand ends a command and releases its leases.
 func (c *Client) CloseCommand(ctx context.Context, id, reason string) (k protocol.Command, err error) {
 	return k, c.call(ctx, http.MethodPost, "/commands/"+id+"/close", protocol.CloseRequest{Reason: reason}, &k)
 }
 
-// Abort ends a command, whoever gave it.
+// Abort ends a command, including those of other operators.
 func (c *Client) Abort(ctx context.Context, id string) (k protocol.Command, err error) {
 	return k, c.call(ctx, http.MethodPost, "/commands/"+url.PathEscape(id)+"/abort", nil, &k)
 }
 
-// Run begins a command's operation on an instance, or finds it begun.
+// Run starts a command's operation on an instance. It is idempotent.
 func (c *Client) Run(ctx context.Context, id, instance string) (o protocol.Operation, err error) {
 	return o, c.call(ctx, http.MethodPost, "/commands/"+id+"/run/"+url.PathEscape(instance), nil, &o)
 }
 
-// Wait waits for an operation's end, for so long at most.
+// Wait waits until an operation has ended, at most for the given time.
 func (c *Client) Wait(ctx context.Context, id, instance string, wait time.Duration) (o protocol.Operation, err error) {
 	path := fmt.Sprintf("/commands/%s/run/%s?wait=%d", id, url.PathEscape(instance), wait.Milliseconds())
 	return o, c.call(ctx, http.MethodGet, path, nil, &o)
--- a/internal/fleet/client/client_test.go
+++ b/internal/fleet/client/client_test.go
@@ -12,8 +12,8 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// answering stands in for an agent that gives one answer to all.
-func answering(t *testing.T, status int, version, body string) *Client {
+// startFakeAgent starts a server that gives the same answer to every call, and returns its client.
+func startFakeAgent(t *testing.T, status int, version, body string) *Client {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := net.Listen("unix", path)
@@ -34,26 +34,27 @@
 	return c
 }
 
-// What an agent of another version, or none at all, answers is told for what it is.
+// Guards against taking an answer of another protocol version, or of a server that is no agent, for an
+// agent's answer.
 func TestAnswersOfOthers(t *testing.T) {
 	for name, c := range map[string]struct {
 		status        int
 		version, body string
-		refused       bool // it is an agent's own word
-		word          string
+		refused       bool // a *protocol.Error, not an *Unanswered
+		want          string
 	}{
-		"newer agent refuses":  {400, "2", `{"code":"version","text":"speaks version 2"}`, true, "speaks version 2"},
-		"newer agent answers":  {200, "2", `[]`, true, "bring tool and agent to one version"},
-		"no agent at all":      {200, "", `[]`, true, `version ""`},
-		"an error, not ours":   {500, "", `<html>`, false, "no word of an agent's"},
-		"garbage":              {200, "1", `{{{`, false, "can't be read"},
-		"another shape":        {200, "1", `{"name":"m1"}`, false, "can't be read"},
-		"larger than is taken": {200, "1", `"` + strings.Repeat("x", protocol.AnswerMost) + `"`, false, "over"},
+		"newer agent refuses": {400, "2", `{"code":"version","text":"speaks version 2"}`, true, "speaks version 2"},
+		"newer agent answers": {200, "2", `[]`, true, "bring tool and agent to one version"},
+		"no agent at all":     {200, "", `[]`, true, `version ""`},
+		"an error, not ours":  {500, "", `<html>`, false, "without an agent's error"},
+		"garbage":             {200, "1", `{{{`, false, "can't be read"},
+		"another shape":       {200, "1", `{"name":"m1"}`, false, "can't be read"},
+		"over the size limit": {200, "1", `"` + strings.Repeat("x", protocol.MaxAnswerSize) + `"`, false, "exceeds"},
 	} {
-		_, err := answering(t, c.status, c.version, c.body).Instances(t.Context())
+		_, err := startFakeAgent(t, c.status, c.version, c.body).Instances(t.Context())
 		var refused *protocol.Error
-		var silent *Unanswered
-		if err == nil || errors.As(err, &refused) != c.refused || errors.As(err, &silent) == c.refused || !strings.Contains(err.Error(), c.word) {
+		var unanswered *Unanswered
+		if err == nil || errors.As(err, &refused) != c.refused || errors.As(err, &unanswered) == c.refused || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -62,7 +63,7 @@
 func TestAddresses(t *testing.T) {
 	for _, address := range []string{"", "unix:", "http://127.0.0.1:1", "127.0.0.1:1", "https://", "https://127.0.0.1:1/path", "https://127.0.0.1:1"} {
 		if _, err := New("m1", address, nil); err == nil {
-			t.Errorf("%q was taken", address)
+			t.Errorf("%q was accepted", address)
 		}
 	}
 }
--- a/internal/fleet/client/council.go
+++ b/internal/fleet/client/council.go
@@ -15,49 +15,51 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// StreamWord is what a stream between voters is upgraded to (RFC 9110, section 7.8).
+// StreamWord is the protocol name in the Upgrade header of a stream between voters (RFC 9110,
+// section 7.8).
 const StreamWord = "otterstep-council"
 
-// Raise raises a duty's token and tells what is at the agent behind it.
+// Raise raises a duty's fencing token at the agent and returns the agent's instances as of
+// that token.
 func (c *Client) Raise(ctx context.Context, f protocol.Fence) (r protocol.Raised, err error) {
 	return r, c.call(WithFence(ctx, f), http.MethodPost, "/fence", f, &r)
 }
 
-// CouncilStatus asks for the state of the agent's voter.
+// CouncilStatus returns the state of the agent's voter.
 func (c *Client) CouncilStatus(ctx context.Context) (s duty.Status, err error) {
 	return s, c.call(ctx, http.MethodGet, "/council/status", nil, &s)
 }
 
-// direct makes a call one that the agent answers itself or not at all, instead of asking the
-// council's leader.
-func direct(on bool) string {
+// directQuery returns the query parameter that makes the agent answer by itself or not at all,
+// instead of forwarding the call to the council's leader.
+func directQuery(on bool) string {
 	if on {
 		return "?direct=1"
 	}
 	return ""
 }
 
-// CouncilView asks what is agreed on.
-func (c *Client) CouncilView(ctx context.Context, itself bool) (v duty.View, err error) {
-	return v, c.call(ctx, http.MethodGet, "/council"+direct(itself), nil, &v)
+// CouncilView returns the council's state.
+func (c *Client) CouncilView(ctx context.Context, directOnly bool) (v duty.View, err error) {
+	return v, c.call(ctx, http.MethodGet, "/council"+directQuery(directOnly), nil, &v)
 }
 
-// CouncilDo has a command agreed on.
-func (c *Client) CouncilDo(ctx context.Context, k duty.Command, itself bool) (a duty.Answer, err error) {
-	return a, c.call(ctx, http.MethodPost, "/council/command"+direct(itself), k, &a)
+// CouncilDo submits a command to the council.
+func (c *Client) CouncilDo(ctx context.Context, k duty.Command, directOnly bool) (a duty.Answer, err error) {
+	return a, c.call(ctx, http.MethodPost, "/council/command"+directQuery(directOnly), k, &a)
 }
 
-// Desired asks what the fleet should be.
-func (c *Client) Desired(ctx context.Context, itself bool) (v duty.FleetView, err error) {
-	return v, c.call(ctx, http.MethodGet, "/fleet/desired"+direct(itself), nil, &v)
+// Desired returns the fleet's desired state.
+func (c *Client) Desired(ctx context.Context, directOnly bool) (v duty.FleetView, err error) {
+	return v, c.call(ctx, http.MethodGet, "/fleet/desired"+directQuery(directOnly), nil, &v)
 }
 
-// Fleet asks how far the fleet's word has come at the agent's instances.
+// Fleet returns which version of the fleet's bans the agent's instances have applied.
 func (c *Client) Fleet(ctx context.Context) (f protocol.Fleet, err error) {
 	return f, c.call(ctx, http.MethodGet, "/fleet", nil, &f)
 }
 
-// TellFleet brings the fleet's word to the agent; the context carries the owner's fence.
+// TellFleet sends the fleet's bans to the agent; the context carries the owner's fence.
 func (c *Client) TellFleet(ctx context.Context, o protocol.FleetOrder) (f protocol.Fleet, err error) {
 	return f, c.call(ctx, http.MethodPost, "/fleet", o, &f)
 }
@@ -68,27 +70,27 @@
 	return c.call(ctx, http.MethodPost, "/council/renew", r, &none)
 }
 
-// CouncilRecover has the agent's voter go on alone.
+// CouncilRecover makes the agent's voter the council's only one.
 func (c *Client) CouncilRecover(ctx context.Context, cluster string) error {
 	var none struct{}
 	return c.call(ctx, http.MethodPost, "/council/recover", protocol.Recover{Cluster: cluster}, &none)
 }
 
-// CouncilBackup asks for the council's whole state.
-func (c *Client) CouncilBackup(ctx context.Context, itself bool) (b *duty.Backup, err error) {
-	return b, c.call(ctx, http.MethodGet, "/council/backup"+direct(itself), nil, &b)
+// CouncilBackup returns the council's whole state.
+func (c *Client) CouncilBackup(ctx context.Context, directOnly bool) (b *duty.Backup, err error) {
+	return b, c.call(ctx, http.MethodGet, "/council/backup"+directQuery(directOnly), nil, &b)
 }
 
-// CouncilStream begins a stream between two voters, on a connection of its own.
+// CouncilStream opens a stream between two voters on a separate connection.
 func (c *Client) CouncilStream(ctx context.Context, h duty.Hello) (net.Conn, error) {
 	conn, err := c.dial(ctx)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	kept := false
+	succeeded := false
 	defer func() {
-		if !stop() || !kept {
+		if !stop() || !succeeded {
 			conn.Close()
 		}
 	}()
@@ -113,13 +115,13 @@
 		text, err := io.ReadAll(io.LimitReader(resp.Body, protocol.BodyMost))
 		e := &protocol.Error{}
 		if err != nil || json.Unmarshal(text, e) != nil || e.Code == "" {
-			return nil, fmt.Errorf("agent %s answered %s to a stream", c.name, resp.Status)
+			return nil, fmt.Errorf("agent %s refused the stream: %s", c.name, resp.Status)
 		}
 		return nil, e
 	}
-	if read.Buffered() > 0 { // who accepts speaks second
-		return nil, fmt.Errorf("agent %s speaks before it was asked", c.name)
+	if read.Buffered() > 0 { // the accepting side does not send first
+		return nil, fmt.Errorf("agent %s sent data before the stream's first message", c.name)
 	}
-	kept = true
+	succeeded = true
 	return conn, nil
 }
--- a/internal/fleet/ctl/council.go
+++ b/internal/fleet/ctl/council.go
@@ -21,7 +21,7 @@
 
 // councilExit gives an error of the council's its exit code: a refusal changed nothing, and
 // without an answer nothing is known.
-func councilExit(err error) error {
+func councilError(err error) error {
 	var refused *protocol.Error
 	switch {
 	case err == nil:
@@ -42,11 +42,11 @@
 // whatever becomes of the tool.
 func (o *options) submit(ctx context.Context, c *cobra.Command, f *group.Fleet, order group.Order, detach bool) error {
 	j, silent, err := f.Submit(ctx, order)
-	if errors.Is(err, group.ErrNone) {
+	if errors.Is(err, group.ErrNoInstances) {
 		return &cli.Exit{Code: cli.Usage, Err: err}
 	}
 	if err != nil {
-		return councilExit(err)
+		return councilError(err)
 	}
 	if detach {
 		return o.show(c.OutOrStdout(), j, func(p *printer) { fmt.Fprintf(p.tab, "job %s\n", j.ID); p.silent(silent) }, len(silent) > 0)
@@ -56,25 +56,25 @@
 		fmt.Fprintf(c.ErrOrStderr(), "job %s goes on without this tool\n", j.ID)
 	}
 	progress := newProgress(c.ErrOrStderr(), !quiet)
-	said := ""
+	lastMessage := ""
 	j = f.Follow(ctx, j, progress.result, func(text string) {
-		if text != said && !quiet {
-			said = text
-			fmt.Fprintln(c.ErrOrStderr(), clean(text))
+		if text != lastMessage && !quiet {
+			lastMessage = text
+			fmt.Fprintln(c.ErrOrStderr(), stripControl(text))
 		}
 	})
 	progress.end()
 	if err := o.show(c.OutOrStdout(), j, func(p *printer) { p.job(j); p.silent(silent) }, false); err != nil {
 		return err
 	}
-	if err := jobExit(j); err != nil || len(silent) == 0 {
+	if err := jobError(j); err != nil || len(silent) == 0 {
 		return err
 	}
 	return &cli.Exit{Code: cli.Silent}
 }
 
 // jobExit gives a job's exit code: 3 while it goes on.
-func jobExit(j *duty.Job) error {
+func jobError(j *duty.Job) error {
 	switch {
 	case j.Open() || j.State == duty.Paused:
 		return &cli.Exit{Code: cli.Silent}
@@ -85,39 +85,39 @@
 }
 
 // view shows what the council knows. An answer that may be old says so, and has exit code 3.
-func (o *options) view(c *cobra.Command, show func(v duty.View) (answer any, table func(*printer), err error)) error {
-	return o.look(c, func(ctx context.Context, f *group.Fleet) error {
+func (o *options) showView(c *cobra.Command, show func(v duty.View) (answer any, table func(*printer), err error)) error {
+	return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
 		v, err := f.View(ctx)
 		if err != nil {
-			return councilExit(err)
+			return councilError(err)
 		}
 		answer, table, err := show(v)
 		if err != nil {
 			return err
 		}
 		return o.show(c.OutOrStdout(), answer, func(p *printer) {
-			p.currency(v)
+			p.staleViewWarning(v)
 			table(p)
 		}, !v.Current)
 	})
 }
 
 // do has a command agreed on and says so.
-func (o *options) do(c *cobra.Command, k duty.Command, done string) error {
-	return o.with(c, func(ctx context.Context, f *group.Fleet) error {
+func (o *options) runCouncilCommand(c *cobra.Command, k duty.Command, done string) error {
+	return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 		a, err := f.Do(ctx, k)
 		if err != nil {
-			return councilExit(err)
+			return councilError(err)
 		}
 		return o.show(c.OutOrStdout(), a, func(p *printer) { fmt.Fprintln(p.tab, done) }, false)
 	})
 }
 
-func (o *options) owners() *cobra.Command {
+func (o *options) ownersCommand() *cobra.Command {
 	owners := &cobra.Command{
 		Use: "owners", Short: "Show who owns which duty, under which token, for how long", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.view(c, func(v duty.View) (any, func(*printer), error) {
+			return o.showView(c, func(v duty.View) (any, func(*printer), error) {
 				return v, func(p *printer) { p.owners(v) }, nil
 			})
 		},
@@ -125,22 +125,22 @@
 	owners.AddCommand(&cobra.Command{
 		Use: "release DUTY", Short: "Take a duty from its owner: the next one may have it at once, and the owner's orders are refused", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return o.with(c, func(ctx context.Context, f *group.Fleet) error {
+			return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 				v, err := f.View(ctx)
 				if err != nil {
-					return councilExit(err)
+					return councilError(err)
 				}
 				i := slices.IndexFunc(v.Duties, func(d duty.Owned) bool { return d.Name == args[0] })
 				if i < 0 {
-					return usage("there is no duty %q", args[0])
+					return usageErrorf("there is no duty %q", args[0])
 				}
 				if v.Duties[i].Owner == "" {
-					return usage("nobody owns %s", args[0])
+					return usageErrorf("nobody owns %s", args[0])
 				}
 				d := v.Duties[i]
 				a, err := f.Do(ctx, duty.Command{Release: &duty.Release{Fence: duty.Fence{Duty: d.Name, Token: d.Token}, Forced: true}})
 				if err != nil {
-					return councilExit(err)
+					return councilError(err)
 				}
 				return o.show(c.OutOrStdout(), a, func(p *printer) {
 					fmt.Fprintf(p.tab, "%s was %s's, token %v\n", d.Name, d.Owner, d.Token)
@@ -151,13 +151,13 @@
 	return owners
 }
 
-func (o *options) jobs() *cobra.Command {
+func (o *options) jobsCommand() *cobra.Command {
 	jobs := &cobra.Command{Use: "jobs", Short: "Look at the fleet's jobs, and pause, resume or cancel them"}
 	jobs.AddCommand(
 		&cobra.Command{
 			Use: "list", Short: "List jobs, the latest last", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				return o.view(c, func(v duty.View) (any, func(*printer), error) {
+				return o.showView(c, func(v duty.View) (any, func(*printer), error) {
 					return v, func(p *printer) { p.jobs(v) }, nil
 				})
 			},
@@ -165,10 +165,10 @@
 		&cobra.Command{
 			Use: "show ID", Short: "Show a job with each instance", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return o.view(c, func(v duty.View) (any, func(*printer), error) {
+				return o.showView(c, func(v duty.View) (any, func(*printer), error) {
 					i := slices.IndexFunc(v.Jobs, func(j *duty.Job) bool { return j.ID == args[0] })
 					if i < 0 {
-						return nil, nil, usage("there is no job %s", args[0])
+						return nil, nil, usageErrorf("there is no job %s", args[0])
 					}
 					answer := struct {
 						*duty.Job
@@ -178,33 +178,33 @@
 					return answer, func(p *printer) {
 						p.job(v.Jobs[i])
 						if why := v.Says[args[0]]; why != "" {
-							fmt.Fprintln(p.tab, clean(why))
+							fmt.Fprintln(p.tab, stripControl(why))
 						}
 					}, nil
 				})
 			},
 		})
-	for _, turn := range []struct{ word, to, short, done string }{
+	for _, action := range []struct{ word, to, short, done string }{
 		{"pause", duty.Paused, "Begin nothing further; what is under way goes on to its end", "paused"},
 		{"resume", duty.Active, "Go on with a paused or stopped job; what failed is tried again", "goes on"},
 		{"cancel", duty.Cancelled, "End a job; what is under way goes on to its end", "cancelled"},
 	} {
 		jobs.AddCommand(&cobra.Command{
-			Use: turn.word + " ID", Short: turn.short, Args: cobra.ExactArgs(1),
+			Use: action.word + " ID", Short: action.short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return o.do(c, duty.Command{Turn: &duty.Turn{Job: args[0], To: turn.to}}, fmt.Sprintf("job %s %s", args[0], turn.done))
+				return o.runCouncilCommand(c, duty.Command{Turn: &duty.Turn{Job: args[0], To: action.to}}, fmt.Sprintf("job %s %s", args[0], action.done))
 			},
 		})
 	}
 	return jobs
 }
 
-func (o *options) council() *cobra.Command {
+func (o *options) councilCommand() *cobra.Command {
 	root := &cobra.Command{Use: "council", Short: "Look at the agents that agree on the fleet's duties, and change who votes"}
 	root.AddCommand(&cobra.Command{
 		Use: "status", Short: "Show each agent's voter: leader, term, lag, who did not answer", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.look(c, func(ctx context.Context, f *group.Fleet) error {
+			return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
 				voters, silent := f.Voters(ctx)
 				answer := struct {
 					Voters []duty.Status  `json:"voters"`
@@ -224,7 +224,7 @@
 		root.AddCommand(&cobra.Command{
 			Use: change.word + " AGENT", Short: change.short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return o.do(c, duty.Command{Voter: &duty.Voter{Name: args[0], Add: change.add}}, args[0]+" "+change.done)
+				return o.runCouncilCommand(c, duty.Command{Voter: &duty.Voter{Name: args[0], Add: change.add}}, args[0]+" "+change.done)
 			},
 		})
 	}
@@ -240,18 +240,18 @@
 --confirm takes the fleet's name, council.cluster, as a sign that all this is meant.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(voters) != 1 {
-				return usage("--voters: name the one survivor that is to go on; others are added to it by council add")
+				return usageErrorf("--voters: name the one survivor that is to go on; others are added to it by council add")
 			}
 			if confirm == "" {
-				return usage("--confirm CLUSTER: say that it is meant; otterctl council recover --help tells the price")
+				return usageErrorf("--confirm CLUSTER: say that it is meant; otterctl council recover --help tells the price")
 			}
-			return o.with(c, func(ctx context.Context, f *group.Fleet) error {
+			return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 				a := f.Agent(voters[0])
 				if a == nil {
-					return usage("--voters: no agent %q", voters[0])
+					return usageErrorf("--voters: no agent %q", voters[0])
 				}
 				if err := a.CouncilRecover(ctx, confirm); err != nil {
-					return councilExit(err)
+					return councilError(err)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s goes on alone within seconds: otterctl council status tells when; then council add two more\n", voters[0])
 				return nil
@@ -265,7 +265,7 @@
 }
 
 // backups are the commands that keep a council's state in a file, and bring it back.
-func (o *options) backups() []*cobra.Command {
+func (o *options) backupCommands() []*cobra.Command {
 	confirm := ""
 	restore := &cobra.Command{
 		Use: "restore FILE", Short: "Bring back from a backup what the council has lost; nothing newer is undone", Args: cobra.ExactArgs(1),
@@ -276,7 +276,7 @@
 			}
 			b := &duty.Backup{}
 			if err := json.Unmarshal(text, b); err != nil {
-				return usage("%s: is no backup, or is cut: %v", args[0], err)
+				return usageErrorf("%s: is no backup, or is cut: %v", args[0], err)
 			}
 			state, err := b.Check(b.Cluster)
 			if err != nil {
@@ -284,21 +284,21 @@
 			}
 			age := time.Since(b.Taken).Round(time.Second)
 			if confirm != b.Cluster {
-				words := 0
+				instances := 0
 				for _, m := range state.Agents() {
-					words += len(m.Instances)
+					instances += len(m.Instances)
 				}
-				return usage("%s: of the fleet %q, %v old, with words on %d instances and %d jobs; what was said since is not in it. --confirm %s restores it", args[0], b.Cluster, age, words, len(state.Jobs()), b.Cluster)
+				return usageErrorf("%s: of the fleet %q, %v old, with words on %d instances and %d jobs; what was said since is not in it. --confirm %s restores it", args[0], b.Cluster, age, instances, len(state.Jobs()), b.Cluster)
 			}
-			return o.with(c, func(ctx context.Context, f *group.Fleet) error {
+			return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 				a, err := f.Do(ctx, duty.Command{Restore: &duty.Restore{Backup: b}})
 				if err != nil {
-					return councilExit(err)
+					return councilError(err)
 				}
 				return o.show(c.OutOrStdout(), a, func(p *printer) {
 					fmt.Fprintf(p.tab, "restored, as of %v ago\n", age)
 					for _, k := range a.Kept {
-						fmt.Fprintln(p.tab, clean(k))
+						fmt.Fprintln(p.tab, stripControl(k))
 					}
 				}, false)
 			})
@@ -308,10 +308,10 @@
 	return []*cobra.Command{restore, {
 		Use: "backup FILE", Short: "Write the council's state to a new file", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return o.with(c, func(ctx context.Context, f *group.Fleet) error {
+			return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 				b, err := f.Backup(ctx)
 				if err != nil {
-					return councilExit(err)
+					return councilError(err)
 				}
 				text, err := json.Marshal(b)
 				if err != nil {
@@ -333,9 +333,9 @@
 }
 
 // currency says so if what is shown may be old.
-func (p *printer) currency(v duty.View) {
+func (p *printer) staleViewWarning(v duty.View) {
 	if !v.Current {
-		fmt.Fprintf(p.tab, "MAY BE OLD: %s answers and no majority stands behind it; it last heard of a leader %v ago\n", clean(v.From), v.Age.Round(time.Second))
+		fmt.Fprintf(p.tab, "MAY BE OLD: %s answers and no majority stands behind it; it last heard of a leader %v ago\n", stripControl(v.From), v.Age.Round(time.Second))
 	}
 }
 
@@ -352,7 +352,7 @@
 		}
 		p.line(d.Name, d.Owner, d.Token, left)
 	}
-	fmt.Fprintf(p.tab, "\nleader %s, voters %s\n", clean(cmp.Or(v.Leader, "not known")), clean(strings.Join(v.Voters, ", ")))
+	fmt.Fprintf(p.tab, "\nleader %s, voters %s\n", stripControl(cmp.Or(v.Leader, "not known")), stripControl(strings.Join(v.Voters, ", ")))
 }
 
 func (p *printer) jobs(v duty.View) {
@@ -378,7 +378,7 @@
 		case s.Phase == duty.Waiting && j.Open():
 			outcome = "waiting"
 		case s.Phase == duty.Waiting:
-			outcome = group.Left
+			outcome = group.Skipped
 		}
 		token := ""
 		if s.Token != 0 {
@@ -386,12 +386,12 @@
 		}
 		p.line(j.Targets[i].Agent, j.Targets[i].Instance, outcome, token, s.Text)
 	}
-	fmt.Fprintf(p.tab, "\njob %s of %s: %s", j.ID, clean(j.Operator), j.State)
+	fmt.Fprintf(p.tab, "\njob %s of %s: %s", j.ID, stripControl(j.Operator), j.State)
 	if j.By != "" {
-		fmt.Fprintf(p.tab, " by %s", clean(j.By))
+		fmt.Fprintf(p.tab, " by %s", stripControl(j.By))
 	}
 	if j.Why != "" {
-		fmt.Fprintf(p.tab, ": %s", clean(j.Why))
+		fmt.Fprintf(p.tab, ": %s", stripControl(j.Why))
 	}
 	fmt.Fprintln(p.tab)
 }
--- a/internal/fleet/ctl/ctl.go
+++ b/internal/fleet/ctl/ctl.go
@@ -20,7 +20,7 @@
 )
 
 // fleetVar names the fleet's file where no flag does.
-const fleetVar = "OTTERCTL_FLEET"
+const fleetEnvVar = "OTTERCTL_FLEET"
 
 // options are the flags that commands share.
 type options struct {
@@ -42,43 +42,43 @@
 not answer, 4 another command came first (nothing was done).`,
 	}
 	o := &options{}
-	root.PersistentFlags().StringVar(&o.fleet, "fleet", "", "`file` that lists the agents; $"+fleetVar+" or fleet.toml if not given")
+	root.PersistentFlags().StringVar(&o.fleet, "fleet", "", "`file` that lists the agents; $"+fleetEnvVar+" or fleet.toml if not given")
 	root.PersistentFlags().StringVarP(&o.output, "output", "o", "table", "table, wide or json")
 	root.PersistentFlags().DurationVar(&o.timeout, "timeout", 30*time.Second, "for the whole command, however many agents hang; 5s if it only looks")
-	root.AddCommand(o.list(), o.inspect(), o.agents(), o.watch(), o.ops(), o.owners(), o.jobs(), o.council(), o.recovery(), o.kept(), pkiCommand())
-	root.AddCommand(o.backups()...)
-	root.AddCommand(o.fleets()...)
+	root.AddCommand(o.listCommand(), o.inspectCommand(), o.agentsCommand(), o.watchCommand(), o.opsCommand(), o.ownersCommand(), o.jobsCommand(), o.councilCommand(), o.recoveryCommand(), o.keptCommand(), pkiCommand())
+	root.AddCommand(o.backupCommands()...)
+	root.AddCommand(o.fleetCommands()...)
 	for kind, short := range map[string]string{
 		protocol.Start:   "Start instances and wait until they serve",
 		protocol.Drain:   "Have instances drain and end, and leave them down",
 		protocol.Restart: "Restart instances, all at once; see rollout for a few at a time",
 		protocol.Reload:  "Have instances read their configuration again",
 	} {
-		root.AddCommand(o.order(kind, short))
+		root.AddCommand(o.orderCommand(kind, short))
 	}
 	rollout := &cobra.Command{Use: "rollout", Short: "Command a group a few instances at a time"}
-	rollout.AddCommand(o.rollout())
+	rollout.AddCommand(o.rolloutCommand())
 	root.AddCommand(rollout)
 	return root
 }
 
-func usage(format string, args ...any) error {
+func usageErrorf(format string, args ...any) error {
 	return &cli.Exit{Code: cli.Usage, Err: fmt.Errorf(format, args...)}
 }
 
 // open reads the fleet's file and checks the shared flags.
-func (o *options) open() (*group.Fleet, error) {
+func (o *options) loadFleet() (*group.Fleet, error) {
 	switch o.output {
 	case "table", "wide", "json":
 	default:
-		return nil, usage("-o %q: table, wide or json", o.output)
+		return nil, usageErrorf("-o %q: table, wide or json", o.output)
 	}
 	if o.timeout <= 0 {
-		return nil, usage("--timeout %v: no time at all", o.timeout)
+		return nil, usageErrorf("--timeout %v: no time at all", o.timeout)
 	}
 	path := o.fleet
 	if path == "" {
-		path = os.Getenv(fleetVar)
+		path = os.Getenv(fleetEnvVar)
 	}
 	if path == "" {
 		path = "fleet.toml"
@@ -92,29 +92,29 @@
 
 // lookFor is the time limit of what only looks: one agent that hangs should not
 // keep the operator from seeing the others for long.
-const lookFor = 5 * time.Second
+const readTimeout = 5 * time.Second
 
 // look is with for what only looks.
-func (o *options) look(c *cobra.Command, do func(ctx context.Context, f *group.Fleet) error) error {
+func (o *options) withReadTimeout(c *cobra.Command, call func(ctx context.Context, f *group.Fleet) error) error {
 	if !c.Flags().Changed("timeout") {
-		o.timeout = lookFor
+		o.timeout = readTimeout
 	}
-	return o.with(c, do)
+	return o.withFleet(c, call)
 }
 
 // with runs a command on the fleet within the time limit.
-func (o *options) with(c *cobra.Command, do func(ctx context.Context, f *group.Fleet) error) error {
-	f, err := o.open()
+func (o *options) withFleet(c *cobra.Command, call func(ctx context.Context, f *group.Fleet) error) error {
+	f, err := o.loadFleet()
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	ctx, cancel := context.WithTimeout(c.Context(), o.timeout)
 	defer cancel()
-	return do(ctx, f)
+	return call(ctx, f)
 }
 
-func (o *options) selecting(c *cobra.Command) {
+func (o *options) addSelectionFlags(c *cobra.Command) {
 	c.Flags().StringVar(&o.group, "group", "", "only instances of this group")
 	c.Flags().StringArrayVar(&o.labels, "label", nil, "only instances with this label, as `key=value`; may be given again")
 	c.ValidArgsFunction = o.complete
@@ -125,7 +125,7 @@
 	for _, l := range o.labels {
 		k, v, ok := strings.Cut(l, "=")
 		if !ok || k == "" {
-			return s, usage("--label %q: not of the form key=value", l)
+			return s, usageErrorf("--label %q: not of the form key=value", l)
 		}
 		s.Labels[k] = v
 	}
@@ -134,7 +134,7 @@
 
 // complete offers instances' names to the shell.
 func (o *options) complete(c *cobra.Command, _ []string, start string) ([]string, cobra.ShellCompDirective) {
-	f, err := o.open()
+	f, err := o.loadFleet()
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveError
 	}
@@ -150,15 +150,15 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-func (o *options) list() *cobra.Command {
+func (o *options) listCommand() *cobra.Command {
 	c := &cobra.Command{Use: "list [NAME…]", Short: "List instances"}
-	o.selecting(c)
+	o.addSelectionFlags(c)
 	c.RunE = func(c *cobra.Command, names []string) error {
 		s, err := o.selector(names)
 		if err != nil {
 			return err
 		}
-		return o.look(c, func(ctx context.Context, f *group.Fleet) error {
+		return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
 			l := f.List(ctx)
 			if !s.Empty() {
 				rows, err := l.Select(s)
@@ -173,24 +173,24 @@
 	return c
 }
 
-func (o *options) inspect() *cobra.Command {
+func (o *options) inspectCommand() *cobra.Command {
 	c := &cobra.Command{Use: "inspect NAME…", Short: "Show what instances are doing, down to their servers"}
-	return o.ask(c, (*group.Fleet).Inspect, (*printer).inspected)
+	return o.queryInstances(c, (*group.Fleet).Inspect, (*printer).inspected)
 }
 
 // ask has a command ask each of the selected instances, and show their answers.
-func (o *options) ask(c *cobra.Command, call func(*group.Fleet, context.Context, []group.Row) []group.Inspected, table func(*printer, []group.Inspected)) *cobra.Command {
-	o.selecting(c)
+func (o *options) queryInstances(c *cobra.Command, call func(*group.Fleet, context.Context, []group.Row) []group.Inspected, table func(*printer, []group.Inspected)) *cobra.Command {
+	o.addSelectionFlags(c)
 	c.RunE = func(c *cobra.Command, names []string) error {
 		s, err := o.selector(names)
 		if err != nil {
 			return err
 		}
 		if s.Empty() {
-			return usage("%s: name instances, or all", strings.TrimPrefix(c.CommandPath(), "otterctl "))
+			return usageErrorf("%s: name instances, or all", strings.TrimPrefix(c.CommandPath(), "otterctl "))
 		}
-		return o.look(c, func(ctx context.Context, f *group.Fleet) error {
-			l := f.ListFirst(ctx)
+		return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
+			l := f.ListForSelection(ctx)
 			rows, err := l.Select(s)
 			if err != nil && len(l.Silent) == 0 {
 				return &cli.Exit{Code: cli.Usage, Err: err}
@@ -215,11 +215,11 @@
 	return c
 }
 
-func (o *options) agents() *cobra.Command {
+func (o *options) agentsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "agents", Short: "List the agents", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.look(c, func(ctx context.Context, f *group.Fleet) error {
+			return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
 				agents, silent := f.Agents(ctx)
 				answer := struct {
 					Agents []protocol.Agent `json:"agents"`
@@ -232,81 +232,81 @@
 }
 
 // order is a command that goes to all instances at once.
-func (o *options) order(kind, short string) *cobra.Command {
+func (o *options) orderCommand(kind, short string) *cobra.Command {
 	c := &cobra.Command{Use: kind + " NAME…", Short: short}
-	o.selecting(c)
+	o.addSelectionFlags(c)
 	c.Flags().BoolVar(&o.dryRun, "dry-run", false, "say what would be done, and do nothing")
 	c.RunE = func(c *cobra.Command, names []string) error {
-		return o.give(c, names, group.Order{Plan: group.Plan{Kind: kind}})
+		return o.execute(c, names, group.Order{Plan: group.Plan{Kind: kind}})
 	}
 	return c
 }
 
-func (o *options) rollout() *cobra.Command {
+func (o *options) rolloutCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "restart NAME…", Short: "Restart a group a few instances at a time, and stop when it gets worse",
 	}
-	o.selecting(c)
+	o.addSelectionFlags(c)
 	c.Flags().BoolVar(&o.dryRun, "dry-run", false, "say what would be done, and do nothing")
-	most := c.Flags().Int("max-unavailable", 1, "instances of the group that may be away at once, for whatever reason")
+	maxUnavailable := c.Flags().Int("max-unavailable", 1, "instances of the group that may be away at once, for whatever reason")
 	pause := c.Flags().Duration("pause", 0, "between an instance's return and the next one's turn")
 	detach := c.Flags().Bool("detach", false, "with a council: submit the job, and don't watch it")
 	c.RunE = func(c *cobra.Command, names []string) error {
-		if *most < 1 || *pause < 0 {
-			return usage("--max-unavailable must be 1 or more, --pause not negative")
+		if *maxUnavailable < 1 || *pause < 0 {
+			return usageErrorf("--max-unavailable must be 1 or more, --pause not negative")
 		}
 		if !c.Flags().Changed("timeout") {
 			o.timeout = 10 * time.Minute
 		}
-		return o.roll(c, names, group.Order{Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: *most, Pause: *pause}}, *detach)
+		return o.rollOut(c, names, group.Order{Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: *maxUnavailable, Pause: *pause}}, *detach)
 	}
 	return c
 }
 
 // roll submits a rollout to the council and watches it; in a fleet without one the tool drives.
-func (o *options) roll(c *cobra.Command, names []string, order group.Order, detach bool) error {
+func (o *options) rollOut(c *cobra.Command, names []string, order group.Order, detach bool) error {
 	s, err := o.selector(names)
 	if err != nil {
 		return err
 	}
 	if s.Empty() {
-		return nothing(c)
+		return errNoSelection(c)
 	}
 	order.Select = s
-	driven := o.dryRun
-	if !driven {
-		err := o.with(c, func(ctx context.Context, f *group.Fleet) error {
+	driveDirectly := o.dryRun
+	if !driveDirectly {
+		err := o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 			if _, err := f.View(ctx); !errors.Is(err, group.ErrNoCouncil) {
 				return o.submit(ctx, c, f, order, detach)
 			}
-			driven = true
+			driveDirectly = true
 			return nil
 		})
-		if !driven {
+		if !driveDirectly {
 			return err
 		}
 	}
 	if detach {
-		return usage("--detach: no agent of this fleet has [council], so that the tool drives the rollout and has to stay")
+		return usageErrorf("--detach: no agent of this fleet has [council], so that the tool drives the rollout and has to stay")
 	}
-	return o.give(c, names, order)
+	return o.execute(c, names, order)
 }
 
-func nothing(c *cobra.Command) error {
-	return usage("%s: name instances, or all, or narrow them down by --group or --label", c.CommandPath())
+func errNoSelection(c *cobra.Command) error {
+	return usageErrorf("%s: name instances, or all, or narrow them down by --group or --label", c.CommandPath())
 }
 
 // give gives an order and reports on it.
-func (o *options) give(c *cobra.Command, names []string, order group.Order) error {
+func (o *options) execute(c *cobra.Command, names []string, order group.Order) error {
 	s, err := o.selector(names)
 	if err != nil {
 		return err
 	}
 	if s.Empty() && order.Resume == "" {
-		return nothing(c)
+		return errNoSelection(c)
 	}
 	order.Select, order.DryRun = s, o.dryRun
-	return o.with(c, func(ctx context.Context, f *group.Fleet) error {
+	return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 		progress := newProgress(c.ErrOrStderr(), o.output != "json")
 		order.Progress = progress.result
 		r, err := f.Give(ctx, order)
@@ -317,7 +317,7 @@
 		if err := o.show(c.OutOrStdout(), r, func(p *printer) { p.report(r) }, false); err != nil {
 			return err
 		}
-		if code := Code(r); code != cli.OK {
+		if code := reportExitCode(r); code != cli.OK {
 			return &cli.Exit{Code: code}
 		}
 		return nil
@@ -325,7 +325,7 @@
 }
 
 // Code gives the exit code of a report.
-func Code(r *group.Report) int {
+func reportExitCode(r *group.Report) int {
 	if r.Conflict != nil {
 		return cli.Conflict
 	}
@@ -337,7 +337,7 @@
 		switch one.Outcome {
 		case group.Failed:
 			return cli.Failed
-		case group.Silence:
+		case group.NoAnswer:
 			code = cli.Silent
 		}
 	}
@@ -347,13 +347,13 @@
 	return code
 }
 
-func (o *options) ops() *cobra.Command {
+func (o *options) opsCommand() *cobra.Command {
 	ops := &cobra.Command{Use: "ops", Short: "Look at commands that were given, and end or resume them"}
 	ops.AddCommand(
 		&cobra.Command{
 			Use: "list", Short: "List the latest commands", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				return o.look(c, func(ctx context.Context, f *group.Fleet) error {
+				return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
 					parts, silent := f.Commands(ctx)
 					return o.showParts(c, parts, silent, func(p *printer) { p.commands(parts) })
 				})
@@ -362,10 +362,10 @@
 		&cobra.Command{
 			Use: "show ID", Short: "Show a command with its operations and their steps", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return o.look(c, func(ctx context.Context, f *group.Fleet) error {
+				return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
 					parts, silent := f.Command(ctx, args[0])
 					if len(parts) == 0 && len(silent) == 0 {
-						return usage("no agent knows of command %s", args[0])
+						return usageErrorf("no agent knows of command %s", args[0])
 					}
 					return o.showParts(c, parts, silent, func(p *printer) { p.steps(parts) })
 				})
@@ -377,16 +377,16 @@
 				if !c.Flags().Changed("timeout") {
 					o.timeout = 10 * time.Minute
 				}
-				return o.give(c, nil, group.Order{Resume: args[0]})
+				return o.execute(c, nil, group.Order{Resume: args[0]})
 			},
 		},
 		&cobra.Command{
 			Use: "abort ID", Short: "End a command: no further instance is begun, what was interrupted is given up", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return o.with(c, func(ctx context.Context, f *group.Fleet) error {
+				return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 					parts, silent := f.Abort(ctx, args[0])
 					if len(parts) == 0 && len(silent) == 0 {
-						return usage("no agent knows of command %s", args[0])
+						return usageErrorf("no agent knows of command %s", args[0])
 					}
 					return o.showParts(c, parts, silent, func(p *printer) { p.commands(parts) })
 				})
@@ -405,58 +405,58 @@
 
 func pkiCommand() *cobra.Command {
 	root := &cobra.Command{Use: "pki", Short: "Make a fleet's authority and certificates"}
-	folder := "pki"
-	root.PersistentFlags().StringVar(&folder, "dir", folder, "`folder` of the authority")
+	dir := "pki"
+	root.PersistentFlags().StringVar(&dir, "dir", dir, "`folder` of the authority")
 	name := "fleet"
-	make := &cobra.Command{
+	initialize := &cobra.Command{
 		Use: "init", Short: "Make an authority: ca.pem to hand out, ca.key to keep", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := pki.Init(folder, name, time.Now()); err != nil {
+			if err := pki.Init(dir, name, time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), filepath.Join(folder, "ca.pem"))
+			fmt.Fprintln(c.OutOrStdout(), filepath.Join(dir, "ca.pem"))
 			return nil
 		},
 	}
-	make.Flags().StringVar(&name, "name", name, "the authority's name")
+	initialize.Flags().StringVar(&name, "name", name, "the authority's name")
 	r := pki.Request{}
 	issue := &cobra.Command{
 		Use: "issue NAME", Short: "Make NAME.pem and NAME.key for an agent or an operator", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			r.Name = args[0]
-			if err := pki.Issue(folder, r, time.Now()); err != nil {
+			if err := pki.Issue(dir, r, time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), filepath.Join(folder, r.Name+".pem"))
+			fmt.Fprintln(c.OutOrStdout(), filepath.Join(dir, r.Name+".pem"))
 			return nil
 		},
 	}
 	issue.Flags().StringVar(&r.Role, "role", pki.Viewer, "viewer, operator or agent")
 	issue.Flags().StringSliceVar(&r.Hosts, "host", nil, "an agent's names and addresses")
 	issue.Flags().DurationVar(&r.For, "for", 90*24*time.Hour, "how long it is valid")
-	root.AddCommand(make, issue)
+	root.AddCommand(initialize, issue)
 	return root
 }
 
 // watch shows a live table on a terminal, and a line for each change elsewhere.
-func (o *options) watch() *cobra.Command {
+func (o *options) watchCommand() *cobra.Command {
 	c := &cobra.Command{Use: "watch [NAME…]", Short: "Watch instances until interrupted"}
-	o.selecting(c)
-	every := c.Flags().Duration("every", time.Second, "between two looks")
+	o.addSelectionFlags(c)
+	interval := c.Flags().Duration("every", time.Second, "between two looks")
 	c.RunE = func(c *cobra.Command, names []string) error {
 		s, err := o.selector(names)
 		if err != nil {
 			return err
 		}
-		if *every < 100*time.Millisecond {
-			return usage("--every %v: at least 100ms", *every)
+		if *interval < 100*time.Millisecond {
+			return usageErrorf("--every %v: at least 100ms", *interval)
 		}
-		f, err := o.open()
+		f, err := o.loadFleet()
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		return o.follow(c.Context(), c.OutOrStdout(), f, s, *every)
+		return o.watchInstances(c.Context(), c.OutOrStdout(), f, s, *interval)
 	}
 	return c
 }
--- a/internal/fleet/ctl/ctl_test.go
+++ b/internal/fleet/ctl/ctl_test.go
@@ -22,7 +22,7 @@
 
 // lab runs two agents with two stand-in instances each, and gives the fleet's file
 // with a third agent that is not there, if so asked.
-func lab(t *testing.T, missing bool) (fleetFile string, machines map[string]*instances.Machine) {
+func startAgents(t *testing.T, missing bool) (fleetFile string, machines map[string]*instances.Machine) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "oc") // short: a socket's path is bounded
 	if err != nil {
@@ -77,8 +77,8 @@
 }
 
 func TestExitCodesAndOutput(t *testing.T) {
-	all, machines := lab(t, false)
-	some, _ := lab(t, true)
+	all, machines := startAgents(t, false)
+	some, _ := startAgents(t, true)
 	for _, c := range []struct {
 		args  string
 		code  int
@@ -144,7 +144,7 @@
 
 // Whoever comes second gets exit code 4, and is told who holds it and since when.
 func TestConflict(t *testing.T) {
-	file, _ := lab(t, false)
+	file, _ := startAgents(t, false)
 	f, err := group.Load(file)
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +191,7 @@
 	if got := out.String(); strings.ContainsAny(got, "\x1b\u009b") || !strings.Contains(got, "ümlaut") || !strings.Contains(got, "-") {
 		t.Errorf("%q", got)
 	}
-	file, _ := lab(t, true)
+	file, _ := startAgents(t, true)
 	text, code := run("list", "-o", "json", "--fleet", file)
 	var l struct {
 		Instances []map[string]any `json:"instances"`
@@ -203,15 +203,15 @@
 }
 
 // watch writes a line for each change where nobody sees a terminal.
-func TestWatchTellsChanges(t *testing.T) {
+func TestWatchWritesChanges(t *testing.T) {
 	last := map[string]string{}
 	var out bytes.Buffer
 	row := group.Row{Agent: "m1", Instance: protocol.Instance{Name: "n1", State: "up", Generation: 1}}
-	changes(&out, last, group.Listing{Rows: []group.Row{row}})
-	changes(&out, last, group.Listing{Rows: []group.Row{row}})
+	writeChanges(&out, last, group.Listing{Rows: []group.Row{row}})
+	writeChanges(&out, last, group.Listing{Rows: []group.Row{row}})
 	row.State = "backoff"
-	changes(&out, last, group.Listing{Rows: []group.Row{row}})
-	changes(&out, last, group.Listing{Silent: []group.Silent{{Agent: "m1", Why: "hangs"}}})
+	writeChanges(&out, last, group.Listing{Rows: []group.Row{row}})
+	writeChanges(&out, last, group.Listing{Silent: []group.Silent{{Agent: "m1", Why: "hangs"}}})
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 4 || !strings.Contains(lines[1], "backoff") || !strings.Contains(lines[2], "did not answer: hangs") || !strings.Contains(lines[3], "not seen any more") {
 		t.Errorf("%q", lines)
--- a/internal/fleet/ctl/fleet.go
+++ b/internal/fleet/ctl/fleet.go
@@ -23,10 +23,10 @@
 )
 
 // standEvery is how often a tool that waits looks how far a version has come.
-const standEvery = 100 * time.Millisecond
+const statusInterval = 100 * time.Millisecond
 
 // fleetFile is the operators' file of what a fleet should be.
-type fleetFile struct {
+type desiredFile struct {
 	Budgets *struct {
 		Away     *int               `toml:"away"`
 		Zone     *int               `toml:"zone"`
@@ -47,8 +47,8 @@
 
 // loadFleet reads a file as a change of a document: groups that it does not name are as the agents' files have
 // them, budgets that it does not give are the usual ones, and bans that it does not name stay.
-func loadFleet(path string, now *desired.Document) (*desired.Part, error) {
-	var file fleetFile
+func loadDesiredFile(path string, now *desired.Document) (*desired.Part, error) {
+	var file desiredFile
 	f, err := tomlfile.Load(path, &file)
 	if err != nil {
 		return nil, err
@@ -103,33 +103,33 @@
 }
 
 // desired hands what the fleet should be to show, once it is known.
-func (o *options) desired(c *cobra.Command, look func(*cobra.Command, func(context.Context, *group.Fleet) error) error, show func(context.Context, *group.Fleet, duty.FleetView) error) error {
-	return look(c, func(ctx context.Context, f *group.Fleet) error {
+func (o *options) withDesired(c *cobra.Command, with func(*cobra.Command, func(context.Context, *group.Fleet) error) error, show func(context.Context, *group.Fleet, duty.FleetView) error) error {
+	return with(c, func(ctx context.Context, f *group.Fleet) error {
 		v, err := f.Desired(ctx)
 		if errors.Is(err, group.ErrNoFleet) {
 			return &cli.Exit{Code: cli.Usage, Err: err}
 		}
 		if err != nil {
-			return councilExit(err)
+			return councilError(err)
 		}
 		return show(ctx, f, v)
 	})
 }
 
 // change makes a change of what was seen, and waits until all nodes have confirmed it, unless told not to.
-func (o *options) change(c *cobra.Command, detach bool, make func(v duty.FleetView) (desired.Change, error)) error {
-	return o.desired(c, o.with, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
+func (o *options) change(c *cobra.Command, detach bool, build func(v duty.FleetView) (desired.Change, error)) error {
+	return o.withDesired(c, o.withFleet, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
 		if !v.Current {
-			return councilExit(protocol.Errorf(protocol.CodeNoCouncil, "%s tells what may be old, as no leader can be reached: nothing is changed", v.From))
+			return councilError(protocol.Errorf(protocol.CodeNoCouncil, "%s tells what may be old, as no leader can be reached: nothing is changed", v.From))
 		}
-		change, err := make(v)
+		change, err := build(v)
 		if err != nil {
 			return err
 		}
 		change.ID, change.At, change.Saw = protocol.NewID(time.Now(), rand.Uint64()), time.Now(), v.State.Document.Version
 		version, err := f.Change(ctx, change)
 		if err != nil {
-			return councilExit(err)
+			return councilError(err)
 		}
 		if detach {
 			return o.show(c.OutOrStdout(), struct {
@@ -142,7 +142,7 @@
 			if st, told = f.Standing(ctx, version); len(st.Waiting) == 0 {
 				break
 			}
-			wait := time.NewTimer(standEvery)
+			wait := time.NewTimer(statusInterval)
 			select {
 			case <-wait.C:
 				continue
@@ -151,55 +151,55 @@
 			wait.Stop()
 			break
 		}
-		return o.show(c.OutOrStdout(), st, func(p *printer) { p.standing(st, told) }, len(st.Waiting) > 0)
+		return o.show(c.OutOrStdout(), st, func(p *printer) { p.versionStatus(st, told) }, len(st.Waiting) > 0)
 	})
 }
 
 // fleets are the commands on what the fleet should be.
-func (o *options) fleets() []*cobra.Command {
+func (o *options) fleetCommands() []*cobra.Command {
 	detach := false
-	waits := func(c *cobra.Command) *cobra.Command {
+	addDetachFlag := func(c *cobra.Command) *cobra.Command {
 		c.Flags().BoolVar(&detach, "detach", false, "do not wait until all nodes have confirmed it")
 		return c
 	}
-	reason, last := "", time.Duration(0)
-	ban := waits(&cobra.Command{
+	reason, duration := "", time.Duration(0)
+	ban := addDetachFlag(&cobra.Command{
 		Use: "ban SERVER --reason TEXT", Short: "Leave a server out at all nodes, for a time or until unban", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return o.change(c, detach, func(duty.FleetView) (desired.Change, error) {
-				p := &desired.Part{Bans: map[string]*desired.Ban{args[0]: {Server: args[0], Reason: reason, For: last}}}
+				p := &desired.Part{Bans: map[string]*desired.Ban{args[0]: {Server: args[0], Reason: reason, For: duration}}}
 				if err := p.Check(); err != nil {
-					return desired.Change{}, usage("%v", err)
+					return desired.Change{}, usageErrorf("%v", err)
 				}
 				return desired.Change{Set: p, Note: reason}, nil
 			})
 		},
 	})
 	ban.Flags().StringVar(&reason, "reason", "", "why, for whoever looks at it later")
-	ban.Flags().DurationVar(&last, "for", 0, "how long it lasts; until unban if not given")
-	unban := waits(&cobra.Command{
+	ban.Flags().DurationVar(&duration, "for", 0, "how long it lasts; until unban if not given")
+	unban := addDetachFlag(&cobra.Command{
 		Use: "unban SERVER", Short: "End the fleet's ban of a server; a call by hand at a single node stays", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return o.change(c, detach, func(v duty.FleetView) (desired.Change, error) {
 				if v.State.Document.Bans[args[0]] == nil {
-					return desired.Change{}, usage("the fleet does not leave server %q out", args[0])
+					return desired.Change{}, usageErrorf("the fleet does not leave server %q out", args[0])
 				}
 				return desired.Change{Set: &desired.Part{Bans: map[string]*desired.Ban{args[0]: nil}}}, nil
 			})
 		},
 	})
 	file := ""
-	apply := waits(&cobra.Command{
+	apply := addDetachFlag(&cobra.Command{
 		Use: "apply -f FILE", Short: "Have the fleet be as a file says", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if file == "" {
-				return usage("-f FILE: which file says it")
+				return usageErrorf("-f FILE: which file says it")
 			}
 			if o.dryRun {
-				return o.would(c, file)
+				return o.showFileDiff(c, file)
 			}
 			return o.change(c, detach, func(v duty.FleetView) (desired.Change, error) {
-				p, err := loadFleet(file, &v.State.Document)
+				p, err := loadDesiredFile(file, &v.State.Document)
 				if err != nil {
 					return desired.Change{}, &cli.Exit{Code: cli.Usage, Err: err}
 				}
@@ -213,38 +213,38 @@
 		Use: "diff [-f FILE | VERSION]", Short: "Show what a file would change, or what has changed since a version", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if file != "" {
-				return o.would(c, file)
+				return o.showFileDiff(c, file)
 			}
 			since := desired.Version(0)
 			if len(args) == 1 {
 				var err error
-				if since, err = version(args[0]); err != nil {
+				if since, err = parseVersion(args[0]); err != nil {
 					return err
 				}
 			}
-			return o.desired(c, o.look, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
+			return o.withDesired(c, o.withReadTimeout, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
 				if len(args) == 0 {
 					since = v.State.Floor
 				}
 				lines, ok := v.State.Diff(since)
 				if !ok {
-					return usage("what came behind version %v is not remembered any more, as far back as %v is", since, v.State.Floor)
+					return usageErrorf("what came behind version %v is not remembered any more, as far back as %v is", since, v.State.Floor)
 				}
-				return o.lines(c, v, lines)
+				return o.showChanges(c, v, lines)
 			})
 		},
 	}
 	diff.Flags().StringVarP(&file, "file", "f", "", "what the fleet should be")
-	return []*cobra.Command{ban, unban, apply, diff, o.status(), waits(&cobra.Command{
+	return []*cobra.Command{ban, unban, apply, diff, o.statusCommand(), addDetachFlag(&cobra.Command{
 		Use: "undo [VERSION]", Short: "Take back what a version changed, the latest one's if none is named, as a new version", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return o.change(c, detach, func(v duty.FleetView) (desired.Change, error) {
 				if len(args) == 1 {
-					back, err := version(args[0])
+					back, err := parseVersion(args[0])
 					return desired.Change{Undo: back, Note: "undo " + args[0]}, err
 				}
 				if len(v.State.History) == 0 {
-					return desired.Change{}, usage("there is no change to take back")
+					return desired.Change{}, usageErrorf("there is no change to take back")
 				}
 				back := v.State.History[len(v.State.History)-1].Version
 				return desired.Change{Undo: back, Note: "undo " + back.String()}, nil
@@ -254,37 +254,37 @@
 }
 
 // version reads one, as "0.17".
-func version(text string) (desired.Version, error) {
+func parseVersion(text string) (desired.Version, error) {
 	epoch, number, ok := strings.Cut(text, ".")
 	e, err1 := strconv.ParseUint(epoch, 10, 64-protocol.EpochShift)
 	n, err2 := strconv.ParseUint(number, 10, protocol.EpochShift)
 	if !ok || err1 != nil || err2 != nil {
-		return 0, usage("%q is no version such as 0.17", text)
+		return 0, usageErrorf("%q is no version such as 0.17", text)
 	}
 	return desired.Version(e<<protocol.EpochShift | n), nil
 }
 
 // would shows what a file would change.
-func (o *options) would(c *cobra.Command, file string) error {
-	return o.desired(c, o.look, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
-		p, err := loadFleet(file, &v.State.Document)
+func (o *options) showFileDiff(c *cobra.Command, file string) error {
+	return o.withDesired(c, o.withReadTimeout, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
+		p, err := loadDesiredFile(file, &v.State.Document)
 		if err != nil {
 			return &cli.Exit{Code: cli.Usage, Err: err}
 		}
-		return o.lines(c, v, v.State.Would(*p))
+		return o.showChanges(c, v, v.State.Would(*p))
 	})
 }
 
-func (o *options) lines(c *cobra.Command, v duty.FleetView, lines []string) error {
+func (o *options) showChanges(c *cobra.Command, v duty.FleetView, lines []string) error {
 	answer := struct {
 		Version desired.Version `json:"version"`
 		Current bool            `json:"current"`
 		Changes []string        `json:"changes"`
 	}{v.State.Document.Version, v.Current, append([]string{}, lines...)}
 	return o.show(c.OutOrStdout(), answer, func(p *printer) {
-		p.desiredCurrency(v)
+		p.staleFleetWarning(v)
 		for _, line := range lines {
-			fmt.Fprintln(p.tab, clean(line))
+			fmt.Fprintln(p.tab, stripControl(line))
 		}
 		if len(lines) == 0 {
 			fmt.Fprintln(p.tab, "no change")
@@ -292,11 +292,11 @@
 	}, !v.Current)
 }
 
-func (o *options) status() *cobra.Command {
+func (o *options) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "status", Short: "Show what the fleet should be, and for each node which version it has confirmed", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.desired(c, o.look, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
+			return o.withDesired(c, o.withReadTimeout, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
 				st, told := f.Standing(ctx, v.State.Document.Version)
 				answer := struct {
 					Current  bool                      `json:"current"`
@@ -306,18 +306,18 @@
 					Agents   map[string]protocol.Fleet `json:"agents"`
 				}{v.Current, v.Owner, v.State, st, told}
 				return o.show(c.OutOrStdout(), answer, func(p *printer) {
-					p.desiredCurrency(v)
+					p.staleFleetWarning(v)
 					p.document(v.State)
-					p.standing(st, told)
+					p.versionStatus(st, told)
 				}, !v.Current || len(st.Waiting) > 0)
 			})
 		},
 	}
 }
 
-func (p *printer) desiredCurrency(v duty.FleetView) {
+func (p *printer) staleFleetWarning(v duty.FleetView) {
 	if !v.Current {
-		fmt.Fprintf(p.tab, "MAY BE OLD: %s answers and no majority stands behind it\n", clean(v.From))
+		fmt.Fprintf(p.tab, "MAY BE OLD: %s answers and no majority stands behind it\n", stripControl(v.From))
 	}
 }
 
@@ -351,7 +351,7 @@
 }
 
 // standing shows how far a version has come.
-func (p *printer) standing(st reconcile.Standing, told map[string]protocol.Fleet) {
+func (p *printer) versionStatus(st reconcile.Standing, told map[string]protocol.Fleet) {
 	p.line("INSTANCE", "CONFIRMED", "SINCE", "OUT BY HAND HERE", "NOT IN ITS LIST", "WAITS")
 	for _, agent := range slices.Sorted(maps.Keys(told)) {
 		for _, t := range told[agent].Instances {
--- a/internal/fleet/ctl/fleet_test.go
+++ b/internal/fleet/ctl/fleet_test.go
@@ -11,14 +11,14 @@
 )
 
 // A file of what the fleet should be is taken whole or told all that is wrong with it, each with its line.
-func TestFleetFile(t *testing.T) {
+func TestDesiredFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	load := func(text string) (*desired.Part, error) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return loadFleet(path, &desired.Document{Groups: map[string]*desired.Group{"old": {Program: "v1"}}})
+		return loadDesiredFile(path, &desired.Document{Groups: map[string]*desired.Group{"old": {Program: "v1"}}})
 	}
 	p, err := load("[budgets]\naway = 2\nstarts = 0.5\n[[group]]\nname = \"g\"\nprogram = \"v2\"\n[[ban]]\nserver = \"s1\"\nreason = \"disk\"\nfor = \"2h\"\n")
 	if err != nil {
@@ -44,7 +44,7 @@
 
 func TestVersions(t *testing.T) {
 	for text, want := range map[string]desired.Version{"0.17": 17, "2.1": 2<<40 | 1, "": 0, "17": 0, "0.x": 0, "-1.2": 0, "0.99999999999999999": 0} {
-		got, err := version(text)
+		got, err := parseVersion(text)
 		if got != want || (err == nil) != (want != 0) {
 			t.Errorf("%q: %v, %v", text, got, err)
 		}
--- a/internal/fleet/ctl/kept.go
+++ b/internal/fleet/ctl/kept.go
@@ -13,24 +13,24 @@
 )
 
 // kept is about what instances keep for when they come back with nobody to ask.
-func (o *options) kept() *cobra.Command {
+func (o *options) keptCommand() *cobra.Command {
 	root := &cobra.Command{Use: "kept", Short: "Show, drop or hold what instances keep for their way back"}
-	tell := func(use, short, do string) *cobra.Command {
-		return o.ask(&cobra.Command{Use: use, Short: short}, func(f *group.Fleet, ctx context.Context, rows []group.Row) []group.Inspected {
-			return f.Keep(ctx, rows, control.Keep{Do: do})
-		}, (*printer).kept)
+	stateCommand := func(use, short, do string) *cobra.Command {
+		return o.queryInstances(&cobra.Command{Use: use, Short: short}, func(f *group.Fleet, ctx context.Context, rows []group.Row) []group.Inspected {
+			return f.SendStateCommand(ctx, rows, control.Keep{Do: do})
+		}, (*printer).savedState)
 	}
 	root.AddCommand(
-		o.ask(&cobra.Command{Use: "show NAME…", Short: "Show how instances came back, and what they keep"}, (*group.Fleet).Inspect, (*printer).kept),
-		tell("forget NAME…", "Have instances drop servers and figures from the disk; calls by hand stay", control.KeepForget),
-		tell("hold NAME…", "Have files stay as they are, but for calls by hand", control.KeepHold),
-		tell("release NAME…", "Have files that are held be written again", control.KeepRelease),
+		o.queryInstances(&cobra.Command{Use: "show NAME…", Short: "Show how instances came back, and what they keep"}, (*group.Fleet).Inspect, (*printer).savedState),
+		stateCommand("forget NAME…", "Have instances drop servers and figures from the disk; calls by hand stay", control.KeepForget),
+		stateCommand("hold NAME…", "Have files stay as they are, but for calls by hand", control.KeepHold),
+		stateCommand("release NAME…", "Have files that are held be written again", control.KeepRelease),
 	)
 	return root
 }
 
 // kept shows the way back of each instance.
-func (p *printer) kept(all []group.Inspected) {
+func (p *printer) savedState(all []group.Inspected) {
 	p.line("INSTANCE", "CAME BACK", "UNCONFIRMED", "KEPT", "BY HAND", "REV", "SAVED", "STATE")
 	for _, i := range all {
 		name := i.Agent + "/" + i.Name
@@ -43,11 +43,11 @@
 			continue
 		}
 		r := i.Inspection.Return
-		came := "with discovery"
+		source := "with discovery"
 		if r.Used {
-			came = "by its list"
+			source = "by its list"
 			if r.AgeKnown {
-				came += " of " + (time.Duration(r.AgeMs) * time.Millisecond).Round(time.Second).String() + " before"
+				source += " of " + (time.Duration(r.AgeMs) * time.Millisecond).Round(time.Second).String() + " before"
 			}
 		}
 		saved := "never"
@@ -66,6 +66,6 @@
 		if len(r.Said) > 0 {
 			state += "; at the start: " + strings.Join(r.Said, "; ")
 		}
-		p.line(name, came, r.Doubted, r.Servers, r.Hand, r.Rev, saved, state)
+		p.line(name, source, r.Doubted, r.Servers, r.Hand, r.Rev, saved, state)
 	}
 }
--- a/internal/fleet/ctl/print.go
+++ b/internal/fleet/ctl/print.go
@@ -56,7 +56,7 @@
 // without control characters, which could rewrite a terminal.
 func (p *printer) line(cells ...any) {
 	for n, c := range cells {
-		text := clean(fmt.Sprint(c))
+		text := stripControl(fmt.Sprint(c))
 		if text == "" {
 			text = "-"
 		}
@@ -68,7 +68,7 @@
 	fmt.Fprintln(p.tab)
 }
 
-func clean(text string) string {
+func stripControl(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
 			return '?'
@@ -84,7 +84,7 @@
 	return p.now.Sub(t).Round(time.Second).String()
 }
 
-func labels(m map[string]string) string {
+func formatLabels(m map[string]string) string {
 	var all []string
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		all = append(all, k+"="+m[k])
@@ -104,7 +104,7 @@
 			held = r.Holder.Operator + " (" + r.Holder.Kind + ")"
 		}
 		if p.wide {
-			p.line(r.Agent, r.Name, r.Group, r.State, p.age(r.Since), r.Desired, r.Pid, r.Listen, r.Generation, r.Crashes, labels(r.Labels), held, r.Message)
+			p.line(r.Agent, r.Name, r.Group, r.State, p.age(r.Since), r.Desired, r.Pid, r.Listen, r.Generation, r.Crashes, formatLabels(r.Labels), held, r.Message)
 		} else {
 			p.line(r.Agent, r.Name, r.Group, r.State, p.age(r.Since), held, r.Message)
 		}
@@ -150,7 +150,7 @@
 		p.classes(v.Counts)
 		p.servers(v.Servers)
 		if v.SIP != nil {
-			p.calls(v.SIP)
+			p.sip(v.SIP)
 		}
 		for i := range v.Web {
 			p.web(&v.Web[i])
@@ -169,21 +169,21 @@
 }
 
 // calls shows an instance's SIP front.
-func (p *printer) calls(v *control.SIP) {
-	p.line("SIP", "listen "+counts(v.Listen), fmt.Sprintf("connections %d, turned away %d", v.Connections, v.TurnedAway))
+func (p *printer) sip(v *control.SIP) {
+	p.line("SIP", "listen "+formatCounts(v.Listen), fmt.Sprintf("connections %d, turned away %d", v.Connections, v.TurnedAway))
 	p.line("SIP requests", fmt.Sprintf("outside dialogs %d", v.Requests), fmt.Sprintf("inside %d", v.Inside), fmt.Sprintf("sources %d", v.Sources))
 	p.line("SIP dialogs", fmt.Sprintf("begun %d", v.Dialogs), fmt.Sprintf("BYE %d", v.Byes), fmt.Sprintf("late answers ended %d", v.Late))
-	p.line("SIP transactions", counts(v.Transactions), "at servers "+counts(v.Attempts), fmt.Sprintf("held %d", v.Held))
-	p.line("SIP finals", counts(v.Finals))
-	p.line("SIP ends", counts(v.Ends))
-	p.line("SIP refused", counts(v.Refused))
+	p.line("SIP transactions", formatCounts(v.Transactions), "at servers "+formatCounts(v.Attempts), fmt.Sprintf("held %d", v.Held))
+	p.line("SIP finals", formatCounts(v.Finals))
+	p.line("SIP ends", formatCounts(v.Ends))
+	p.line("SIP refused", formatCounts(v.Refused))
 	p.line("SIP odd", fmt.Sprintf("repeats %d", v.Repeats), fmt.Sprintf("stray %d", v.Stray), fmt.Sprintf("malformed %d", v.Malformed), fmt.Sprintf("dropped %d", v.Dropped))
 	p.classes(v.Counts)
 	p.servers(v.Servers)
 }
 
 // counts writes a map in the order of its keys; "-" if it is empty.
-func counts[K cmp.Ordered, V any](all map[K]V) string {
+func formatCounts[K cmp.Ordered, V any](all map[K]V) string {
 	var words []string
 	for _, k := range slices.Sorted(maps.Keys(all)) {
 		words = append(words, fmt.Sprintf("%v %v", k, all[k]))
@@ -221,13 +221,13 @@
 	p.silent(r.Silent)
 	fmt.Fprintln(p.tab)
 	if r.Conflict != nil {
-		fmt.Fprintf(p.tab, "conflict, nothing was done: %s\n", clean(r.Conflict.Text))
+		fmt.Fprintf(p.tab, "conflict, nothing was done: %s\n", stripControl(r.Conflict.Text))
 		if h := r.Holder; h != nil {
-			fmt.Fprintf(p.tab, "held by %s for %s %s since %s (%s)\n", clean(h.Operator), clean(h.Kind), clean(h.Command), h.Since.Format(time.RFC3339), p.age(h.Since))
+			fmt.Fprintf(p.tab, "held by %s for %s %s since %s (%s)\n", stripControl(h.Operator), stripControl(h.Kind), stripControl(h.Command), h.Since.Format(time.RFC3339), p.age(h.Since))
 		}
 	}
 	if r.Stopped != "" {
-		fmt.Fprintf(p.tab, "stopped: %s\n", clean(r.Stopped))
+		fmt.Fprintf(p.tab, "stopped: %s\n", stripControl(r.Stopped))
 	}
 	fmt.Fprintf(p.tab, "command %s\n", r.ID)
 }
@@ -264,16 +264,16 @@
 // for each instance elsewhere.
 type progress struct {
 	w        io.Writer
-	on       bool
+	enabled  bool
 	terminal bool
 	counts   map[string]int
 }
 
 func newProgress(w io.Writer, on bool) *progress {
-	return &progress{w, on, terminal(w), map[string]int{}}
+	return &progress{w, on, isTerminal(w), map[string]int{}}
 }
 
-func terminal(w io.Writer) bool {
+func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
 		return false
@@ -284,12 +284,12 @@
 
 // result is called by one goroutine at a time.
 func (p *progress) result(r group.Result) {
-	if !p.on {
+	if !p.enabled {
 		return
 	}
 	p.counts[r.Outcome]++
 	if !p.terminal {
-		fmt.Fprintf(p.w, "%s/%s %s %s\n", r.Agent, r.Instance, r.Outcome, clean(r.Text))
+		fmt.Fprintf(p.w, "%s/%s %s %s\n", r.Agent, r.Instance, r.Outcome, stripControl(r.Text))
 		return
 	}
 	var all []string
@@ -300,14 +300,14 @@
 }
 
 func (p *progress) end() {
-	if p.on && p.terminal && len(p.counts) > 0 {
+	if p.enabled && p.terminal && len(p.counts) > 0 {
 		fmt.Fprintln(p.w)
 	}
 }
 
 // follow is watch.
-func (o *options) follow(ctx context.Context, w io.Writer, f *group.Fleet, s group.Selector, every time.Duration) error {
-	live := terminal(w)
+func (o *options) watchInstances(ctx context.Context, w io.Writer, f *group.Fleet, s group.Selector, every time.Duration) error {
+	live := isTerminal(w)
 	last := map[string]string{}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -332,7 +332,7 @@
 			p.silent(l.Silent)
 			p.tab.Flush()
 		} else {
-			changes(w, last, l)
+			writeChanges(w, last, l)
 		}
 		select {
 		case <-tick.C:
@@ -343,7 +343,7 @@
 }
 
 // changes writes a line for whatever differs from the last look.
-func changes(w io.Writer, last map[string]string, l group.Listing) {
+func writeChanges(w io.Writer, last map[string]string, l group.Listing) {
 	now := map[string]string{}
 	for _, r := range l.Rows {
 		now[r.Agent+"/"+r.Name] = strings.TrimSpace(fmt.Sprintf("%s generation %d %s", r.State, r.Generation, r.Message))
@@ -353,7 +353,7 @@
 	}
 	for _, what := range slices.Sorted(maps.Keys(now)) {
 		if last[what] != now[what] {
-			fmt.Fprintf(w, "%s %s %s\n", time.Now().Format("15:04:05"), what, clean(now[what]))
+			fmt.Fprintf(w, "%s %s %s\n", time.Now().Format("15:04:05"), what, stripControl(now[what]))
 		}
 	}
 	for _, what := range slices.Sorted(maps.Keys(last)) {
--- a/internal/fleet/ctl/recovery.go
+++ b/internal/fleet/ctl/recovery.go
@@ -14,11 +14,11 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-func (o *options) recovery() *cobra.Command {
+func (o *options) recoveryCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "recovery", Short: "Show which agents have lost their memory, what they hold for that, and what would decide it", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.look(c, func(ctx context.Context, f *group.Fleet) error {
+			return o.withReadTimeout(c, func(ctx context.Context, f *group.Fleet) error {
 				all, silent := f.Recoveries(ctx)
 				answer := struct {
 					Agents []protocol.Recovery `json:"agents"`
@@ -32,15 +32,15 @@
 		Use: "decide NAME up|down", Short: "Say what is desired of a held instance", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			if args[1] != "up" && args[1] != "down" {
-				return usage("recovery decide: %q is neither up nor down", args[1])
+				return usageErrorf("recovery decide: %q is neither up nor down", args[1])
 			}
-			return o.with(c, func(ctx context.Context, f *group.Fleet) error {
-				rows, err := f.ListFirst(ctx).Select(group.Selector{Names: args[:1]})
+			return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
+				rows, err := f.ListForSelection(ctx).Select(group.Selector{Names: args[:1]})
 				if err != nil {
 					return &cli.Exit{Code: cli.Usage, Err: err}
 				}
 				if len(rows) > 1 {
-					return usage("recovery decide: %q is at more than one agent: say AGENT/NAME", args[0])
+					return usageErrorf("recovery decide: %q is at more than one agent: say AGENT/NAME", args[0])
 				}
 				r, err := f.Agent(rows[0].Agent).Decide(ctx, rows[0].Name, args[1] == "up")
 				var unanswered *client.Unanswered
@@ -48,7 +48,7 @@
 					return &cli.Exit{Code: cli.Silent, Err: err}
 				}
 				if err != nil {
-					return councilExit(err)
+					return councilError(err)
 				}
 				return o.show(c.OutOrStdout(), r, func(p *printer) {
 					fmt.Fprintf(p.tab, "%s/%s is to be %s\n", rows[0].Agent, rows[0].Name, args[1])
--- a/internal/fleet/group/bench_test.go
+++ b/internal/fleet/group/bench_test.go
@@ -28,10 +28,10 @@
 }
 
 // hanging adds agents that take calls and answer none.
-func hanging(b *testing.B, hosts []*host, n int) []*host {
+func addHangingAgents(b *testing.B, hosts []*host, n int) []*host {
 	b.Helper()
 	for i := range n {
-		h := &host{name: fmt.Sprintf("h%02d", i), socket: filepath.Join(folder(b), "s")}
+		h := &host{name: fmt.Sprintf("h%02d", i), socket: filepath.Join(shortTempDir(b), "s")}
 		l, err := net.Listen("unix", h.socket)
 		if err != nil {
 			b.Fatal(err)
@@ -58,7 +58,7 @@
 func BenchmarkFleet(b *testing.B) {
 	good := startHosts(b, 10, 100)
 	for _, silent := range []int{0, 3} {
-		f := fleet(b, hanging(b, good, silent))
+		f := newFleet(b, addHangingAgents(b, good, silent))
 		limit := 2 * time.Second
 		run := func(name string, do func(ctx context.Context) int) {
 			b.Run(fmt.Sprintf("%s/hanging=%d", name, silent), func(b *testing.B) {
@@ -78,7 +78,7 @@
 		run("list", func(ctx context.Context) int { return len(f.List(ctx).Rows) })
 		run("inspect", func(ctx context.Context) int {
 			n := 0
-			for _, i := range f.Inspect(ctx, f.ListFirst(ctx).Rows) {
+			for _, i := range f.Inspect(ctx, f.ListForSelection(ctx).Rows) {
 				if i.Inspection != nil {
 					n++
 				}
@@ -103,7 +103,7 @@
 // fsynced) on one agent: one restart at a time, and 100 instances in one command.
 func BenchmarkOperations(b *testing.B) {
 	hosts := startHosts(b, 1, 100)
-	f := fleet(b, hosts)
+	f := newFleet(b, hosts)
 	for name, s := range map[string]Selector{"one": {Names: []string{"n1"}}, "hundred": {Names: []string{"all"}}} {
 		b.Run(name, func(b *testing.B) {
 			ops := 0
--- a/internal/fleet/group/command.go
+++ b/internal/fleet/group/command.go
@@ -19,25 +19,25 @@
 
 const (
 	// leaseShare of the time that is left is what one agent may take over a lease.
-	leaseShare = 4
+	leaseTimeShare = 4
 	// freeWithin is what giving leases back may take; they expire anyway.
-	freeWithin = time.Second
-	againAfter = 200 * time.Millisecond
-	waitEach   = 10 * time.Second
+	releaseTimeout = time.Second
+	retryDelay     = 200 * time.Millisecond
+	operationWait  = 10 * time.Second
 	// healthEvery is how often a rollout looks at the group, and the least stretch of
 	// time that it looks at beforehand.
-	healthEvery = time.Second
-	lookEvery   = 100 * time.Millisecond
+	healthInterval  = time.Second
+	rolloutInterval = 100 * time.Millisecond
 )
 
 // How an instance fared.
 const (
-	Done    = "done"
-	Failed  = "failed"
-	Silence = "no-answer" // of its agent, or not ended in time
-	Refused = "conflict"
-	Left    = "left" // not begun
-	Would   = "would"
+	Done     = "done"
+	Failed   = "failed"
+	NoAnswer = "no-answer" // of its agent, or not ended in time
+	Conflict = "conflict"
+	Skipped  = "left" // not begun
+	Planned  = "would"
 )
 
 // Result is how one instance fared.
@@ -87,11 +87,11 @@
 	if o.Progress == nil {
 		o.Progress = func(Result) {}
 	}
-	listing := f.ListFirst(ctx)
+	listing := f.ListForSelection(ctx)
 	var rows []Row
 	var err error
 	if o.Resume != "" {
-		rows, err = f.resumed(ctx, &o, listing)
+		rows, err = f.resumedRows(ctx, &o, listing)
 	} else {
 		rows, err = listing.Select(o.Select)
 	}
@@ -107,34 +107,34 @@
 	}
 	if o.DryRun {
 		for _, row := range rows {
-			r.Results = append(r.Results, Result{Agent: row.Agent, Instance: row.Name, Outcome: Would, Text: fmt.Sprintf("%s (%s, generation %d)", o.Kind, row.State, row.Generation)})
+			r.Results = append(r.Results, Result{Agent: row.Agent, Instance: row.Name, Outcome: Planned, Text: fmt.Sprintf("%s (%s, generation %d)", o.Kind, row.State, row.Generation)})
 		}
 		return r, nil
 	}
 	c := &command{fleet: f, order: o, report: r, rows: map[string]Row{}}
-	c.take(ctx, rows)
+	c.acquireLeases(ctx, rows)
 	if r.Conflict != nil {
 		return r, nil
 	}
 	keep, stop := context.WithCancel(ctx)
 	var renewing sync.WaitGroup
-	for _, a := range c.held {
-		renewing.Go(func() { c.renew(keep, a) })
+	for _, a := range c.leased {
+		renewing.Go(func() { c.renewLease(keep, a) })
 	}
 	if o.MaxUnavailable > 0 {
-		c.roll(ctx)
+		c.rollOut(ctx)
 	} else {
-		c.all(ctx)
+		c.runAll(ctx)
 	}
 	stop()
 	renewing.Wait()
-	c.free("done")
+	c.releaseLeases("done")
 	return r, nil
 }
 
 // resumed finds the command to take up again.
-func (f *Fleet) resumed(ctx context.Context, o *Order, listing Listing) ([]Row, error) {
-	limit, cancel := first(ctx)
+func (f *Fleet) resumedRows(ctx context.Context, o *Order, listing Listing) ([]Row, error) {
+	limit, cancel := withListTimeout(ctx)
 	parts, _ := f.Command(limit, o.Resume)
 	cancel()
 	names := map[string]bool{}
@@ -147,7 +147,7 @@
 		}
 	}
 	if len(names) == 0 {
-		return nil, fmt.Errorf("no agent that answers knows of command %s: %w", o.Resume, ErrNone)
+		return nil, fmt.Errorf("no agent that answers knows of command %s: %w", o.Resume, ErrNoInstances)
 	}
 	o.ID = o.Resume
 	var rows []Row
@@ -157,24 +157,24 @@
 		}
 	}
 	if len(rows) == 0 {
-		return nil, ErrNone
+		return nil, ErrNoInstances
 	}
 	return rows, nil
 }
 
 // command is an order under way.
 type command struct {
-	fleet *Fleet
-	order Order
-	rows  map[string]Row // by AGENT/NAME, those whose lease is held
-	names []string       // keys of rows, in order
-	held  []*client.Client
+	fleet  *Fleet
+	order  Order
+	rows   map[string]Row // by AGENT/NAME, those whose lease is held
+	names  []string       // keys of rows, in order
+	leased []*client.Client
 
 	mu     sync.Mutex // over the report's results
 	report *Report
 }
 
-func (c *command) result(r Result) {
+func (c *command) addResult(r Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Results = append(c.report.Results, r)
@@ -183,7 +183,7 @@
 
 // take takes the leases, agent by agent in the order of their names. A conflict
 // gives back what was taken.
-func (c *command) take(ctx context.Context, rows []Row) {
+func (c *command) acquireLeases(ctx context.Context, rows []Row) {
 	plan, err := json.Marshal(c.order.Plan)
 	if err != nil {
 		plan = nil // of numbers and a word: can't be
@@ -201,13 +201,13 @@
 			continue
 		}
 		began := time.Now()
-		limit, cancel := context.WithTimeout(ctx, remaining(ctx)/leaseShare)
+		limit, cancel := context.WithTimeout(ctx, remaining(ctx)/leaseTimeShare)
 		_, err := a.Open(limit, request)
 		cancel()
 		var refused *protocol.Error
 		switch {
 		case err == nil:
-			c.held = append(c.held, a)
+			c.leased = append(c.leased, a)
 			for _, r := range mine {
 				key := r.Agent + "/" + r.Name
 				c.rows[key] = r
@@ -215,24 +215,24 @@
 			}
 		case errors.As(err, &refused) && (refused.Code == protocol.CodeConflict || refused.Code == protocol.CodeTooOld):
 			c.report.Conflict, c.report.Holder = refused, refused.Holder
-			c.free("another command came first")
+			c.releaseLeases("another command came first")
 			for _, r := range rows {
-				outcome, text := Left, ""
+				outcome, text := Skipped, ""
 				if r.Agent == a.Name() && (refused.Instance == "" || refused.Instance == r.Name) {
-					outcome, text = Refused, refused.Text
+					outcome, text = Conflict, refused.Text
 				}
-				c.result(Result{Agent: r.Agent, Instance: r.Name, Outcome: outcome, Text: text})
+				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: outcome, Text: text})
 			}
 			return
 		case errors.As(err, &refused):
 			for _, r := range mine {
-				c.result(Result{Agent: r.Agent, Instance: r.Name, Outcome: Failed, Text: refused.Text, Took: time.Since(began)})
+				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: Failed, Text: refused.Text, Took: time.Since(began)})
 			}
 		default:
-			s := silentOf(a.Name(), began, err)
+			s := newSilent(a.Name(), began, err)
 			c.report.Silent = append(c.report.Silent, s)
 			for _, r := range mine {
-				c.result(Result{Agent: r.Agent, Instance: r.Name, Outcome: Silence, Text: s.Why, Took: s.Waited})
+				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: NoAnswer, Text: s.Why, Took: s.Waited})
 			}
 		}
 	}
@@ -247,18 +247,18 @@
 }
 
 // free gives the leases back, also when the order's own time is over.
-func (c *command) free(reason string) {
-	ctx, cancel := context.WithTimeout(context.Background(), freeWithin)
+func (c *command) releaseLeases(reason string) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	var all sync.WaitGroup
-	for _, a := range c.held {
+	for _, a := range c.leased {
 		all.Go(func() { _, _ = a.CloseCommand(ctx, c.order.ID, reason) }) // or it expires
 	}
 	all.Wait()
 }
 
 // renew keeps an agent's lease until ctx ends.
-func (c *command) renew(ctx context.Context, a *client.Client) {
+func (c *command) renewLease(ctx context.Context, a *client.Client) {
 	every := time.NewTicker(protocol.LeaseFor / 4)
 	defer every.Stop()
 	for {
@@ -274,10 +274,10 @@
 }
 
 // all runs every instance's operation at once.
-func (c *command) all(ctx context.Context) {
+func (c *command) runAll(ctx context.Context) {
 	var work sync.WaitGroup
 	for _, key := range c.names {
-		work.Go(func() { c.result(c.run(ctx, c.rows[key])) })
+		work.Go(func() { c.addResult(c.run(ctx, c.rows[key])) })
 	}
 	work.Wait()
 }
@@ -293,7 +293,7 @@
 	case errors.As(err, &refused):
 		r.Outcome, r.Text = Failed, refused.Text
 	case err != nil:
-		r.Outcome, r.Text = Silence, err.Error()
+		r.Outcome, r.Text = NoAnswer, err.Error()
 	case o.State == protocol.Done:
 		r.Outcome, r.Text = Done, o.Reason
 	default:
@@ -315,7 +315,7 @@
 			o, err = a.Run(ctx, id, instance)
 			begun = err == nil
 		} else {
-			o, err = a.Wait(ctx, id, instance, min(waitEach, remaining(ctx)))
+			o, err = a.Wait(ctx, id, instance, min(operationWait, remaining(ctx)))
 		}
 		var refused *protocol.Error
 		switch {
@@ -326,7 +326,7 @@
 				last = err
 			}
 			select {
-			case <-time.After(againAfter):
+			case <-time.After(retryDelay):
 			case <-ctx.Done():
 			}
 		case o.State != protocol.Running:
@@ -348,11 +348,11 @@
 // ---- rollouts
 
 // roll restarts a few at a time, and stops when the group gets worse.
-func (c *command) roll(ctx context.Context) {
+func (c *command) rollOut(ctx context.Context) {
 	var names []string
 	for _, key := range c.names {
 		if c.rows[key].Desired == "down" && c.order.Resume == "" {
-			c.result(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Left, Text: "it is drained, and stays so"})
+			c.addResult(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Skipped, Text: "it is drained, and stays so"})
 			continue
 		}
 		names = append(names, key)
@@ -360,7 +360,7 @@
 	health, rows := NewHealth(c.fleet), slices.Collect(maps.Values(c.rows))
 	health.Look(ctx, rows)
 	select {
-	case <-time.After(healthEvery):
+	case <-time.After(healthInterval):
 	case <-ctx.Done():
 	}
 	plan, err := rollout.New(rollout.Options{
@@ -380,7 +380,7 @@
 		up[key] = c.rows[key].State == protocol.StateUp
 	}
 	looked := time.Now()
-	every := time.NewTicker(lookEvery)
+	every := time.NewTicker(rolloutInterval)
 	defer every.Stop()
 	for {
 		if ctx.Err() != nil {
@@ -405,26 +405,26 @@
 			}
 			up[e.key] = err == nil
 			plan.Ended(time.Now(), e.key, err)
-			c.result(e.r)
+			c.addResult(e.r)
 		case <-every.C:
-			if time.Since(looked) >= healthEvery {
+			if time.Since(looked) >= healthInterval {
 				looked = time.Now()
 				plan.Observe(health.Look(ctx, rows))
-				c.refresh(ctx, up)
+				c.refreshUp(ctx, up)
 			}
 		}
 	}
 	c.report.Stopped = plan.Stopped()
 	for _, key := range plan.Left() {
-		c.result(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Left, Text: "not begun: " + plan.Stopped()})
+		c.addResult(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Skipped, Text: "not begun: " + plan.Stopped()})
 	}
 }
 
 // refresh looks which of the group serve now.
-func (c *command) refresh(ctx context.Context, up map[string]bool) {
-	limit, cancel := context.WithTimeout(ctx, healthEvery)
+func (c *command) refreshUp(ctx context.Context, up map[string]bool) {
+	limit, cancel := context.WithTimeout(ctx, healthInterval)
 	defer cancel()
-	for _, r := range New(c.held).List(limit).Rows { // others have nothing to say here
+	for _, r := range New(c.leased).List(limit).Rows { // others have nothing to say here
 		if key := r.Agent + "/" + r.Name; slices.Contains(c.names, key) {
 			if _, known := up[key]; known {
 				up[key] = r.State == protocol.StateUp
@@ -436,25 +436,25 @@
 // Health counts what a group answers, from one look to the next.
 type Health struct {
 	fleet *Fleet
-	last  map[string]seen
+	last  map[string]sample
 	// recent are the latest looks: one alone may hold too few answers to judge by.
-	recent []rollout.Counts
+	window []rollout.Counts
 }
 
-type seen struct {
+type sample struct {
 	started time.Time
 	counts  rollout.Counts
 }
 
-const recentLooks = 5
+const windowSamples = 5
 
 // NewHealth makes one that has looked at nothing.
-func NewHealth(f *Fleet) *Health { return &Health{fleet: f, last: map[string]seen{}} }
+func NewHealth(f *Fleet) *Health { return &Health{fleet: f, last: map[string]sample{}} }
 
 // Each gives each instance's answers since the last look, by AGENT/INSTANCE. Those that don't tell, or tell for
 // the first time, are not in it; those that were restarted begin anew.
 func (h *Health) Each(ctx context.Context, rows []Row) map[string]rollout.Counts {
-	limit, cancel := context.WithTimeout(ctx, healthEvery)
+	limit, cancel := context.WithTimeout(ctx, healthInterval)
 	defer cancel()
 	all := map[string]rollout.Counts{}
 	for _, i := range h.fleet.Inspect(limit, rows) {
@@ -462,7 +462,7 @@
 			continue
 		}
 		key := i.Agent + "/" + i.Name
-		is := seen{started: i.Inspection.Started}
+		is := sample{started: i.Inspection.Started}
 		for _, by := range i.Inspection.Counts {
 			is.counts.Served += by["served"]
 			is.counts.Refused += by["refused"]
@@ -491,11 +491,11 @@
 	for _, c := range h.Each(ctx, rows) {
 		now.Add(c)
 	}
-	if h.recent = append(h.recent, now); len(h.recent) > recentLooks {
-		h.recent = h.recent[1:]
+	if h.window = append(h.window, now); len(h.window) > windowSamples {
+		h.window = h.window[1:]
 	}
 	var sum rollout.Counts
-	for _, c := range h.recent {
+	for _, c := range h.window {
 		sum.Add(c)
 	}
 	return sum
--- a/internal/fleet/group/config.go
+++ b/internal/fleet/group/config.go
@@ -15,7 +15,7 @@
 )
 
 // agentsMost bounds the agents of a fleet.
-const agentsMost = 1000
+const maxAgents = 1000
 
 type fleetFile struct {
 	CA    string `toml:"ca"`
@@ -55,8 +55,8 @@
 	case file.CA != "" || file.Cert != "" || file.Key != "":
 		f.Bad("ca", "ca, cert and key go together")
 	}
-	if len(file.Agent) == 0 || len(file.Agent) > agentsMost {
-		f.Bad("agent", "%d are given, 1 to %d can be", len(file.Agent), agentsMost)
+	if len(file.Agent) == 0 || len(file.Agent) > maxAgents {
+		f.Bad("agent", "%d are given, 1 to %d can be", len(file.Agent), maxAgents)
 	}
 	fleet := &Fleet{}
 	names := map[string]bool{}
@@ -96,4 +96,4 @@
 }
 
 // ErrNone means that a selection names no instance.
-var ErrNone = errors.New("the selection names no instance")
+var ErrNoInstances = errors.New("the selection names no instance")
--- a/internal/fleet/group/council.go
+++ b/internal/fleet/group/council.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	watchEvery = 250 * time.Millisecond
+	followInterval = 250 * time.Millisecond
 	// askShare of the time that is left is what one agent may take over a council's answer.
-	askShare = 4
+	councilTimeShare = 4
 )
 
 // ErrNoCouncil means that no agent has [council] in its file: tools drive by themselves.
 var ErrNoCouncil = errors.New("no agent of this fleet has [council] in its file")
 
 // ask puts a call to the agents in turn until one of them brings an answer of the council.
-func (f *Fleet) ask(ctx context.Context, call func(context.Context, *client.Client) error) error {
+func (f *Fleet) askCouncil(ctx context.Context, call func(context.Context, *client.Client) error) error {
 	without, last := 0, error(nil)
 	for _, a := range f.agents {
-		limit, cancel := context.WithTimeout(ctx, remaining(ctx)/askShare)
+		limit, cancel := context.WithTimeout(ctx, remaining(ctx)/councilTimeShare)
 		err := call(limit, a)
 		cancel()
 		var refused *protocol.Error
@@ -54,7 +54,7 @@
 // View gives what the council has agreed on, or what some voter knows of it.
 func (f *Fleet) View(ctx context.Context) (v duty.View, err error) {
 	var old *duty.View
-	err = f.ask(ctx, func(ctx context.Context, a *client.Client) error {
+	err = f.askCouncil(ctx, func(ctx context.Context, a *client.Client) error {
 		got, err := a.CouncilView(ctx, false)
 		var refused *protocol.Error
 		if errors.As(err, &refused) && refused.Code == protocol.CodeNotFound { // an agent from before there were councils
@@ -78,7 +78,7 @@
 // Do has a command agreed on.
 func (f *Fleet) Do(ctx context.Context, c duty.Command) (answer duty.Answer, err error) {
 	c.Form = duty.Form
-	err = f.ask(ctx, func(ctx context.Context, a *client.Client) error {
+	err = f.askCouncil(ctx, func(ctx context.Context, a *client.Client) error {
 		var err error
 		answer, err = a.CouncilDo(ctx, c, false)
 		return err
@@ -88,7 +88,7 @@
 
 // Backup gives the council's whole state.
 func (f *Fleet) Backup(ctx context.Context) (b *duty.Backup, err error) {
-	err = f.ask(ctx, func(ctx context.Context, a *client.Client) error {
+	err = f.askCouncil(ctx, func(ctx context.Context, a *client.Client) error {
 		var err error
 		b, err = a.CouncilBackup(ctx, false)
 		return err
@@ -101,11 +101,11 @@
 	began := time.Now()
 	all := make([]duty.Status, len(f.agents))
 	errs := make([]error, len(f.agents))
-	f.each(func(n int, a *client.Client) { all[n], errs[n] = a.CouncilStatus(ctx) })
+	f.forEachAgent(func(n int, a *client.Client) { all[n], errs[n] = a.CouncilStatus(ctx) })
 	states, silent := []duty.Status{}, []Silent{}
 	for n, a := range f.agents {
 		if errs[n] != nil {
-			silent = append(silent, silentOf(a.Name(), began, errs[n]))
+			silent = append(silent, newSilent(a.Name(), began, errs[n]))
 		} else {
 			states = append(states, all[n])
 		}
@@ -116,7 +116,7 @@
 // Submit has a job agreed on that does what an order says. From then on it goes on whatever
 // becomes of the tool. What is at agents that did not answer is not in it.
 func (f *Fleet) Submit(ctx context.Context, o Order) (*duty.Job, []Silent, error) {
-	listing := f.ListFirst(ctx)
+	listing := f.ListForSelection(ctx)
 	rows, err := listing.Select(o.Select)
 	if err != nil {
 		return nil, listing.Silent, err
@@ -136,11 +136,11 @@
 // progress is told of each instance's end, says of why it waits.
 func (f *Fleet) Follow(ctx context.Context, j *duty.Job, progress func(Result), says func(string)) *duty.Job {
 	told := map[string]bool{}
-	every := time.NewTicker(watchEvery)
+	every := time.NewTicker(followInterval)
 	defer every.Stop()
 	for {
 		for _, r := range Results(j) {
-			if r.Outcome != Would && !told[r.Agent+"/"+r.Instance] && (r.Outcome != Left || !j.Open()) {
+			if r.Outcome != Planned && !told[r.Agent+"/"+r.Instance] && (r.Outcome != Skipped || !j.Open()) {
 				told[r.Agent+"/"+r.Instance] = true
 				progress(r)
 			}
@@ -153,7 +153,7 @@
 			return j
 		case <-every.C:
 		}
-		limit, cancel := context.WithTimeout(ctx, healthEvery)
+		limit, cancel := context.WithTimeout(ctx, healthInterval)
 		v, err := f.View(limit)
 		cancel()
 		if err != nil {
@@ -188,11 +188,11 @@
 		case step.Phase == duty.Failed:
 			r.Outcome = Failed
 		case step.Phase == duty.Left:
-			r.Outcome = Left
+			r.Outcome = Skipped
 		case j.Open():
-			r.Outcome = Would
+			r.Outcome = Planned
 		default:
-			r.Outcome, r.Text = Left, "not begun: job "+j.State
+			r.Outcome, r.Text = Skipped, "not begun: job "+j.State
 		}
 		all = append(all, r)
 	}
--- a/internal/fleet/group/export_test.go
+++ b/internal/fleet/group/export_test.go
@@ -2,6 +2,6 @@
 
 // What tests outside the package need of it.
 const (
-	FreeWithin = freeWithin
-	ListShare  = listShare
+	ReleaseTimeout = releaseTimeout
+	ListTimeShare  = listTimeShare
 )
--- a/internal/fleet/group/fleet.go
+++ b/internal/fleet/group/fleet.go
@@ -14,7 +14,7 @@
 
 // standWithin is how long one agent may take to tell how far a version has come: one that hangs is named, and
 // keeps nobody from seeing the others.
-const standWithin = 800 * time.Millisecond
+const statusTimeout = 800 * time.Millisecond
 
 // ErrNoFleet means that no agent has [fleet] in its file.
 var ErrNoFleet = errors.New("no agent of this fleet has [fleet] in its file")
@@ -22,7 +22,7 @@
 // Desired gives what the fleet should be, or what some voter knows of it.
 func (f *Fleet) Desired(ctx context.Context) (v duty.FleetView, err error) {
 	var old *duty.FleetView
-	err = f.ask(ctx, func(ctx context.Context, a *client.Client) error {
+	err = f.askCouncil(ctx, func(ctx context.Context, a *client.Client) error {
 		got, err := a.Desired(ctx, false)
 		if err == nil && !got.Current {
 			if old == nil || got.State.Document.Version > old.State.Document.Version {
@@ -61,12 +61,12 @@
 	began := time.Now()
 	answers := make([]protocol.Fleet, len(f.agents))
 	errs := make([]error, len(f.agents))
-	f.each(func(n int, a *client.Client) {
+	f.forEachAgent(func(n int, a *client.Client) {
 		if !of(a.Name()) {
 			errs[n] = errors.New("not asked")
 			return
 		}
-		limit, cancel := context.WithTimeout(ctx, standWithin)
+		limit, cancel := context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
 		answers[n], errs[n] = a.Fleet(limit)
 	})
@@ -75,7 +75,7 @@
 		names = append(names, a.Name())
 		s := reconcile.Seen{Known: errs[n] == nil, Fleet: answers[n]}
 		if errs[n] != nil {
-			s.Err = silentOf(a.Name(), began, errs[n]).Why
+			s.Err = newSilent(a.Name(), began, errs[n]).Why
 		} else {
 			told[a.Name()] = answers[n]
 		}
--- a/internal/fleet/group/fleet_test.go
+++ b/internal/fleet/group/fleet_test.go
@@ -15,19 +15,19 @@
 
 // A look at a thousand instances under a hundred agents of which ten hang takes under a second, names those, and
 // claims nothing of what they have. Nobody of the council is there: agents tell what they know all the same.
-func TestLookAtAThousand(t *testing.T) {
+func TestStatusOfThousandInstances(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a thousand instances: played without -short")
 	}
-	hosts := startHostsAs(t, 90, 10, func(c *agent.Config) {
+	hosts := startHostsWith(t, 90, 10, func(c *agent.Config) {
 		c.Council = &agent.Council{Cluster: "lab", Voters: []string{"v1", "v2", "v3"}}
 		c.Council.Lease.Duration = 5 * time.Second
 		c.Fleet = &agent.Fleet{}
 	})
 	for n := range 10 {
-		hosts = append(hosts, spoilt(t, fmt.Sprint("hangs", n), func(c net.Conn) { io.Copy(io.Discard, c) }))
+		hosts = append(hosts, startFaultyAgent(t, fmt.Sprint("hangs", n), func(c net.Conn) { io.Copy(io.Discard, c) }))
 	}
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	var st reconcile.Standing
 	for st.Confirmed < 900 { // each instance is told what its agent has, which is nothing so far
 		st, _ = f.Standing(t.Context(), 0)
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -18,10 +18,10 @@
 const (
 	// listShare of the whole time is what listing before a command may take, and never
 	// more than listMost: agents that hang must leave time for the others.
-	listShare = 3
-	listMost  = 5 * time.Second
+	listTimeShare = 3
+	maxListTime   = 5 * time.Second
 	// atOnce bounds the calls under way.
-	atOnce = 64
+	maxConcurrentCalls = 64
 )
 
 // New makes a fleet of agents. Everybody who commands them takes leases in the order
@@ -56,8 +56,8 @@
 
 // each calls f for all agents, atOnce at a time, and waits. Calls that are under way
 // when ctx ends must end with it.
-func (f *Fleet) each(do func(n int, a *client.Client)) {
-	slots := make(chan struct{}, atOnce)
+func (f *Fleet) forEachAgent(do func(n int, a *client.Client)) {
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var all sync.WaitGroup
 	for n, a := range f.agents {
 		slots <- struct{}{}
@@ -70,7 +70,7 @@
 }
 
 // silentOf words an error of a call.
-func silentOf(agent string, began time.Time, err error) Silent {
+func newSilent(agent string, began time.Time, err error) Silent {
 	var u *client.Unanswered
 	if errors.As(err, &u) {
 		return Silent{agent, u.Waited, u.Err.Error()}
@@ -83,11 +83,11 @@
 	began := time.Now()
 	lists := make([][]protocol.Instance, len(f.agents))
 	errs := make([]error, len(f.agents))
-	f.each(func(n int, a *client.Client) { lists[n], errs[n] = a.Instances(ctx) })
+	f.forEachAgent(func(n int, a *client.Client) { lists[n], errs[n] = a.Instances(ctx) })
 	l := Listing{Rows: []Row{}, Silent: []Silent{}}
 	for n, a := range f.agents {
 		if errs[n] != nil {
-			l.Silent = append(l.Silent, silentOf(a.Name(), began, errs[n]))
+			l.Silent = append(l.Silent, newSilent(a.Name(), began, errs[n]))
 		}
 		for _, i := range lists[n] {
 			l.Rows = append(l.Rows, Row{a.Name(), i})
@@ -97,15 +97,15 @@
 }
 
 // ListFirst is List before something else: agents that hang leave time for that.
-func (f *Fleet) ListFirst(ctx context.Context) Listing {
-	ctx, cancel := first(ctx)
+func (f *Fleet) ListForSelection(ctx context.Context) Listing {
+	ctx, cancel := withListTimeout(ctx)
 	defer cancel()
 	return f.List(ctx)
 }
 
 // first gives the time for what comes before something else.
-func first(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, min(listMost, remaining(ctx)/listShare))
+func withListTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, min(maxListTime, remaining(ctx)/listTimeShare))
 }
 
 // Selector names instances. Names, if any, are an instance's name or AGENT/NAME, or
@@ -148,11 +148,11 @@
 			if len(l.Silent) > 0 {
 				hint = fmt.Sprintf("; %d agents that did not answer may have it", len(l.Silent))
 			}
-			return nil, fmt.Errorf("no instance %q%s: %w", name, hint, ErrNone)
+			return nil, fmt.Errorf("no instance %q%s: %w", name, hint, ErrNoInstances)
 		}
 	}
 	if len(rows) == 0 {
-		return nil, ErrNone
+		return nil, ErrNoInstances
 	}
 	return rows, nil
 }
@@ -168,22 +168,22 @@
 
 // Inspect asks instances what they are doing.
 func (f *Fleet) Inspect(ctx context.Context, rows []Row) []Inspected {
-	return f.eachRow(ctx, rows, func(ctx context.Context, r Row) (control.Inspection, error) {
+	return f.forEachInstance(ctx, rows, func(ctx context.Context, r Row) (control.Inspection, error) {
 		return f.Agent(r.Agent).Inspect(ctx, r.Name)
 	})
 }
 
 // Keep has instances do something with what they keep for their way back.
-func (f *Fleet) Keep(ctx context.Context, rows []Row, k control.Keep) []Inspected {
-	return f.eachRow(ctx, rows, func(ctx context.Context, r Row) (control.Inspection, error) {
-		return f.Agent(r.Agent).Keep(ctx, r.Name, k)
+func (f *Fleet) SendStateCommand(ctx context.Context, rows []Row, k control.Keep) []Inspected {
+	return f.forEachInstance(ctx, rows, func(ctx context.Context, r Row) (control.Inspection, error) {
+		return f.Agent(r.Agent).SendStateCommand(ctx, r.Name, k)
 	})
 }
 
 // eachRow makes a call about each of some instances, a bounded number at once.
-func (f *Fleet) eachRow(ctx context.Context, rows []Row, call func(context.Context, Row) (control.Inspection, error)) []Inspected {
+func (f *Fleet) forEachInstance(ctx context.Context, rows []Row, call func(context.Context, Row) (control.Inspection, error)) []Inspected {
 	all := make([]Inspected, len(rows))
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var work sync.WaitGroup
 	for n, r := range rows {
 		slots <- struct{}{}
@@ -220,12 +220,12 @@
 	began := time.Now()
 	states := make([]protocol.Agent, len(f.agents))
 	errs := make([]error, len(f.agents))
-	f.each(func(n int, a *client.Client) { states[n], errs[n] = a.Agent(ctx) })
+	f.forEachAgent(func(n int, a *client.Client) { states[n], errs[n] = a.Agent(ctx) })
 	var good []protocol.Agent
 	silent := []Silent{}
 	for n, a := range f.agents {
 		if errs[n] != nil {
-			silent = append(silent, silentOf(a.Name(), began, errs[n]))
+			silent = append(silent, newSilent(a.Name(), began, errs[n]))
 		} else {
 			good = append(good, states[n])
 		}
@@ -238,11 +238,11 @@
 	began := time.Now()
 	all := make([]protocol.Recovery, len(f.agents))
 	errs := make([]error, len(f.agents))
-	f.each(func(n int, a *client.Client) { all[n], errs[n] = a.Recovery(ctx) })
+	f.forEachAgent(func(n int, a *client.Client) { all[n], errs[n] = a.Recovery(ctx) })
 	good, silent := []protocol.Recovery{}, []Silent{}
 	for n, a := range f.agents {
 		if errs[n] != nil {
-			silent = append(silent, silentOf(a.Name(), began, errs[n]))
+			silent = append(silent, newSilent(a.Name(), began, errs[n]))
 		} else {
 			good = append(good, all[n])
 		}
@@ -261,11 +261,11 @@
 	began := time.Now()
 	lists := make([][]protocol.Command, len(f.agents))
 	errs := make([]error, len(f.agents))
-	f.each(func(n int, a *client.Client) { lists[n], errs[n] = a.Commands(ctx) })
+	f.forEachAgent(func(n int, a *client.Client) { lists[n], errs[n] = a.Commands(ctx) })
 	parts, silent := []Part{}, []Silent{}
 	for n, a := range f.agents {
 		if errs[n] != nil {
-			silent = append(silent, silentOf(a.Name(), began, errs[n]))
+			silent = append(silent, newSilent(a.Name(), began, errs[n]))
 		}
 		for _, c := range lists[n] {
 			parts = append(parts, Part{a.Name(), c})
@@ -277,21 +277,21 @@
 
 // Command asks every agent for its part of one command.
 func (f *Fleet) Command(ctx context.Context, id string) ([]Part, []Silent) {
-	return f.parts(func(a *client.Client) (protocol.Command, error) { return a.Command(ctx, id) })
+	return f.collectParts(func(a *client.Client) (protocol.Command, error) { return a.Command(ctx, id) })
 }
 
 // Abort ends a command at every agent that knows of it.
 func (f *Fleet) Abort(ctx context.Context, id string) ([]Part, []Silent) {
-	return f.parts(func(a *client.Client) (protocol.Command, error) { return a.Abort(ctx, id) })
+	return f.collectParts(func(a *client.Client) (protocol.Command, error) { return a.Abort(ctx, id) })
 }
 
 // parts calls every agent for its part of a command; those that know of none have
 // none.
-func (f *Fleet) parts(call func(a *client.Client) (protocol.Command, error)) ([]Part, []Silent) {
+func (f *Fleet) collectParts(call func(a *client.Client) (protocol.Command, error)) ([]Part, []Silent) {
 	began := time.Now()
 	found := make([]*protocol.Command, len(f.agents))
 	errs := make([]error, len(f.agents))
-	f.each(func(n int, a *client.Client) {
+	f.forEachAgent(func(n int, a *client.Client) {
 		c, err := call(a)
 		var refused *protocol.Error
 		if errors.As(err, &refused) && refused.Code == protocol.CodeNotFound {
@@ -304,7 +304,7 @@
 	parts, silent := []Part{}, []Silent{}
 	for n, a := range f.agents {
 		if errs[n] != nil {
-			silent = append(silent, silentOf(a.Name(), began, errs[n]))
+			silent = append(silent, newSilent(a.Name(), began, errs[n]))
 		}
 		if found[n] != nil {
 			parts = append(parts, Part{a.Name(), *found[n]})
--- a/internal/fleet/group/group_test.go
+++ b/internal/fleet/group/group_test.go
@@ -39,7 +39,7 @@
 }
 
 // folder gives a short one, as a socket's path is bounded.
-func folder(t testing.TB) string {
+func shortTempDir(t testing.TB) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "og")
 	if err != nil {
@@ -52,13 +52,13 @@
 // startHosts starts agents with as many instances each, named n1, n2 … throughout.
 func startHosts(t testing.TB, agents, each int) []*host {
 	t.Helper()
-	return startHostsAs(t, agents, each, func(*agent.Config) {})
+	return startHostsWith(t, agents, each, func(*agent.Config) {})
 }
 
 // startHostsAs is startHosts with agents' files changed.
-func startHostsAs(t testing.TB, agents, each int, change func(*agent.Config)) []*host {
+func startHostsWith(t testing.TB, agents, each int, change func(*agent.Config)) []*host {
 	t.Helper()
-	dir := folder(t)
+	dir := shortTempDir(t)
 	var hosts []*host
 	last := 0
 	for n := range agents {
@@ -90,7 +90,7 @@
 		})
 		hosts = append(hosts, h)
 	}
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	for {
 		l := f.List(t.Context())
 		up := 0
@@ -106,7 +106,7 @@
 	}
 }
 
-func fleet(t testing.TB, hosts []*host) *Fleet {
+func newFleet(t testing.TB, hosts []*host) *Fleet {
 	t.Helper()
 	var agents []*client.Client
 	for _, h := range hosts {
@@ -121,7 +121,7 @@
 	return f
 }
 
-var everything = Selector{Names: []string{"all"}}
+var selectAll = Selector{Names: []string{"all"}}
 
 func give(t *testing.T, f *Fleet, o Order, timeout time.Duration) *Report {
 	t.Helper()
@@ -144,9 +144,9 @@
 
 func TestCommandsReachTheWholeGroup(t *testing.T) {
 	hosts := startHosts(t, 3, 4)
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	for _, kind := range []string{protocol.Restart, protocol.Reload, protocol.Drain, protocol.Start} {
-		r := give(t, f, Order{Plan: Plan{Kind: kind}, Select: everything}, 20*time.Second)
+		r := give(t, f, Order{Plan: Plan{Kind: kind}, Select: selectAll}, 20*time.Second)
 		if got := outcomes(r); got[Done] != 12 || len(r.Results) != 12 || len(r.Silent) != 0 || r.Conflict != nil {
 			t.Fatalf("%s: %+v", kind, r)
 		}
@@ -157,7 +157,7 @@
 		}
 	}
 	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: Selector{Labels: map[string]string{"half": "1"}}, DryRun: true}, 5*time.Second)
-	if outcomes(r)[Would] != 6 || hosts[0].machine.Starts("n1") != 3 {
+	if outcomes(r)[Planned] != 6 || hosts[0].machine.Starts("n1") != 3 {
 		t.Errorf("dry run: %+v, %d starts", outcomes(r), hosts[0].machine.Starts("n1"))
 	}
 }
@@ -186,7 +186,7 @@
 		}
 	}
 	for _, s := range []Selector{{Names: []string{"a", "z"}}, {Group: "z"}, {Names: []string{"m2/b"}}} {
-		if _, err := l.Select(s); !errors.Is(err, ErrNone) {
+		if _, err := l.Select(s); !errors.Is(err, ErrNoInstances) {
 			t.Errorf("%+v: %v", s, err)
 		}
 	}
@@ -195,14 +195,14 @@
 // Two operators command at once, 500 times over: one wins entirely or they come one
 // after the other; who loses is told who was first and has done nothing; the group is
 // never left mixed, and nobody waits for ever.
-func TestRaces(t *testing.T) {
+func TestConcurrentCommands(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 3, 2)
 	races := 500
 	if testing.Short() {
 		races = 50
 	}
-	one, two := fleet(t, hosts), fleet(t, hosts)
+	one, two := newFleet(t, hosts), newFleet(t, hosts)
 	lost := 0
 	for seed := range uint64(races) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -219,7 +219,7 @@
 		began := time.Now()
 		for n, f := range []*Fleet{one, two} {
 			delay := time.Duration(rng.IntN(3)) * time.Millisecond
-			order := Order{Plan: Plan{Kind: kinds[n]}, Select: everything}
+			order := Order{Plan: Plan{Kind: kinds[n]}, Select: selectAll}
 			if rolls {
 				order.MaxUnavailable = 2
 			}
@@ -247,7 +247,7 @@
 			switch {
 			case r.Conflict != nil:
 				lost++
-				if r.Holder == nil || r.Holder.Operator == "" || r.Holder.Since.IsZero() || by[Done]+by[Failed]+by[Silence] > 0 {
+				if r.Holder == nil || r.Holder.Operator == "" || r.Holder.Since.IsZero() || by[Done]+by[Failed]+by[NoAnswer] > 0 {
 					t.Fatalf("seed %d: the loser's report: %+v", seed, r)
 				}
 				for _, c := range commandsOf(t, one, r.ID) {
@@ -255,7 +255,7 @@
 						t.Fatalf("seed %d: the loser began something: %+v", seed, c)
 					}
 				}
-			case by[Done] == 6 || kinds[n] == protocol.Restart && rolls && by[Done]+by[Left] == 6:
+			case by[Done] == 6 || kinds[n] == protocol.Restart && rolls && by[Done]+by[Skipped] == 6:
 				won++
 			default:
 				t.Fatalf("seed %d: neither won nor lost: %+v", seed, r)
@@ -295,9 +295,9 @@
 }
 
 // spoilt listens in place of an agent and does its worst.
-func spoilt(t *testing.T, name string, serve func(net.Conn)) *host {
+func startFaultyAgent(t *testing.T, name string, serve func(net.Conn)) *host {
 	t.Helper()
-	h := &host{name: name, socket: filepath.Join(folder(t), name)}
+	h := &host{name: name, socket: filepath.Join(shortTempDir(t), name)}
 	l, err := net.Listen("unix", h.socket)
 	if err != nil {
 		t.Fatal(err)
@@ -332,18 +332,18 @@
 	t.Parallel()
 	hosts := startHosts(t, 7, 2)
 	hosts = append(hosts,
-		spoilt(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }),
-		spoilt(t, "m03-garbage", func(c net.Conn) {
+		startFaultyAgent(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }),
+		startFaultyAgent(t, "m03-garbage", func(c net.Conn) {
 			c.Read(make([]byte, 4096))
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n\x00\xff{{{{not json at all")
 		}),
-		&host{name: "m99-refuses", socket: filepath.Join(folder(t), "none")},
+		&host{name: "m99-refuses", socket: filepath.Join(shortTempDir(t), "none")},
 	)
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	timeout := 4 * time.Second
 	began := time.Now()
-	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: everything}, timeout)
-	if took := time.Since(began); took > timeout+FreeWithin {
+	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: selectAll}, timeout)
+	if took := time.Since(began); took > timeout+ReleaseTimeout {
 		t.Errorf("took %v, want at most %v", took, timeout)
 	}
 	if outcomes(r)[Done] != 14 {
@@ -352,7 +352,7 @@
 	var named []string
 	for _, s := range r.Silent {
 		named = append(named, s.Agent)
-		if s.Why == "" || s.Agent == "m00-hangs" && s.Waited < timeout/ListShare/2 {
+		if s.Why == "" || s.Agent == "m00-hangs" && s.Waited < timeout/ListTimeShare/2 {
 			t.Errorf("%+v, want why, and how long it was waited for", s)
 		}
 	}
@@ -365,12 +365,12 @@
 func TestHangingAgentsLeaveTime(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 1, 2)
-	done := give(t, fleet(t, hosts), Order{Plan: Plan{Kind: protocol.Reload}, Select: everything}, 5*time.Second)
-	hosts = append(hosts, spoilt(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }))
-	f := fleet(t, hosts)
+	done := give(t, newFleet(t, hosts), Order{Plan: Plan{Kind: protocol.Reload}, Select: selectAll}, 5*time.Second)
+	hosts = append(hosts, startFaultyAgent(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }))
+	f := newFleet(t, hosts)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	l := f.ListFirst(ctx)
+	l := f.ListForSelection(ctx)
 	for _, i := range f.Inspect(ctx, l.Rows) {
 		if i.Inspection == nil {
 			t.Errorf("%s: %s", i.Name, i.Err)
@@ -386,11 +386,11 @@
 }
 
 // An agent that hangs once it has been listed costs only its own instances.
-func TestAgentHangsInTheMiddle(t *testing.T) {
+func TestAgentHangsAfterListing(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 4, 1)
 	var hang atomic.Bool
-	hosts[1] = front(t, hosts[1], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
+	hosts[1] = startProxy(t, hosts[1], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
 		if r.Method == http.MethodPost {
 			hang.Store(true)
 		}
@@ -401,21 +401,21 @@
 		}
 		pass(w)
 	})
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	began := time.Now()
-	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: everything}, 4*time.Second)
-	if took := time.Since(began); took > 4*time.Second+FreeWithin {
+	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: selectAll}, 4*time.Second)
+	if took := time.Since(began); took > 4*time.Second+ReleaseTimeout {
 		t.Errorf("took %v", took)
 	}
-	if by := outcomes(r); by[Done] != 3 || by[Silence] != 1 {
+	if by := outcomes(r); by[Done] != 3 || by[NoAnswer] != 1 {
 		t.Errorf("outcomes %v", by)
 	}
 }
 
 // front puts a proxy before an agent.
-func front(t *testing.T, h *host, handle func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter))) *host {
+func startProxy(t *testing.T, h *host, handle func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter))) *host {
 	t.Helper()
-	socket := filepath.Join(folder(t), "front")
+	socket := filepath.Join(shortTempDir(t), "front")
 	l, err := net.Listen("unix", socket)
 	if err != nil {
 		t.Fatal(err)
@@ -436,11 +436,11 @@
 }
 
 // nowhere is where an answer gets lost.
-type nowhere struct{ header http.Header }
+type discardResponse struct{ header http.Header }
 
-func (n nowhere) Header() http.Header         { return n.header }
-func (n nowhere) Write(b []byte) (int, error) { return len(b), nil }
-func (n nowhere) WriteHeader(int)             {}
+func (n discardResponse) Header() http.Header         { return n.header }
+func (n discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (n discardResponse) WriteHeader(int)             {}
 
 // The first answer to each call that begins something is lost: the tool sends it
 // again, and each instance is restarted once.
@@ -448,16 +448,16 @@
 	hosts := startHosts(t, 2, 2)
 	var lost sync.Map
 	for n := range hosts {
-		hosts[n] = front(t, hosts[n], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
+		hosts[n] = startProxy(t, hosts[n], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
 			if _, again := lost.LoadOrStore(r.URL.Path, true); !again && r.Method == http.MethodPost && strings.Contains(r.URL.Path, "/run/") {
-				pass(nowhere{http.Header{}})
+				pass(discardResponse{http.Header{}})
 				panic(http.ErrAbortHandler)
 			}
 			pass(w)
 		})
 	}
-	f := fleet(t, hosts)
-	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: everything}, 20*time.Second)
+	f := newFleet(t, hosts)
+	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: selectAll}, 20*time.Second)
 	if outcomes(r)[Done] != 4 {
 		t.Errorf("outcomes %v: %+v", outcomes(r), r.Results)
 	}
@@ -476,10 +476,10 @@
 	t.Run("all come back", func(t *testing.T) {
 		t.Parallel()
 		hosts := startHosts(t, 2, 3)
-		f := fleet(t, hosts)
+		f := newFleet(t, hosts)
 		give(t, f, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n6"}}}, 10*time.Second)
 		r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 2}, Select: Selector{Names: []string{"all"}}}, 30*time.Second)
-		if by := outcomes(r); r.Stopped != "" || by[Done] != 5 || by[Left] != 1 {
+		if by := outcomes(r); r.Stopped != "" || by[Done] != 5 || by[Skipped] != 1 {
 			t.Errorf("%+v", r)
 		}
 		if hosts[1].machine.Running("n6") != "" {
@@ -489,10 +489,10 @@
 	t.Run("one does not come back", func(t *testing.T) {
 		t.Parallel()
 		hosts := startHosts(t, 2, 3)
-		f := fleet(t, hosts)
+		f := newFleet(t, hosts)
 		hosts[0].machine.Fail("n2", errors.New("no such program"))
-		r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1}, Select: everything}, 30*time.Second)
-		if by := outcomes(r); by[Done] != 1 || by[Failed] != 1 || by[Left] != 4 || !strings.Contains(r.Stopped, "m01/n2 did not come back") {
+		r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1}, Select: selectAll}, 30*time.Second)
+		if by := outcomes(r); by[Done] != 1 || by[Failed] != 1 || by[Skipped] != 4 || !strings.Contains(r.Stopped, "m01/n2 did not come back") {
 			t.Errorf("%v, stopped %q", outcomes(r), r.Stopped)
 		}
 		for _, name := range []string{"n4", "n5", "n6"} {
@@ -514,7 +514,7 @@
 	t.Run("failures rise", func(t *testing.T) {
 		t.Parallel()
 		hosts := startHosts(t, 1, 6)
-		f := fleet(t, hosts)
+		f := newFleet(t, hosts)
 		m := hosts[0].machine
 		m.Answer("n1", map[string]int64{"served": 1000, "failed": 0})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -537,7 +537,7 @@
 		r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1, Pause: 1500 * time.Millisecond}, Select: Selector{Names: []string{"n2", "n3", "n4", "n5", "n6", "n1"}}}, 60*time.Second)
 		cancel()
 		answering.Wait()
-		if by := outcomes(r); !strings.Contains(r.Stopped, "failed answers rose") || by[Left] == 0 {
+		if by := outcomes(r); !strings.Contains(r.Stopped, "failed answers rose") || by[Skipped] == 0 {
 			t.Errorf("%v, stopped %q", by, r.Stopped)
 		}
 	})
@@ -548,7 +548,7 @@
 func TestToolDiesDuringARollout(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 1, 4)
-	dead, alive := fleet(t, hosts), fleet(t, hosts)
+	dead, alive := newFleet(t, hosts), newFleet(t, hosts)
 	ctx, die := context.WithCancel(t.Context())
 	rows := dead.List(ctx).Rows
 	id := protocol.NewID(time.Now(), 1)
--- a/internal/fleet/protocol/protocol.go
+++ b/internal/fleet/protocol/protocol.go
@@ -1,4 +1,4 @@
-// Package protocol is what the operator's tool and the agents say to each other:
+// Package protocol defines the protocol between the operator's tool and the agents:
 // JSON over HTTP, on a Unix socket or mutual TLS.
 //
 //	GET    /v1/agent                              Agent
@@ -19,7 +19,7 @@
 //	GET    /v1/recovery                           Recovery
 //	POST   /v1/recovery/{instance}                Decision -> Instance
 //
-// Every answer that is not 2xx holds an Error. Unknown fields are refused.
+// Every answer with a status other than 2xx holds an Error. Unknown fields are refused.
 package protocol
 
 import (
@@ -33,44 +33,44 @@
 )
 
 const (
-	// Version of the protocol; it stands in every path and in the header VersionHeader
+	// Version is the protocol's version, given in every path and in the header VersionHeader
 	// of every request and answer.
 	Version       = 1
 	VersionHeader = "Otterstep-Protocol"
 
-	// BodyMost bounds a request's body, AnswerMost an answer's, in bytes.
-	BodyMost   = 1 << 20
-	AnswerMost = 16 << 20
-	// InstancesMost bounds the instances of one agent and of one command at it.
+	// BodyMost limits a request's body, MaxAnswerSize an answer's, in bytes.
+	BodyMost      = 1 << 20
+	MaxAnswerSize = 16 << 20
+	// InstancesMost limits the instances of one agent and of one command at it.
 	InstancesMost = 1000
-	// WaitMost bounds how long a call may wait for an operation's end.
+	// WaitMost limits how long a call may wait for an operation to end.
 	WaitMost = 30 * time.Second
 
-	// WordsMost bounds a reason or a note, in bytes; see Clip.
+	// WordsMost limits a reason or a note, in bytes; see Clip.
 	WordsMost = 200
 
-	// LeaseFor is how long a command holds its instances without being renewed: a
-	// tool that dies frees them after this.
+	// LeaseFor is how long a command's lease on its instances lasts without renewal. It
+	// bounds how long a tool that died blocks them.
 	LeaseFor = 10 * time.Second
 )
 
-// Token fences the orders of a duty's owner: each acquisition gets one above all before it.
-// Its upper bits are the epoch, which a recovery of the council raises.
+// Token is the fencing token of a duty's owner: each acquisition gets a higher one than all
+// before it. Its upper bits are the epoch, which a recovery of the council increments.
 type Token uint64
 
-// EpochShift is how many bits of a Token are below its epoch.
+// EpochShift is the number of bits of a Token below its epoch.
 const EpochShift = 40
 
-// Epoch gives the token's epoch.
+// Epoch returns the token's epoch.
 func (t Token) Epoch() uint64 { return uint64(t) >> EpochShift }
 
-// String writes epoch and number, as in "0.17".
+// String formats epoch and number, as in "0.17".
 func (t Token) String() string {
 	return fmt.Sprintf("%d.%d", t.Epoch(), uint64(t)&(1<<EpochShift-1))
 }
 
-// Fence is an order's right to act: the duty and the token of whoever sent it. It stands in
-// a CommandRequest, and in the header FenceHeader of calls that follow it.
+// Fence authorizes an order: the duty and the fencing token of its sender. It is sent in a
+// CommandRequest, and in the header FenceHeader of the calls that follow it.
 type Fence struct {
 	Duty  string `json:"duty"`
 	Token Token  `json:"token"`
@@ -79,147 +79,148 @@
 // FenceHeader carries a Fence as text.
 const FenceHeader = "Otterstep-Fence"
 
-// String writes a fence as ReadFence reads it.
+// String formats a fence as ReadFence parses it.
 func (f Fence) String() string { return fmt.Sprintf("%s %d", f.Duty, uint64(f.Token)) }
 
-// ReadFence reads one.
+// ReadFence parses the value of FenceHeader.
 func ReadFence(text string) (*Fence, error) {
 	duty, number, _ := strings.Cut(text, " ")
 	token, err := strconv.ParseUint(number, 10, 64)
 	if err != nil || !Name.MatchString(duty) || token == 0 {
-		return nil, Errorf(CodeUsage, "%s: %.80q is no duty with a token", FenceHeader, text)
+		return nil, Errorf(CodeUsage, "%s: %.80q is not a duty and its token", FenceHeader, text)
 	}
 	return &Fence{duty, Token(token)}, nil
 }
 
-// Raised answers a raised token: what is at the agent, behind it.
+// Raised is the answer to a raised token: the agent's instances as of that token.
 type Raised struct {
 	Instances []Instance `json:"instances"`
 }
 
-// Fleet is how far the fleet's word has come at an agent and its instances. Nothing here is claimed that an
-// instance's present process has not confirmed.
+// Fleet reports which version of the fleet's bans an agent and its instances have applied. A version counts for
+// an instance only once the instance's current process has confirmed it.
 type Fleet struct {
 	Agent   string        `json:"agent"`
-	Version Token         `json:"version"` // the latest that the agent has on its disk
+	Version Token         `json:"version"` // the latest one stored on the agent's disk
 	Token   Token         `json:"token"`
-	Heard   time.Duration `json:"heard_ns"` // since the agent heard that nothing later was said
-	Known   bool          `json:"heard"`    // it has heard so since its start
-	// Instances are those that have a control socket.
+	Heard   time.Duration `json:"heard_ns"` // since the agent was last told that Version is the latest
+	Known   bool          `json:"heard"`    // whether it was told so since its start
+	// Instances lists the instances that have a control socket.
 	Instances []Told `json:"instances"`
 }
 
-// FleetOrder is what the owner of the fleet's duty says to an agent, behind its token: which version is the
-// latest, with the word if the agent lacks it.
+// FleetOrder is sent by the owner of the fleet's duty to an agent, under its token: the latest version, with
+// the bans if the agent lacks that version.
 type FleetOrder struct {
 	Version Token        `json:"version"`
 	Word    *cordon.Word `json:"word,omitempty"`
 }
 
-// Told is how far the fleet's word has come at an instance.
+// Told reports which version of the fleet's bans an instance has applied.
 type Told struct {
 	Instance string    `json:"instance"`
 	Group    string    `json:"group,omitempty"`
 	Zone     string    `json:"zone,omitempty"` // its label "zone"
-	Version  Token     `json:"version"`        // that its present process has confirmed last
-	Since    time.Time `json:"since,omitzero"` // when it confirmed that
+	Version  Token     `json:"version"`        // last confirmed by its current process
+	Since    time.Time `json:"since,omitzero"` // when it confirmed Version
 	Waits    string    `json:"waits,omitempty"`
 	Runs     bool      `json:"runs"`
 	Listed   int       `json:"listed,omitempty"`
-	Missing  []string  `json:"missing,omitempty"` // servers that are out and that its list does not name
-	Hand     []string  `json:"by_hand,omitempty"` // servers that are out by hand, at this instance alone
-	Desired  string    `json:"desired"`           // as in Instance, as the next two
+	Missing  []string  `json:"missing,omitempty"` // banned servers that are not in its list
+	Hand     []string  `json:"by_hand,omitempty"` // servers cordoned manually at this instance
+	Desired  string    `json:"desired"`           // as in Instance, like the next two
 	State    string    `json:"state"`
 	Program  string    `json:"program,omitempty"`
 }
 
-// Recovery is what an agent knows of its own memory, and what it holds for that.
+// Recovery reports the state of an agent's stored data, and the instances it does not start because of it.
 type Recovery struct {
 	Agent     string `json:"agent"`
-	Memory    string `json:"memory"`    // whole, older than its copy, lost or blank
-	Forgetful bool   `json:"forgetful"` // it refuses a duty's orders until the council has answered
+	Memory    string `json:"memory"`    // whether its stored data is whole, older than its copy, lost or blank
+	Forgetful bool   `json:"forgetful"` // it refuses orders of duty owners until the council has answered
 	Council   string `json:"council"`   // none, silent or answered
 	Folder    string `json:"folder"`
 	Starts    uint64 `json:"starts"`
 	Held      []Held `json:"held"`
 }
 
-// Held is an instance that is not started, and why.
+// Held is an instance that is not started until its desired state is known.
 type Held struct {
 	Instance string    `json:"instance"`
 	Since    time.Time `json:"since"`
 	Why      string    `json:"why"`
-	// Until is when it is decided anew by itself; zero: when somebody decides, or answers.
+	// Until is when the agent decides again without an operator. If zero, it waits for an operator's
+	// decision or for an answer.
 	Until time.Time `json:"until,omitzero"`
 	Runs  bool      `json:"runs"`
 }
 
-// Recover has one voter go on alone. The cluster's name is the operator's confirmation.
+// Recover makes one voter the only voter of the council. The cluster's name is the operator's confirmation.
 type Recover struct {
 	Cluster string `json:"cluster"`
 }
 
-// Decision is an operator's word on a held instance.
+// Decision is an operator's decision on a held instance.
 type Decision struct {
 	Up bool `json:"up"`
 }
 
-// The kinds of commands.
+// Kinds of commands.
 const (
 	Start   = "start"
 	Drain   = "drain"
 	Restart = "restart"
 	Reload  = "reload"
-	Upgrade = "upgrade" // to another version of the program; only as a job of the fleet
+	Upgrade = "upgrade" // to another version of the program; only as a job of the council
 )
 
-// Kinds lists them.
+// Kinds lists the kinds of commands.
 var Kinds = []string{Start, Drain, Restart, Reload, Upgrade}
 
-// The states of a command.
+// States of a command.
 const (
 	Open    = "open"
 	Closed  = "closed"
-	Expired = "expired" // its tool did not renew it
+	Expired = "expired" // its tool did not renew the lease
 )
 
-// The states of an operation.
+// States of an operation.
 const (
 	Running     = "running"
 	Done        = "done"
 	Failed      = "failed"
-	Interrupted = "interrupted" // stopped half-way; its last step says where
+	Interrupted = "interrupted" // stopped before its end; its last step says where
 	Aborted     = "aborted"
 )
 
-// The states of an instance's process.
+// States of an instance's process.
 const (
-	StateUp       = "up"       // it runs, and /up answers 200
-	StateRunning  = "running"  // it runs
-	StateDown     = "down"     // it does not run and is not meant to
-	StateBackoff  = "backoff"  // it crashed and is started again after a while
-	StateGaveUp   = "gave-up"  // it crashed too often: it is left alone until a command starts it
-	StateUnknown  = "unknown"  // its run file is held by a process that can't be told
-	StateStopping = "stopping" // it was told to end
-	StateHeld     = "held"     // nobody knows whether it is to run; otterctl recovery says why
-	StatePaced    = "paced"    // it is started in its turn, as many may come back at once
+	StateUp       = "up"       // running, and /up answers 200
+	StateRunning  = "running"  // running, but not known to be up
+	StateDown     = "down"     // not running, as desired
+	StateBackoff  = "backoff"  // crashed; restarted after a delay
+	StateGaveUp   = "gave-up"  // crashed too often: not restarted until a command starts it
+	StateUnknown  = "unknown"  // its run file is locked by a process that can't be identified
+	StateStopping = "stopping" // was told to end
+	StateHeld     = "held"     // its desired state is not known; otterctl recovery says why
+	StatePaced    = "paced"    // waiting to be started: the rate of simultaneous starts is limited
 )
 
-// Agent describes an agent.
+// Agent is an agent's own state.
 type Agent struct {
 	Name      string           `json:"name"`
 	Protocol  int              `json:"protocol"`
 	Version   string           `json:"version"`
 	Started   time.Time        `json:"started"`
 	Instances int              `json:"instances"`
-	Record    string           `json:"record"` // "ok", or why no command is taken
+	Record    string           `json:"record"` // "ok", or why no command is accepted
 	Refused   map[string]int64 `json:"refused"`
-	// Strays are instances that run and are not in the agent's file: nobody looks
-	// after them.
+	// Strays are running instances that are not in the agent's file and therefore not
+	// supervised.
 	Strays []string `json:"strays,omitempty"`
 }
 
-// Holder is who holds an instance.
+// Holder is the command that holds the lease on an instance.
 type Holder struct {
 	Command  string    `json:"command"`
 	Kind     string    `json:"kind"`
@@ -238,42 +239,42 @@
 	Pid        int               `json:"pid,omitempty"`
 	Since      time.Time         `json:"since,omitzero"` // of the state
 	Generation uint64            `json:"generation"`     // counts the operations on it
-	Crashes    int               `json:"crashes"`        // since it last ran steadily
+	Crashes    int               `json:"crashes"`        // since it last ran stably
 	Message    string            `json:"message,omitempty"`
 	Holder     *Holder           `json:"holder,omitempty"`
-	Operation  string            `json:"operation,omitempty"` // under way
-	// Program is the version of the program that is desired of it, "" for that of the agent's file.
+	Operation  string            `json:"operation,omitempty"` // id of the running operation
+	// Program is the desired version of the program, "" for the one in the agent's file.
 	Program string `json:"program,omitempty"`
-	// Order is the command that a process was started for last, as the run file tells: it outlives
-	// the record.
+	// Order is the command that last started a process, read from the run file, which survives the
+	// loss of the record.
 	Order string `json:"order,omitempty"`
 }
 
-// Seen is an instance with the generation that a tool saw.
+// Seen is an instance with the generation that the tool last read.
 type Seen struct {
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
 }
 
-// CommandRequest opens a command: it takes a lease over all the instances at once,
-// or over none.
+// CommandRequest opens a command: it acquires a lease on all the instances at once,
+// or on none.
 type CommandRequest struct {
 	ID        string `json:"id"`
 	Kind      string `json:"kind"`
 	Instances []Seen `json:"instances"`
-	// Plan is how the tool means to go about it, for whoever resumes it.
+	// Plan is the tool's plan for the command, kept for a tool that resumes it.
 	Plan string `json:"plan,omitempty"`
-	// Resume takes up a command of this id that has ended.
+	// Resume reopens the ended command with this id.
 	Resume bool `json:"resume,omitempty"`
-	// Fence is the duty for which an owner orders this, OnBehalf the operator whose job it is.
-	// Agents from before there were duties refuse both as unknown fields.
+	// Fence is the duty under which an owner sends this, OnBehalf the operator who submitted the job.
+	// Agents older than the duties refuse both as unknown fields.
 	Fence    *Fence `json:"fence,omitempty"`
 	OnBehalf string `json:"on_behalf,omitempty"`
-	// Program is the version that an Upgrade goes to, "" for that of the agent's file.
+	// Program is the target version of an Upgrade, "" for the one in the agent's file.
 	Program string `json:"program,omitempty"`
 }
 
-// Command is one command's part at one agent.
+// Command is the part of a command that concerns one agent.
 type Command struct {
 	ID         string      `json:"id"`
 	Kind       string      `json:"kind"`
@@ -283,7 +284,7 @@
 	Opened     time.Time   `json:"opened"`
 	State      string      `json:"state"`
 	Reason     string      `json:"reason,omitempty"`
-	Fence      *Fence      `json:"fence,omitempty"` // of the latest owner that took it up
+	Fence      *Fence      `json:"fence,omitempty"` // of the latest owner that opened or resumed it
 	Instances  []string    `json:"instances"`
 	Operations []Operation `json:"operations"`
 }
@@ -293,14 +294,14 @@
 	Reason string `json:"reason"`
 }
 
-// Operation is what one command does to one instance.
+// Operation is the work of one command on one instance.
 type Operation struct {
 	Command    string    `json:"command"`
 	Kind       string    `json:"kind"`
 	Instance   string    `json:"instance"`
 	Operator   string    `json:"operator"`
 	Generation uint64    `json:"generation"`
-	Token      Token     `json:"token,omitempty"` // of the owner that began it or took it over
+	Token      Token     `json:"token,omitempty"` // of the owner that started it or took it over
 	State      string    `json:"state"`
 	Reason     string    `json:"reason,omitempty"`
 	Steps      []Step    `json:"steps"`
@@ -308,26 +309,26 @@
 	Ended      time.Time `json:"ended,omitzero"`
 }
 
-// Step is a step of an operation, written down before it is taken.
+// Step is a step of an operation, recorded on disk before it is executed.
 type Step struct {
 	Name string    `json:"name"`
 	At   time.Time `json:"at"`
 	Note string    `json:"note,omitempty"`
 }
 
-// The codes of an Error.
+// Codes of an Error.
 const (
 	CodeUsage     = "usage"
 	CodeVersion   = "version"
 	CodeForbidden = "forbidden"
 	CodeNotFound  = "not-found"
 	CodeConflict  = "conflict"
-	CodeTooOld    = "too-old"    // the command's id is older than what is remembered
-	CodeRecord    = "record"     // nothing can be written down, so nothing is begun
-	CodeFenced    = "fenced"     // a newer owner has been here: the order is refused
-	CodeNoCouncil = "no-council" // there is none, or it has no leader that can be reached
+	CodeTooOld    = "too-old"    // the command's id is older than the retained history
+	CodeRecord    = "record"     // the record can't be written, so nothing is started
+	CodeFenced    = "fenced"     // the agent has seen a newer owner's token: the order is refused
+	CodeNoCouncil = "no-council" // there is none, or it has no reachable leader
 	CodeOff       = "off"        // the agent's file has no [council]
-	CodeForgetful = "forgetful"  // the agent has lost its memory and carries nothing out yet
+	CodeForgetful = "forgetful"  // the agent has lost its stored data and executes nothing yet
 	CodeFailed    = "failed"
 )
 
@@ -336,13 +337,13 @@
 	Code     string  `json:"code"`
 	Text     string  `json:"text"`
 	Instance string  `json:"instance,omitempty"`
-	Holder   *Holder `json:"holder,omitempty"` // CodeConflict: who holds the instance
-	Leader   string  `json:"leader,omitempty"` // CodeNoCouncil: the agent that leads, if it is known
+	Holder   *Holder `json:"holder,omitempty"` // CodeConflict: the command that holds the instance
+	Leader   string  `json:"leader,omitempty"` // CodeNoCouncil: the leader's agent, if known
 }
 
 func (e *Error) Error() string { return e.Text }
 
-// Status gives the HTTP status that goes with an error.
+// Status returns the HTTP status for an error.
 func (e *Error) Status() int {
 	switch e.Code {
 	case CodeUsage, CodeVersion:
@@ -359,39 +360,39 @@
 	return 500
 }
 
-// Errorf makes an Error.
+// Errorf returns an Error with a code and a formatted text.
 func Errorf(code, format string, args ...any) *Error {
 	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// A command's id begins with the time at which its tool made it, so that an agent
-// can tell one that it has forgotten from one that it never saw.
-var idForm = regexp.MustCompile(`^[0-9a-f]{12}-[0-9a-f]{16}$`)
+// A command's id begins with the time of its creation, so that an agent can tell a
+// command dropped from its history from one that it never received.
+var idPattern = regexp.MustCompile(`^[0-9a-f]{12}-[0-9a-f]{16}$`)
 
-// NewID makes a command's id from a time and 64 random bits.
+// NewID returns a command's id made from a time and 64 random bits.
 func NewID(now time.Time, random uint64) string {
 	return fmt.Sprintf("%012x-%016x", now.UnixMilli(), random)
 }
 
-// IDTime reads the time in a command's id.
+// IDTime returns the time in a command's id.
 func IDTime(id string) (time.Time, error) {
-	if !idForm.MatchString(id) {
-		return time.Time{}, fmt.Errorf("%q is no command's id", id)
+	if !idPattern.MatchString(id) {
+		return time.Time{}, fmt.Errorf("%q is not a command id", id)
 	}
 	ms, err := strconv.ParseInt(id[:12], 16, 64)
 	if err != nil {
-		return time.Time{}, fmt.Errorf("%q is no command's id: %w", id, err)
+		return time.Time{}, fmt.Errorf("%q is not a command id: %w", id, err)
 	}
 	return time.UnixMilli(ms), nil
 }
 
-// Operator is the form of an operator's name, as certificates and users of a machine have it.
+// Operator matches an operator's name, taken from a certificate or a local user.
 var Operator = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@:-]{0,127}$`)
 
-// Name is the form of an agent's, instance's or group's name.
+// Name matches the name of an agent, instance or group.
 var Name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Clip bounds what is said of a thing; more than WordsMost is cut off.
+// Clip truncates a text to WordsMost bytes.
 func Clip(words string) string {
 	if len(words) <= WordsMost {
 		return words
