--- a/internal/fleet/ctl/fleet.go
+++ b/internal/fleet/ctl/fleet.go
@@ -22,11 +22,11 @@
 	"otterstep/internal/tomlfile"
 )
 
-// standEvery is how often a tool that waits looks how far a version has come.
-const standEvery = 100 * time.Millisecond
+// statusInterval is how often the tool queries which instances have confirmed a version while it waits.
+const statusInterval = 100 * time.Millisecond
 
-// fleetFile is the operators' file of what a fleet should be.
-type fleetFile struct {
+// desiredFile is the operators' file with the fleet's desired state.
+type desiredFile struct {
 	Budgets *struct {
 		Away     *int               `toml:"away"`
 		Zone     *int               `toml:"zone"`
@@ -45,10 +45,10 @@
 	} `toml:"ban"`
 }
 
-// loadFleet reads a file as a change of a document: groups that it does not name are as the agents' files have
-// them, budgets that it does not give are the usual ones, and bans that it does not name stay.
-func loadFleet(path string, now *desired.Document) (*desired.Part, error) {
-	var file fleetFile
+// loadDesiredFile reads a file as a change of a document: groups that it does not name are reset to the agents'
+// files, budgets that it does not give have their default, and bans that it does not name stay.
+func loadDesiredFile(path string, now *desired.Document) (*desired.Part, error) {
+	var file desiredFile
 	f, err := tomlfile.Load(path, &file)
 	if err != nil {
 		return nil, err
@@ -102,34 +102,35 @@
 	return p, f.Err()
 }
 
-// desired hands what the fleet should be to show, once it is known.
-func (o *options) desired(c *cobra.Command, look func(*cobra.Command, func(context.Context, *group.Fleet) error) error, show func(context.Context, *group.Fleet, duty.FleetView) error) error {
-	return look(c, func(ctx context.Context, f *group.Fleet) error {
+// withDesired calls show with the fleet's desired state. with is withFleet or withReadTimeout.
+func (o *options) withDesired(c *cobra.Command, with func(*cobra.Command, func(context.Context, *group.Fleet) error) error, show func(context.Context, *group.Fleet, duty.FleetView) error) error {
+	return with(c, func(ctx context.Context, f *group.Fleet) error {
 		v, err := f.Desired(ctx)
 		if errors.Is(err, group.ErrNoFleet) {
 			return &cli.Exit{Code: cli.Usage, Err: err}
 		}
 		if err != nil {
-			return councilExit(err)
+			return councilError(err)
 		}
 		return show(ctx, f, v)
 	})
 }
 
-// change makes a change of what was seen, and waits until all nodes have confirmed it, unless told not to.
-func (o *options) change(c *cobra.Command, detach bool, make func(v duty.FleetView) (desired.Change, error)) error {
-	return o.desired(c, o.with, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
+// change builds a change from the current desired state, submits it, and waits until all nodes have confirmed it
+// unless detach is set.
+func (o *options) change(c *cobra.Command, detach bool, build func(v duty.FleetView) (desired.Change, error)) error {
+	return o.withDesired(c, o.withFleet, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
 		if !v.Current {
-			return councilExit(protocol.Errorf(protocol.CodeNoCouncil, "%s tells what may be old, as no leader can be reached: nothing is changed", v.From))
+			return councilError(protocol.Errorf(protocol.CodeNoCouncil, "%s has only a state that may be outdated, as no leader can be reached: nothing was changed", v.From))
 		}
-		change, err := make(v)
+		change, err := build(v)
 		if err != nil {
 			return err
 		}
 		change.ID, change.At, change.Saw = protocol.NewID(time.Now(), rand.Uint64()), time.Now(), v.State.Document.Version
 		version, err := f.Change(ctx, change)
 		if err != nil {
-			return councilExit(err)
+			return councilError(err)
 		}
 		if detach {
 			return o.show(c.OutOrStdout(), struct {
@@ -137,12 +138,12 @@
 			}{version}, func(p *printer) { fmt.Fprintf(p.tab, "version %v\n", version) }, false)
 		}
 		var st reconcile.Standing
-		var told map[string]protocol.Fleet
+		var reported map[string]protocol.Fleet
 		for {
-			if st, told = f.Standing(ctx, version); len(st.Waiting) == 0 {
+			if st, reported = f.Standing(ctx, version); len(st.Waiting) == 0 {
 				break
 			}
-			wait := time.NewTimer(standEvery)
+			wait := time.NewTimer(statusInterval)
 			select {
 			case <-wait.C:
 				continue
@@ -151,55 +152,55 @@
 			wait.Stop()
 			break
 		}
-		return o.show(c.OutOrStdout(), st, func(p *printer) { p.standing(st, told) }, len(st.Waiting) > 0)
+		return o.show(c.OutOrStdout(), st, func(p *printer) { p.versionStatus(st, reported) }, len(st.Waiting) > 0)
 	})
 }
 
-// fleets are the commands on what the fleet should be.
-func (o *options) fleets() []*cobra.Command {
+// fleetCommands returns the commands on the fleet's desired state.
+func (o *options) fleetCommands() []*cobra.Command {
 	detach := false
-	waits := func(c *cobra.Command) *cobra.Command {
+	addDetachFlag := func(c *cobra.Command) *cobra.Command {
 		c.Flags().BoolVar(&detach, "detach", false, "do not wait until all nodes have confirmed it")
 		return c
 	}
-	reason, last := "", time.Duration(0)
-	ban := waits(&cobra.Command{
-		Use: "ban SERVER --reason TEXT", Short: "Leave a server out at all nodes, for a time or until unban", Args: cobra.ExactArgs(1),
+	reason, duration := "", time.Duration(0)
+	ban := addDetachFlag(&cobra.Command{
+		Use: "ban SERVER --reason TEXT", Short: "Ban a server at all nodes, for a time or until unban", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return o.change(c, detach, func(duty.FleetView) (desired.Change, error) {
-				p := &desired.Part{Bans: map[string]*desired.Ban{args[0]: {Server: args[0], Reason: reason, For: last}}}
+				p := &desired.Part{Bans: map[string]*desired.Ban{args[0]: {Server: args[0], Reason: reason, For: duration}}}
 				if err := p.Check(); err != nil {
-					return desired.Change{}, usage("%v", err)
+					return desired.Change{}, usageErrorf("%v", err)
 				}
 				return desired.Change{Set: p, Note: reason}, nil
 			})
 		},
 	})
-	ban.Flags().StringVar(&reason, "reason", "", "why, for whoever looks at it later")
-	ban.Flags().DurationVar(&last, "for", 0, "how long it lasts; until unban if not given")
-	unban := waits(&cobra.Command{
-		Use: "unban SERVER", Short: "End the fleet's ban of a server; a call by hand at a single node stays", Args: cobra.ExactArgs(1),
+	ban.Flags().StringVar(&reason, "reason", "", "reason, shown in the status")
+	ban.Flags().DurationVar(&duration, "for", 0, "duration of the ban; until unban if not given")
+	unban := addDetachFlag(&cobra.Command{
+		Use: "unban SERVER", Short: "End the fleet's ban of a server; a manual cordon at a single node stays", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return o.change(c, detach, func(v duty.FleetView) (desired.Change, error) {
 				if v.State.Document.Bans[args[0]] == nil {
-					return desired.Change{}, usage("the fleet does not leave server %q out", args[0])
+					return desired.Change{}, usageErrorf("server %q is not banned", args[0])
 				}
 				return desired.Change{Set: &desired.Part{Bans: map[string]*desired.Ban{args[0]: nil}}}, nil
 			})
 		},
 	})
 	file := ""
-	apply := waits(&cobra.Command{
-		Use: "apply -f FILE", Short: "Have the fleet be as a file says", Args: cobra.NoArgs,
+	apply := addDetachFlag(&cobra.Command{
+		Use: "apply -f FILE", Short: "Set the fleet's desired state from a file", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if file == "" {
-				return usage("-f FILE: which file says it")
+				return usageErrorf("-f FILE: required")
 			}
 			if o.dryRun {
-				return o.would(c, file)
+				return o.showFileDiff(c, file)
 			}
 			return o.change(c, detach, func(v duty.FleetView) (desired.Change, error) {
-				p, err := loadFleet(file, &v.State.Document)
+				p, err := loadDesiredFile(file, &v.State.Document)
 				if err != nil {
 					return desired.Change{}, &cli.Exit{Code: cli.Usage, Err: err}
 				}
@@ -207,44 +208,44 @@
 			})
 		},
 	})
-	apply.Flags().StringVarP(&file, "file", "f", "", "what the fleet should be")
-	apply.Flags().BoolVar(&o.dryRun, "dry-run", false, "say what would change, and change nothing")
+	apply.Flags().StringVarP(&file, "file", "f", "", "file with the fleet's desired state")
+	apply.Flags().BoolVar(&o.dryRun, "dry-run", false, "show what would change, and change nothing")
 	diff := &cobra.Command{
 		Use: "diff [-f FILE | VERSION]", Short: "Show what a file would change, or what has changed since a version", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if file != "" {
-				return o.would(c, file)
+				return o.showFileDiff(c, file)
 			}
 			since := desired.Version(0)
 			if len(args) == 1 {
 				var err error
-				if since, err = version(args[0]); err != nil {
+				if since, err = parseVersion(args[0]); err != nil {
 					return err
 				}
 			}
-			return o.desired(c, o.look, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
+			return o.withDesired(c, o.withReadTimeout, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
 				if len(args) == 0 {
 					since = v.State.Floor
 				}
 				lines, ok := v.State.Diff(since)
 				if !ok {
-					return usage("what came behind version %v is not remembered any more, as far back as %v is", since, v.State.Floor)
+					return usageErrorf("changes since version %v are no longer in the history, which starts at version %v", since, v.State.Floor)
 				}
-				return o.lines(c, v, lines)
+				return o.showChanges(c, v, lines)
 			})
 		},
 	}
-	diff.Flags().StringVarP(&file, "file", "f", "", "what the fleet should be")
-	return []*cobra.Command{ban, unban, apply, diff, o.status(), waits(&cobra.Command{
-		Use: "undo [VERSION]", Short: "Take back what a version changed, the latest one's if none is named, as a new version", Args: cobra.MaximumNArgs(1),
+	diff.Flags().StringVarP(&file, "file", "f", "", "file with the fleet's desired state")
+	return []*cobra.Command{ban, unban, apply, diff, o.statusCommand(), addDetachFlag(&cobra.Command{
+		Use: "undo [VERSION]", Short: "Revert the changes of a version, by default the latest, as a new version", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return o.change(c, detach, func(v duty.FleetView) (desired.Change, error) {
 				if len(args) == 1 {
-					back, err := version(args[0])
+					back, err := parseVersion(args[0])
 					return desired.Change{Undo: back, Note: "undo " + args[0]}, err
 				}
 				if len(v.State.History) == 0 {
-					return desired.Change{}, usage("there is no change to take back")
+					return desired.Change{}, usageErrorf("there is no change to revert")
 				}
 				back := v.State.History[len(v.State.History)-1].Version
 				return desired.Change{Undo: back, Note: "undo " + back.String()}, nil
@@ -253,38 +254,38 @@
 	})}
 }
 
-// version reads one, as "0.17".
-func version(text string) (desired.Version, error) {
+// parseVersion parses a version such as "0.17".
+func parseVersion(text string) (desired.Version, error) {
 	epoch, number, ok := strings.Cut(text, ".")
 	e, err1 := strconv.ParseUint(epoch, 10, 64-protocol.EpochShift)
 	n, err2 := strconv.ParseUint(number, 10, protocol.EpochShift)
 	if !ok || err1 != nil || err2 != nil {
-		return 0, usage("%q is no version such as 0.17", text)
+		return 0, usageErrorf("%q is not a version such as 0.17", text)
 	}
 	return desired.Version(e<<protocol.EpochShift | n), nil
 }
 
-// would shows what a file would change.
-func (o *options) would(c *cobra.Command, file string) error {
-	return o.desired(c, o.look, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
-		p, err := loadFleet(file, &v.State.Document)
+// showFileDiff shows what a file would change.
+func (o *options) showFileDiff(c *cobra.Command, file string) error {
+	return o.withDesired(c, o.withReadTimeout, func(_ context.Context, _ *group.Fleet, v duty.FleetView) error {
+		p, err := loadDesiredFile(file, &v.State.Document)
 		if err != nil {
 			return &cli.Exit{Code: cli.Usage, Err: err}
 		}
-		return o.lines(c, v, v.State.Would(*p))
+		return o.showChanges(c, v, v.State.Would(*p))
 	})
 }
 
-func (o *options) lines(c *cobra.Command, v duty.FleetView, lines []string) error {
+func (o *options) showChanges(c *cobra.Command, v duty.FleetView, lines []string) error {
 	answer := struct {
 		Version desired.Version `json:"version"`
 		Current bool            `json:"current"`
 		Changes []string        `json:"changes"`
 	}{v.State.Document.Version, v.Current, append([]string{}, lines...)}
 	return o.show(c.OutOrStdout(), answer, func(p *printer) {
-		p.desiredCurrency(v)
+		p.staleFleetWarning(v)
 		for _, line := range lines {
-			fmt.Fprintln(p.tab, clean(line))
+			fmt.Fprintln(p.tab, stripControl(line))
 		}
 		if len(lines) == 0 {
 			fmt.Fprintln(p.tab, "no change")
@@ -292,45 +293,45 @@
 	}, !v.Current)
 }
 
-func (o *options) status() *cobra.Command {
+func (o *options) statusCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Show what the fleet should be, and for each node which version it has confirmed", Args: cobra.NoArgs,
+		Use: "status", Short: "Show the fleet's desired state, and which version each node has confirmed", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.desired(c, o.look, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
-				st, told := f.Standing(ctx, v.State.Document.Version)
+			return o.withDesired(c, o.withReadTimeout, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
+				st, reported := f.Standing(ctx, v.State.Document.Version)
 				answer := struct {
 					Current  bool                      `json:"current"`
 					Owner    string                    `json:"owner"`
 					State    *desired.State            `json:"state"`
 					Standing reconcile.Standing        `json:"standing"`
 					Agents   map[string]protocol.Fleet `json:"agents"`
-				}{v.Current, v.Owner, v.State, st, told}
+				}{v.Current, v.Owner, v.State, st, reported}
 				return o.show(c.OutOrStdout(), answer, func(p *printer) {
-					p.desiredCurrency(v)
+					p.staleFleetWarning(v)
 					p.document(v.State)
-					p.standing(st, told)
+					p.versionStatus(st, reported)
 				}, !v.Current || len(st.Waiting) > 0)
 			})
 		},
 	}
 }
 
-func (p *printer) desiredCurrency(v duty.FleetView) {
+func (p *printer) staleFleetWarning(v duty.FleetView) {
 	if !v.Current {
-		fmt.Fprintf(p.tab, "MAY BE OLD: %s answers and no majority stands behind it\n", clean(v.From))
+		fmt.Fprintf(p.tab, "MAY BE OLD: answer of %s, not confirmed by a majority\n", stripControl(v.From))
 	}
 }
 
-// document shows what the fleet should be.
+// document shows the fleet's desired state.
 func (p *printer) document(s *desired.State) {
 	d := &s.Document
-	fmt.Fprintf(p.tab, "version %v; %d servers listed; at most %v of them out, %d of a group's instances away", d.Version, s.Servers, d.Budgets.Out, d.Budgets.Away)
+	fmt.Fprintf(p.tab, "version %v; %d servers listed; limits: %v of them banned, %d of a group's instances unavailable", d.Version, s.Servers, d.Budgets.Out, d.Budgets.Away)
 	if d.Budgets.Zone > 0 {
 		fmt.Fprintf(p.tab, ", %d of a zone's", d.Budgets.Zone)
 	}
 	fmt.Fprint(p.tab, "\n\n")
 	if len(d.Bans) > 0 {
-		p.line("SERVER OUT", "REASON", "BY", "SINCE", "LASTS")
+		p.line("BANNED SERVER", "REASON", "BY", "SINCE", "LASTS")
 		for _, id := range slices.Sorted(maps.Keys(d.Bans)) {
 			b := d.Bans[id]
 			lasts := "until unban"
@@ -350,11 +351,11 @@
 	}
 }
 
-// standing shows how far a version has come.
-func (p *printer) standing(st reconcile.Standing, told map[string]protocol.Fleet) {
-	p.line("INSTANCE", "CONFIRMED", "SINCE", "OUT BY HAND HERE", "NOT IN ITS LIST", "WAITS")
-	for _, agent := range slices.Sorted(maps.Keys(told)) {
-		for _, t := range told[agent].Instances {
+// versionStatus shows which instances have confirmed a version.
+func (p *printer) versionStatus(st reconcile.Standing, reported map[string]protocol.Fleet) {
+	p.line("INSTANCE", "CONFIRMED", "SINCE", "CORDONED MANUALLY", "NOT IN ITS LIST", "WAITS")
+	for _, agent := range slices.Sorted(maps.Keys(reported)) {
+		for _, t := range reported[agent].Instances {
 			why, since := t.Waits, ""
 			if i := slices.IndexFunc(st.Waiting, func(w reconcile.Waiting) bool { return w.Agent == agent && w.Instance == t.Instance }); i >= 0 {
 				why = st.Waiting[i].Why
--- a/internal/fleet/ctl/fleet_test.go
+++ b/internal/fleet/ctl/fleet_test.go
@@ -10,15 +10,15 @@
 	"otterstep/internal/fleet/desired"
 )
 
-// A file of what the fleet should be is taken whole or told all that is wrong with it, each with its line.
-func TestFleetFile(t *testing.T) {
+// A file with the fleet's desired state is applied whole, or rejected with all its errors and their lines.
+func TestDesiredFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	load := func(text string) (*desired.Part, error) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return loadFleet(path, &desired.Document{Groups: map[string]*desired.Group{"old": {Program: "v1"}}})
+		return loadDesiredFile(path, &desired.Document{Groups: map[string]*desired.Group{"old": {Program: "v1"}}})
 	}
 	p, err := load("[budgets]\naway = 2\nstarts = 0.5\n[[group]]\nname = \"g\"\nprogram = \"v2\"\n[[ban]]\nserver = \"s1\"\nreason = \"disk\"\nfor = \"2h\"\n")
 	if err != nil {
@@ -30,7 +30,7 @@
 		t.Errorf("%+v", p)
 	}
 	if g, named := p.Groups["old"]; g != nil || !named {
-		t.Errorf("a group that is not named any more: %+v", g)
+		t.Errorf("a group that the file no longer names: %+v", g)
 	}
 	_, err = load("[budgets]\naway = 0\n[[group]]\nname = \"g\"\n[[group]]\nname = \"g\"\n[[ban]]\nserver = \"s1\"\n[[ban]]\nserver = \"s2\"\nreason = \"x\"\nfor = \"1ms\"\nfro = 1\n")
 	for _, want := range []string{
@@ -44,7 +44,7 @@
 
 func TestVersions(t *testing.T) {
 	for text, want := range map[string]desired.Version{"0.17": 17, "2.1": 2<<40 | 1, "": 0, "17": 0, "0.x": 0, "-1.2": 0, "0.99999999999999999": 0} {
-		got, err := version(text)
+		got, err := parseVersion(text)
 		if got != want || (err == nil) != (want != 0) {
 			t.Errorf("%q: %v, %v", text, got, err)
 		}
--- a/internal/fleet/ctl/print.go
+++ b/internal/fleet/ctl/print.go
@@ -21,8 +21,8 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// show writes an answer in the form that was asked for. silent makes the exit code
-// say that some did not answer.
+// show writes an answer in the requested format. silent selects the exit code for
+// agents that did not answer.
 func (o *options) show(w io.Writer, answer any, table func(*printer), silent bool) error {
 	if o.output == "json" {
 		e := json.NewEncoder(w)
@@ -52,11 +52,11 @@
 	return &printer{tabwriter.NewWriter(w, 0, 0, 2, ' ', 0), wide, time.Now()}
 }
 
-// line writes a row; an empty cell is shown as a dash. What agents say is shown
-// without control characters, which could rewrite a terminal.
+// line writes a row; an empty cell is shown as a dash. Control characters are replaced,
+// since texts of agents could otherwise send escape sequences to the terminal.
 func (p *printer) line(cells ...any) {
 	for n, c := range cells {
-		text := clean(fmt.Sprint(c))
+		text := stripControl(fmt.Sprint(c))
 		if text == "" {
 			text = "-"
 		}
@@ -68,7 +68,7 @@
 	fmt.Fprintln(p.tab)
 }
 
-func clean(text string) string {
+func stripControl(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
 			return '?'
@@ -84,7 +84,7 @@
 	return p.now.Sub(t).Round(time.Second).String()
 }
 
-func labels(m map[string]string) string {
+func formatLabels(m map[string]string) string {
 	var all []string
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		all = append(all, k+"="+m[k])
@@ -104,14 +104,14 @@
 			held = r.Holder.Operator + " (" + r.Holder.Kind + ")"
 		}
 		if p.wide {
-			p.line(r.Agent, r.Name, r.Group, r.State, p.age(r.Since), r.Desired, r.Pid, r.Listen, r.Generation, r.Crashes, labels(r.Labels), held, r.Message)
+			p.line(r.Agent, r.Name, r.Group, r.State, p.age(r.Since), r.Desired, r.Pid, r.Listen, r.Generation, r.Crashes, formatLabels(r.Labels), held, r.Message)
 		} else {
 			p.line(r.Agent, r.Name, r.Group, r.State, p.age(r.Since), held, r.Message)
 		}
 	}
 }
 
-func (p *printer) silent(silent []group.Silent) {
+func (p *printer) silent(silent []group.Unanswered) {
 	if len(silent) == 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 		p.classes(v.Counts)
 		p.servers(v.Servers)
 		if v.SIP != nil {
-			p.calls(v.SIP)
+			p.sip(v.SIP)
 		}
 		for i := range v.Web {
 			p.web(&v.Web[i])
@@ -158,7 +158,7 @@
 	}
 }
 
-// web shows one of an instance's fronts for ordinary HTTP.
+// web shows one of an instance's HTTP fronts.
 func (p *printer) web(v *control.Web) {
 	p.line("web "+v.Name, "listen "+v.Listen, fmt.Sprintf("open %d", v.Open), fmt.Sprintf("held %d", v.Held), fmt.Sprintf("streams %d", v.Streams), fmt.Sprintf("tunnels %d", v.Tunnels))
 	p.line("web "+v.Name+" ends", fmt.Sprintf("cut %d", v.Cut), fmt.Sprintf("clients gone %d", v.Gone), fmt.Sprintf("turned down %d", v.TurnedDown))
@@ -168,30 +168,30 @@
 	p.servers(v.Servers)
 }
 
-// calls shows an instance's SIP front.
-func (p *printer) calls(v *control.SIP) {
-	p.line("SIP", "listen "+counts(v.Listen), fmt.Sprintf("connections %d, turned away %d", v.Connections, v.TurnedAway))
+// sip shows an instance's SIP front.
+func (p *printer) sip(v *control.SIP) {
+	p.line("SIP", "listen "+formatCounts(v.Listen), fmt.Sprintf("connections %d, turned away %d", v.Connections, v.TurnedAway))
 	p.line("SIP requests", fmt.Sprintf("outside dialogs %d", v.Requests), fmt.Sprintf("inside %d", v.Inside), fmt.Sprintf("sources %d", v.Sources))
 	p.line("SIP dialogs", fmt.Sprintf("begun %d", v.Dialogs), fmt.Sprintf("BYE %d", v.Byes), fmt.Sprintf("late answers ended %d", v.Late))
-	p.line("SIP transactions", counts(v.Transactions), "at servers "+counts(v.Attempts), fmt.Sprintf("held %d", v.Held))
-	p.line("SIP finals", counts(v.Finals))
-	p.line("SIP ends", counts(v.Ends))
-	p.line("SIP refused", counts(v.Refused))
+	p.line("SIP transactions", formatCounts(v.Transactions), "at servers "+formatCounts(v.Attempts), fmt.Sprintf("held %d", v.Held))
+	p.line("SIP finals", formatCounts(v.Finals))
+	p.line("SIP ends", formatCounts(v.Ends))
+	p.line("SIP refused", formatCounts(v.Refused))
 	p.line("SIP odd", fmt.Sprintf("repeats %d", v.Repeats), fmt.Sprintf("stray %d", v.Stray), fmt.Sprintf("malformed %d", v.Malformed), fmt.Sprintf("dropped %d", v.Dropped))
 	p.classes(v.Counts)
 	p.servers(v.Servers)
 }
 
-// counts writes a map in the order of its keys; "-" if it is empty.
-func counts[K cmp.Ordered, V any](all map[K]V) string {
-	var words []string
+// formatCounts formats a map in the order of its keys; "-" if it is empty.
+func formatCounts[K cmp.Ordered, V any](all map[K]V) string {
+	var parts []string
 	for _, k := range slices.Sorted(maps.Keys(all)) {
-		words = append(words, fmt.Sprintf("%v %v", k, all[k]))
+		parts = append(parts, fmt.Sprintf("%v %v", k, all[k]))
 	}
-	if len(words) == 0 {
+	if len(parts) == 0 {
 		return "-"
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
 
 func (p *printer) classes(all map[string]map[string]int64) {
@@ -215,19 +215,19 @@
 
 func (p *printer) report(r *group.Report) {
 	p.line("AGENT", "INSTANCE", "OUTCOME", "TOOK", "")
-	for _, one := range r.Results {
-		p.line(one.Agent, one.Instance, one.Outcome, one.Took.Round(time.Millisecond), one.Text)
+	for _, result := range r.Results {
+		p.line(result.Agent, result.Instance, result.Outcome, result.Took.Round(time.Millisecond), result.Text)
 	}
 	p.silent(r.Silent)
 	fmt.Fprintln(p.tab)
 	if r.Conflict != nil {
-		fmt.Fprintf(p.tab, "conflict, nothing was done: %s\n", clean(r.Conflict.Text))
+		fmt.Fprintf(p.tab, "conflict, nothing was done: %s\n", stripControl(r.Conflict.Text))
 		if h := r.Holder; h != nil {
-			fmt.Fprintf(p.tab, "held by %s for %s %s since %s (%s)\n", clean(h.Operator), clean(h.Kind), clean(h.Command), h.Since.Format(time.RFC3339), p.age(h.Since))
+			fmt.Fprintf(p.tab, "held by %s for %s %s since %s (%s)\n", stripControl(h.Operator), stripControl(h.Kind), stripControl(h.Command), h.Since.Format(time.RFC3339), p.age(h.Since))
 		}
 	}
 	if r.Stopped != "" {
-		fmt.Fprintf(p.tab, "stopped: %s\n", clean(r.Stopped))
+		fmt.Fprintf(p.tab, "stopped: %s\n", stripControl(r.Stopped))
 	}
 	fmt.Fprintf(p.tab, "command %s\n", r.ID)
 }
@@ -260,20 +260,20 @@
 	}
 }
 
-// progress tells how a command goes on: one line that changes on a terminal, a line
-// for each instance elsewhere.
+// progress prints a command's progress: on a terminal one line that is rewritten,
+// otherwise a line for each instance.
 type progress struct {
 	w        io.Writer
-	on       bool
+	enabled  bool
 	terminal bool
 	counts   map[string]int
 }
 
 func newProgress(w io.Writer, on bool) *progress {
-	return &progress{w, on, terminal(w), map[string]int{}}
+	return &progress{w, on, isTerminal(w), map[string]int{}}
 }
 
-func terminal(w io.Writer) bool {
+func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
 		return false
@@ -282,14 +282,14 @@
 	return err == nil
 }
 
-// result is called by one goroutine at a time.
+// result prints a result. It must not be called concurrently.
 func (p *progress) result(r group.Result) {
-	if !p.on {
+	if !p.enabled {
 		return
 	}
 	p.counts[r.Outcome]++
 	if !p.terminal {
-		fmt.Fprintf(p.w, "%s/%s %s %s\n", r.Agent, r.Instance, r.Outcome, clean(r.Text))
+		fmt.Fprintf(p.w, "%s/%s %s %s\n", r.Agent, r.Instance, r.Outcome, stripControl(r.Text))
 		return
 	}
 	var all []string
@@ -300,14 +300,14 @@
 }
 
 func (p *progress) end() {
-	if p.on && p.terminal && len(p.counts) > 0 {
+	if p.enabled && p.terminal && len(p.counts) > 0 {
 		fmt.Fprintln(p.w)
 	}
 }
 
-// follow is watch.
-func (o *options) follow(ctx context.Context, w io.Writer, f *group.Fleet, s group.Selector, every time.Duration) error {
-	live := terminal(w)
+// watchInstances lists the instances at an interval until ctx ends, and shows the list or its changes.
+func (o *options) watchInstances(ctx context.Context, w io.Writer, f *group.Fleet, s group.Selector, every time.Duration) error {
+	live := isTerminal(w)
 	last := map[string]string{}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -316,7 +316,7 @@
 		l := f.List(limit)
 		cancel()
 		if ctx.Err() != nil {
-			return nil // interrupted, as it is meant to end
+			return nil // interrupted, which is the usual end
 		}
 		if !s.Empty() {
 			rows, err := l.Select(s)
@@ -332,7 +332,7 @@
 			p.silent(l.Silent)
 			p.tab.Flush()
 		} else {
-			changes(w, last, l)
+			writeChanges(w, last, l)
 		}
 		select {
 		case <-tick.C:
@@ -342,8 +342,8 @@
 	}
 }
 
-// changes writes a line for whatever differs from the last look.
-func changes(w io.Writer, last map[string]string, l group.Listing) {
+// writeChanges writes a line for each difference from the last listing, and updates last.
+func writeChanges(w io.Writer, last map[string]string, l group.Listing) {
 	now := map[string]string{}
 	for _, r := range l.Rows {
 		now[r.Agent+"/"+r.Name] = strings.TrimSpace(fmt.Sprintf("%s generation %d %s", r.State, r.Generation, r.Message))
@@ -351,14 +351,14 @@
 	for _, s := range l.Silent {
 		now[s.Agent] = "did not answer: " + s.Why
 	}
-	for _, what := range slices.Sorted(maps.Keys(now)) {
-		if last[what] != now[what] {
-			fmt.Fprintf(w, "%s %s %s\n", time.Now().Format("15:04:05"), what, clean(now[what]))
+	for _, subject := range slices.Sorted(maps.Keys(now)) {
+		if last[subject] != now[subject] {
+			fmt.Fprintf(w, "%s %s %s\n", time.Now().Format("15:04:05"), subject, stripControl(now[subject]))
 		}
 	}
-	for _, what := range slices.Sorted(maps.Keys(last)) {
-		if _, still := now[what]; !still {
-			fmt.Fprintf(w, "%s %s is not seen any more\n", time.Now().Format("15:04:05"), what)
+	for _, subject := range slices.Sorted(maps.Keys(last)) {
+		if _, still := now[subject]; !still {
+			fmt.Fprintf(w, "%s %s is no longer listed\n", time.Now().Format("15:04:05"), subject)
 		}
 	}
 	clear(last)
--- a/internal/fleet/group/bench_test.go
+++ b/internal/fleet/group/bench_test.go
@@ -27,11 +27,11 @@
 	b.ReportMetric(ms(0.99), "p99-ms")
 }
 
-// hanging adds agents that take calls and answer none.
-func hanging(b *testing.B, hosts []*host, n int) []*host {
+// addHangingAgents adds agents that accept connections and never answer.
+func addHangingAgents(b *testing.B, hosts []*host, n int) []*host {
 	b.Helper()
 	for i := range n {
-		h := &host{name: fmt.Sprintf("h%02d", i), socket: filepath.Join(folder(b), "s")}
+		h := &host{name: fmt.Sprintf("h%02d", i), socket: filepath.Join(shortTempDir(b), "s")}
 		l, err := net.Listen("unix", h.socket)
 		if err != nil {
 			b.Fatal(err)
@@ -52,13 +52,13 @@
 }
 
 // BenchmarkFleet measures list and inspect of 1,000 stand-in instances under ten
-// agents, all answering and with three more that hang, within a time limit of 2 s.
-// "one by one" is what a loop over the instances in a shell does, without the cost of
-// starting its programs.
+// agents, without and with three more agents that hang, within a time limit of 2 s.
+// "one by one" corresponds to a shell loop over the instances, without the cost of
+// starting processes.
 func BenchmarkFleet(b *testing.B) {
 	good := startHosts(b, 10, 100)
 	for _, silent := range []int{0, 3} {
-		f := fleet(b, hanging(b, good, silent))
+		f := newFleet(b, addHangingAgents(b, good, silent))
 		limit := 2 * time.Second
 		run := func(name string, do func(ctx context.Context) int) {
 			b.Run(fmt.Sprintf("%s/hanging=%d", name, silent), func(b *testing.B) {
@@ -78,7 +78,7 @@
 		run("list", func(ctx context.Context) int { return len(f.List(ctx).Rows) })
 		run("inspect", func(ctx context.Context) int {
 			n := 0
-			for _, i := range f.Inspect(ctx, f.ListFirst(ctx).Rows) {
+			for _, i := range f.Inspect(ctx, f.ListForSelection(ctx).Rows) {
 				if i.Inspection != nil {
 					n++
 				}
@@ -99,11 +99,11 @@
 	}
 }
 
-// BenchmarkOperations measures whole operations (command, begin, steps and end, each
-// fsynced) on one agent: one restart at a time, and 100 instances in one command.
+// BenchmarkOperations measures whole operations (command, start, steps and end, each
+// synced to disk) on one agent: one restart at a time, and 100 instances in one command.
 func BenchmarkOperations(b *testing.B) {
 	hosts := startHosts(b, 1, 100)
-	f := fleet(b, hosts)
+	f := newFleet(b, hosts)
 	for name, s := range map[string]Selector{"one": {Names: []string{"n1"}}, "hundred": {Names: []string{"all"}}} {
 		b.Run(name, func(b *testing.B) {
 			ops := 0
@@ -121,8 +121,8 @@
 	}
 }
 
-// BenchmarkIdle measures what a supervised instance costs its agent while nothing
-// happens: heap and stacks, and CPU over some seconds.
+// BenchmarkIdle measures the cost of an idle supervised instance to its agent: heap
+// and stacks, and CPU over 5 s.
 func BenchmarkIdle(b *testing.B) {
 	used := func() (bytes uint64, cpu time.Duration) {
 		runtime.GC()
--- a/internal/fleet/group/command.go
+++ b/internal/fleet/group/command.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// leaseShare of the time that is left is what one agent may take over a lease.
-	leaseShare = 4
-	// freeWithin is what giving leases back may take; they expire anyway.
-	freeWithin = time.Second
-	againAfter = 200 * time.Millisecond
-	waitEach   = 10 * time.Second
-	// healthEvery is how often a rollout looks at the group, and the least stretch of
-	// time that it looks at beforehand.
-	healthEvery = time.Second
-	lookEvery   = 100 * time.Millisecond
+	// leaseTimeShare is the divisor of the remaining time that gives the time-out for one agent's lease.
+	leaseTimeShare = 4
+	// releaseTimeout limits the release of all leases; leases not released expire.
+	releaseTimeout = time.Second
+	retryDelay     = 200 * time.Millisecond
+	operationWait  = 10 * time.Second
+	// healthInterval is how often a rollout samples the group's health, and the length of the
+	// baseline that it samples first.
+	healthInterval  = time.Second
+	rolloutInterval = 100 * time.Millisecond
 )
 
-// How an instance fared.
+// Outcomes of a command on one instance.
 const (
-	Done    = "done"
-	Failed  = "failed"
-	Silence = "no-answer" // of its agent, or not ended in time
-	Refused = "conflict"
-	Left    = "left" // not begun
-	Would   = "would"
+	Done     = "done"
+	Failed   = "failed"
+	NoAnswer = "no-answer" // the agent did not answer, or the operation did not end in time
+	Conflict = "conflict"
+	Skipped  = "left" // not started
+	Planned  = "would"
 )
 
-// Result is how one instance fared.
+// Result is the result of a command on one instance.
 type Result struct {
 	Agent    string        `json:"agent"`
 	Instance string        `json:"instance"`
@@ -49,49 +49,49 @@
 	Took     time.Duration `json:"took_ns"`
 }
 
-// Report is how a command ended.
+// Report is the result of a command.
 type Report struct {
 	ID       string           `json:"id"`
 	Kind     string           `json:"kind"`
 	Results  []Result         `json:"results"`
-	Silent   []Silent         `json:"silent"`
-	Conflict *protocol.Error  `json:"conflict,omitempty"` // nothing was begun
+	Silent   []Unanswered     `json:"silent"`
+	Conflict *protocol.Error  `json:"conflict,omitempty"` // nothing was started
 	Holder   *protocol.Holder `json:"holder,omitempty"`
-	Stopped  string           `json:"stopped,omitempty"` // why a rollout went no further
+	Stopped  string           `json:"stopped,omitempty"` // why a rollout stopped early
 }
 
-// Plan is how a command goes about its instances.
+// Plan is a command's kind and its pace over the instances.
 type Plan struct {
 	Kind           string        `json:"kind"`
 	MaxUnavailable int           `json:"max_unavailable,omitempty"` // 0: all at once
 	Pause          time.Duration `json:"pause,omitempty"`
 }
 
-// Order is a command to give.
+// Order is a command to execute.
 type Order struct {
 	Plan
 	Select Selector
 	DryRun bool
-	// Resume is the id of a command to take up again; its plan and instances hold.
+	// Resume is the id of a command to resume with its own plan and instances.
 	Resume string
-	// Progress is told of each instance's end, and of what a rollout sees.
+	// Progress is called with each instance's result.
 	Progress func(Result)
-	// ID is the order's; a new one if empty. A second order with the same id is the
-	// same order.
+	// ID is the order's id; a new one if empty. Orders with the same id are the same
+	// order.
 	ID string
 }
 
-// Give carries an order out, in the time that ctx leaves. An error is one of the
-// order itself; all else is in the report.
+// Give executes an order before ctx ends. It returns an error if the order itself is
+// invalid; all other failures are in the report.
 func (f *Fleet) Give(ctx context.Context, o Order) (*Report, error) {
 	if o.Progress == nil {
 		o.Progress = func(Result) {}
 	}
-	listing := f.ListFirst(ctx)
+	listing := f.ListForSelection(ctx)
 	var rows []Row
 	var err error
 	if o.Resume != "" {
-		rows, err = f.resumed(ctx, &o, listing)
+		rows, err = f.resumedRows(ctx, &o, listing)
 	} else {
 		rows, err = listing.Select(o.Select)
 	}
@@ -102,39 +102,39 @@
 		o.ID = protocol.NewID(time.Now(), rand.Uint64())
 	}
 	r := &Report{ID: o.ID, Kind: o.Kind, Results: []Result{}, Silent: listing.Silent}
-	if err != nil { // those who could tell did not answer
+	if err != nil { // the agents that may have the instances did not answer
 		return r, nil
 	}
 	if o.DryRun {
 		for _, row := range rows {
-			r.Results = append(r.Results, Result{Agent: row.Agent, Instance: row.Name, Outcome: Would, Text: fmt.Sprintf("%s (%s, generation %d)", o.Kind, row.State, row.Generation)})
+			r.Results = append(r.Results, Result{Agent: row.Agent, Instance: row.Name, Outcome: Planned, Text: fmt.Sprintf("%s (%s, generation %d)", o.Kind, row.State, row.Generation)})
 		}
 		return r, nil
 	}
 	c := &command{fleet: f, order: o, report: r, rows: map[string]Row{}}
-	c.take(ctx, rows)
+	c.acquireLeases(ctx, rows)
 	if r.Conflict != nil {
 		return r, nil
 	}
 	keep, stop := context.WithCancel(ctx)
 	var renewing sync.WaitGroup
-	for _, a := range c.held {
-		renewing.Go(func() { c.renew(keep, a) })
+	for _, a := range c.leased {
+		renewing.Go(func() { c.renewLease(keep, a) })
 	}
 	if o.MaxUnavailable > 0 {
-		c.roll(ctx)
+		c.rollOut(ctx)
 	} else {
-		c.all(ctx)
+		c.runAll(ctx)
 	}
 	stop()
 	renewing.Wait()
-	c.free("done")
+	c.releaseLeases("done")
 	return r, nil
 }
 
-// resumed finds the command to take up again.
-func (f *Fleet) resumed(ctx context.Context, o *Order, listing Listing) ([]Row, error) {
-	limit, cancel := first(ctx)
+// resumedRows sets o to the command to resume and returns its instances.
+func (f *Fleet) resumedRows(ctx context.Context, o *Order, listing Listing) ([]Row, error) {
+	limit, cancel := withListTimeout(ctx)
 	parts, _ := f.Command(limit, o.Resume)
 	cancel()
 	names := map[string]bool{}
@@ -147,7 +147,7 @@
 		}
 	}
 	if len(names) == 0 {
-		return nil, fmt.Errorf("no agent that answers knows of command %s: %w", o.Resume, ErrNone)
+		return nil, fmt.Errorf("no agent that answers knows of command %s: %w", o.Resume, ErrNoInstances)
 	}
 	o.ID = o.Resume
 	var rows []Row
@@ -157,82 +157,82 @@
 		}
 	}
 	if len(rows) == 0 {
-		return nil, ErrNone
+		return nil, ErrNoInstances
 	}
 	return rows, nil
 }
 
-// command is an order under way.
+// command is an order being executed.
 type command struct {
-	fleet *Fleet
-	order Order
-	rows  map[string]Row // by AGENT/NAME, those whose lease is held
-	names []string       // keys of rows, in order
-	held  []*client.Client
+	fleet  *Fleet
+	order  Order
+	rows   map[string]Row // leased instances, by AGENT/NAME
+	names  []string       // keys of rows, in order
+	leased []*client.Client
 
-	mu     sync.Mutex // over the report's results
+	mu     sync.Mutex // guards report.Results
 	report *Report
 }
 
-func (c *command) result(r Result) {
+func (c *command) addResult(r Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Results = append(c.report.Results, r)
 	c.order.Progress(r)
 }
 
-// take takes the leases, agent by agent in the order of their names. A conflict
-// gives back what was taken.
-func (c *command) take(ctx context.Context, rows []Row) {
+// acquireLeases acquires the leases, agent by agent in the order of their names. On a
+// conflict it releases those it has acquired.
+func (c *command) acquireLeases(ctx context.Context, rows []Row) {
 	plan, err := json.Marshal(c.order.Plan)
 	if err != nil {
-		plan = nil // of numbers and a word: can't be
+		plan = nil // unreachable: the plan holds only a string and numbers
 	}
 	for _, a := range c.fleet.agents {
-		var mine []Row
+		var agentRows []Row
 		request := protocol.CommandRequest{ID: c.order.ID, Kind: c.order.Kind, Plan: string(plan), Resume: c.order.Resume != ""}
 		for _, r := range rows {
 			if r.Agent == a.Name() {
-				mine = append(mine, r)
+				agentRows = append(agentRows, r)
 				request.Instances = append(request.Instances, protocol.Seen{Name: r.Name, Generation: r.Generation})
 			}
 		}
-		if len(mine) == 0 {
+		if len(agentRows) == 0 {
 			continue
 		}
 		began := time.Now()
-		limit, cancel := context.WithTimeout(ctx, remaining(ctx)/leaseShare)
+		limit, cancel := context.WithTimeout(ctx, remaining(ctx)/leaseTimeShare)
 		_, err := a.Open(limit, request)
 		cancel()
 		var refused *protocol.Error
 		switch {
 		case err == nil:
-			c.held = append(c.held, a)
-			for _, r := range mine {
+			c.leased = append(c.leased, a)
+			for _, r := range agentRows {
 				key := r.Agent + "/" + r.Name
 				c.rows[key] = r
 				c.names = append(c.names, key)
 			}
 		case errors.As(err, &refused) && (refused.Code == protocol.CodeConflict || refused.Code == protocol.CodeTooOld):
 			c.report.Conflict, c.report.Holder = refused, refused.Holder
-			c.free("another command came first")
+			c.releaseLeases("another command came first")
 			for _, r := range rows {
-				outcome, text := Left, ""
+				outcome, text := Skipped, ""
 				if r.Agent == a.Name() && (refused.Instance == "" || refused.Instance == r.Name) {
-					outcome, text = Refused, refused.Text
+					outcome, text = Conflict, refused.Text
 				}
-				c.result(Result{Agent: r.Agent, Instance: r.Name, Outcome: outcome, Text: text})
+				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: outcome, Text: text})
 			}
 			return
 		case errors.As(err, &refused):
-			for _, r := range mine {
-				c.result(Result{Agent: r.Agent, Instance: r.Name, Outcome: Failed, Text: refused.Text, Took: time.Since(began)})
+			for _, r := range agentRows {
+				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: Failed, Text: refused.Text, Took: time.Since(began)})
 			}
 		default:
-			s := silentOf(a.Name(), began, err)
+			s := newUnanswered(a.Name(), began, err)
 			c.report.Silent = append(c.report.Silent, s)
-			for _, r := range mine {
-				c.result(Result{Agent: r.Agent, Instance: r.Name, Outcome: Silence, Text: s.Why, Took: s.Waited})
+			for _, r := range agentRows {
+				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: NoAnswer, Text: s.Why, Took: s.Waited})
 			}
 		}
 	}
@@ -246,26 +246,26 @@
 	return time.Until(end)
 }
 
-// free gives the leases back, also when the order's own time is over.
-func (c *command) free(reason string) {
-	ctx, cancel := context.WithTimeout(context.Background(), freeWithin)
+// releaseLeases releases the leases, even after the order's own deadline.
+func (c *command) releaseLeases(reason string) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	var all sync.WaitGroup
-	for _, a := range c.held {
-		all.Go(func() { _, _ = a.CloseCommand(ctx, c.order.ID, reason) }) // or it expires
+	for _, a := range c.leased {
+		all.Go(func() { _, _ = a.CloseCommand(ctx, c.order.ID, reason) }) // if it fails, the lease expires
 	}
 	all.Wait()
 }
 
-// renew keeps an agent's lease until ctx ends.
-func (c *command) renew(ctx context.Context, a *client.Client) {
+// renewLease renews the lease at an agent until ctx ends.
+func (c *command) renewLease(ctx context.Context, a *client.Client) {
 	every := time.NewTicker(protocol.LeaseFor / 4)
 	defer every.Stop()
 	for {
 		select {
 		case <-every.C:
 			limit, cancel := context.WithTimeout(ctx, protocol.LeaseFor/4)
-			_, _ = a.Renew(limit, c.order.ID) // the next one tries again; what runs ends by itself
+			_, _ = a.Renew(limit, c.order.ID) // retried at the next tick; running operations end by themselves
 			cancel()
 		case <-ctx.Done():
 			return
@@ -273,16 +273,16 @@
 	}
 }
 
-// all runs every instance's operation at once.
-func (c *command) all(ctx context.Context) {
+// runAll runs the operations of all instances at once.
+func (c *command) runAll(ctx context.Context) {
 	var work sync.WaitGroup
 	for _, key := range c.names {
-		work.Go(func() { c.result(c.run(ctx, c.rows[key])) })
+		work.Go(func() { c.addResult(c.run(ctx, c.rows[key])) })
 	}
 	work.Wait()
 }
 
-// run runs an instance's operation to its end.
+// run runs an instance's operation until it ends.
 func (c *command) run(ctx context.Context, row Row) Result {
 	began := time.Now()
 	r := Result{Agent: row.Agent, Instance: row.Name}
@@ -293,7 +293,7 @@
 	case errors.As(err, &refused):
 		r.Outcome, r.Text = Failed, refused.Text
 	case err != nil:
-		r.Outcome, r.Text = Silence, err.Error()
+		r.Outcome, r.Text = NoAnswer, err.Error()
 	case o.State == protocol.Done:
 		r.Outcome, r.Text = Done, o.Reason
 	default:
@@ -302,9 +302,9 @@
 	return r
 }
 
-// Operate runs a command's operation on an instance to its end. Calls whose answer is lost are
-// made again: the agent knows the command by its id and acts once. An error is the agent's
-// refusal, or what stood in the way when ctx ended.
+// Operate runs a command's operation on an instance until it ends. Calls whose answer is lost are
+// retried: the agent identifies the command by its id and acts once. An error is the agent's
+// refusal, or the last failure before ctx ended.
 func Operate(ctx context.Context, a *client.Client, id, instance string) (protocol.Operation, error) {
 	begun := false
 	var last error = context.DeadlineExceeded
@@ -315,7 +315,7 @@
 			o, err = a.Run(ctx, id, instance)
 			begun = err == nil
 		} else {
-			o, err = a.Wait(ctx, id, instance, min(waitEach, remaining(ctx)))
+			o, err = a.Wait(ctx, id, instance, min(operationWait, remaining(ctx)))
 		}
 		var refused *protocol.Error
 		switch {
@@ -326,7 +326,7 @@
 				last = err
 			}
 			select {
-			case <-time.After(againAfter):
+			case <-time.After(retryDelay):
 			case <-ctx.Done():
 			}
 		case o.State != protocol.Running:
@@ -345,14 +345,12 @@
 	return o.Steps[len(o.Steps)-1].Name
 }
 
-// ---- rollouts
-
-// roll restarts a few at a time, and stops when the group gets worse.
-func (c *command) roll(ctx context.Context) {
+// rollOut restarts a few instances at a time, and stops when the group's health degrades.
+func (c *command) rollOut(ctx context.Context) {
 	var names []string
 	for _, key := range c.names {
 		if c.rows[key].Desired == "down" && c.order.Resume == "" {
-			c.result(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Left, Text: "it is drained, and stays so"})
+			c.addResult(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Skipped, Text: "it is drained, and stays so"})
 			continue
 		}
 		names = append(names, key)
@@ -360,7 +358,7 @@
 	health, rows := NewHealth(c.fleet), slices.Collect(maps.Values(c.rows))
 	health.Look(ctx, rows)
 	select {
-	case <-time.After(healthEvery):
+	case <-time.After(healthInterval):
 	case <-ctx.Done():
 	}
 	plan, err := rollout.New(rollout.Options{
@@ -379,12 +377,12 @@
 	for _, key := range names {
 		up[key] = c.rows[key].State == protocol.StateUp
 	}
-	looked := time.Now()
-	every := time.NewTicker(lookEvery)
+	lastSample := time.Now()
+	every := time.NewTicker(rolloutInterval)
 	defer every.Stop()
 	for {
 		if ctx.Err() != nil {
-			plan.Stop("the time is up")
+			plan.Stop("the command's time-out has passed")
 		}
 		for _, key := range plan.Next(time.Now(), func(key string) rollout.Standing {
 			if up[key] {
@@ -405,26 +403,26 @@
 			}
 			up[e.key] = err == nil
 			plan.Ended(time.Now(), e.key, err)
-			c.result(e.r)
+			c.addResult(e.r)
 		case <-every.C:
-			if time.Since(looked) >= healthEvery {
-				looked = time.Now()
+			if time.Since(lastSample) >= healthInterval {
+				lastSample = time.Now()
 				plan.Observe(health.Look(ctx, rows))
-				c.refresh(ctx, up)
+				c.refreshUp(ctx, up)
 			}
 		}
 	}
 	c.report.Stopped = plan.Stopped()
 	for _, key := range plan.Left() {
-		c.result(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Left, Text: "not begun: " + plan.Stopped()})
+		c.addResult(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Skipped, Text: "not started: " + plan.Stopped()})
 	}
 }
 
-// refresh looks which of the group serve now.
-func (c *command) refresh(ctx context.Context, up map[string]bool) {
-	limit, cancel := context.WithTimeout(ctx, healthEvery)
+// refreshUp updates which instances of the group are up.
+func (c *command) refreshUp(ctx context.Context, up map[string]bool) {
+	limit, cancel := context.WithTimeout(ctx, healthInterval)
 	defer cancel()
-	for _, r := range New(c.held).List(limit).Rows { // others have nothing to say here
+	for _, r := range New(c.leased).List(limit).Rows { // other agents have none of the instances
 		if key := r.Agent + "/" + r.Name; slices.Contains(c.names, key) {
 			if _, known := up[key]; known {
 				up[key] = r.State == protocol.StateUp
@@ -433,28 +431,28 @@
 	}
 }
 
-// Health counts what a group answers, from one look to the next.
+// Health counts a group's answers from one sample to the next.
 type Health struct {
 	fleet *Fleet
-	last  map[string]seen
-	// recent are the latest looks: one alone may hold too few answers to judge by.
-	recent []rollout.Counts
+	last  map[string]sample
+	// window holds the latest samples: a single one may hold too few answers to judge by.
+	window []rollout.Counts
 }
 
-type seen struct {
+type sample struct {
 	started time.Time
 	counts  rollout.Counts
 }
 
-const recentLooks = 5
+const windowSamples = 5
 
-// NewHealth makes one that has looked at nothing.
-func NewHealth(f *Fleet) *Health { return &Health{fleet: f, last: map[string]seen{}} }
+// NewHealth returns a Health without samples.
+func NewHealth(f *Fleet) *Health { return &Health{fleet: f, last: map[string]sample{}} }
 
-// Each gives each instance's answers since the last look, by AGENT/INSTANCE. Those that don't tell, or tell for
-// the first time, are not in it; those that were restarted begin anew.
+// Each returns each instance's answers since the last sample, by AGENT/INSTANCE. It omits instances that don't
+// report, or report for the first time; after a restart it counts from zero.
 func (h *Health) Each(ctx context.Context, rows []Row) map[string]rollout.Counts {
-	limit, cancel := context.WithTimeout(ctx, healthEvery)
+	limit, cancel := context.WithTimeout(ctx, healthInterval)
 	defer cancel()
 	all := map[string]rollout.Counts{}
 	for _, i := range h.fleet.Inspect(limit, rows) {
@@ -462,40 +460,40 @@
 			continue
 		}
 		key := i.Agent + "/" + i.Name
-		is := seen{started: i.Inspection.Started}
+		current := sample{started: i.Inspection.Started}
 		for _, by := range i.Inspection.Counts {
-			is.counts.Served += by["served"]
-			is.counts.Refused += by["refused"]
-			is.counts.Failed += by["failed"] + by["overdue"]
-			is.counts.Late += by["late"]
+			current.counts.Served += by["served"]
+			current.counts.Refused += by["refused"]
+			current.counts.Failed += by["failed"] + by["overdue"]
+			current.counts.Late += by["late"]
 		}
-		was, known := h.last[key]
-		h.last[key] = is
+		previous, known := h.last[key]
+		h.last[key] = current
 		if !known {
 			continue
 		}
-		if !was.started.Equal(is.started) {
-			was.counts = rollout.Counts{}
+		if !previous.started.Equal(current.started) {
+			previous.counts = rollout.Counts{}
 		}
 		all[key] = rollout.Counts{
-			Served: is.counts.Served - was.counts.Served, Refused: is.counts.Refused - was.counts.Refused,
-			Failed: is.counts.Failed - was.counts.Failed, Late: is.counts.Late - was.counts.Late,
+			Served: current.counts.Served - previous.counts.Served, Refused: current.counts.Refused - previous.counts.Refused,
+			Failed: current.counts.Failed - previous.counts.Failed, Late: current.counts.Late - previous.counts.Late,
 		}
 	}
 	return all
 }
 
-// Look gives some instances' answers, together, since some looks ago.
+// Look takes a sample and returns the sum of some instances' answers over the window.
 func (h *Health) Look(ctx context.Context, rows []Row) rollout.Counts {
 	var now rollout.Counts
 	for _, c := range h.Each(ctx, rows) {
 		now.Add(c)
 	}
-	if h.recent = append(h.recent, now); len(h.recent) > recentLooks {
-		h.recent = h.recent[1:]
+	if h.window = append(h.window, now); len(h.window) > windowSamples {
+		h.window = h.window[1:]
 	}
 	var sum rollout.Counts
-	for _, c := range h.recent {
+	for _, c := range h.window {
 		sum.Add(c)
 	}
 	return sum
--- a/internal/fleet/group/export_test.go
+++ b/internal/fleet/group/export_test.go
@@ -1,7 +1,7 @@
 package group
 
-// What tests outside the package need of it.
+// Exported for tests of package group_test.
 const (
-	FreeWithin = freeWithin
-	ListShare  = listShare
+	ReleaseTimeout = releaseTimeout
+	ListTimeShare  = listTimeShare
 )
--- a/internal/fleet/group/group_test.go
+++ b/internal/fleet/group/group_test.go
@@ -31,15 +31,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// host is an agent with its machine.
+// host is an agent with its stand-in machine.
 type host struct {
 	name    string
 	machine *instances.Machine
 	socket  string
 }
 
-// folder gives a short one, as a socket's path is bounded.
-func folder(t testing.TB) string {
+// shortTempDir returns a temporary directory with a short path, as the length of a socket's path is limited.
+func shortTempDir(t testing.TB) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "og")
 	if err != nil {
@@ -49,16 +49,16 @@
 	return dir
 }
 
-// startHosts starts agents with as many instances each, named n1, n2 … throughout.
+// startHosts starts agents with the same number of instances each, numbered n1, n2 … across all agents.
 func startHosts(t testing.TB, agents, each int) []*host {
 	t.Helper()
-	return startHostsAs(t, agents, each, func(*agent.Config) {})
+	return startHostsWith(t, agents, each, func(*agent.Config) {})
 }
 
-// startHostsAs is startHosts with agents' files changed.
-func startHostsAs(t testing.TB, agents, each int, change func(*agent.Config)) []*host {
+// startHostsWith is startHosts with a change to each agent's configuration.
+func startHostsWith(t testing.TB, agents, each int, change func(*agent.Config)) []*host {
 	t.Helper()
-	dir := folder(t)
+	dir := shortTempDir(t)
 	var hosts []*host
 	last := 0
 	for n := range agents {
@@ -90,7 +90,7 @@
 		})
 		hosts = append(hosts, h)
 	}
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	for {
 		l := f.List(t.Context())
 		up := 0
@@ -106,7 +106,7 @@
 	}
 }
 
-func fleet(t testing.TB, hosts []*host) *Fleet {
+func newFleet(t testing.TB, hosts []*host) *Fleet {
 	t.Helper()
 	var agents []*client.Client
 	for _, h := range hosts {
@@ -121,9 +121,9 @@
 	return f
 }
 
-var everything = Selector{Names: []string{"all"}}
+var selectAll = Selector{Names: []string{"all"}}
 
-func give(t *testing.T, f *Fleet, o Order, timeout time.Duration) *Report {
+func execute(t *testing.T, f *Fleet, o Order, timeout time.Duration) *Report {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
@@ -136,17 +136,17 @@
 
 func outcomes(r *Report) map[string]int {
 	by := map[string]int{}
-	for _, one := range r.Results {
-		by[one.Outcome]++
+	for _, result := range r.Results {
+		by[result.Outcome]++
 	}
 	return by
 }
 
 func TestCommandsReachTheWholeGroup(t *testing.T) {
 	hosts := startHosts(t, 3, 4)
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	for _, kind := range []string{protocol.Restart, protocol.Reload, protocol.Drain, protocol.Start} {
-		r := give(t, f, Order{Plan: Plan{Kind: kind}, Select: everything}, 20*time.Second)
+		r := execute(t, f, Order{Plan: Plan{Kind: kind}, Select: selectAll}, 20*time.Second)
 		if got := outcomes(r); got[Done] != 12 || len(r.Results) != 12 || len(r.Silent) != 0 || r.Conflict != nil {
 			t.Fatalf("%s: %+v", kind, r)
 		}
@@ -156,8 +156,8 @@
 			}
 		}
 	}
-	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: Selector{Labels: map[string]string{"half": "1"}}, DryRun: true}, 5*time.Second)
-	if outcomes(r)[Would] != 6 || hosts[0].machine.Starts("n1") != 3 {
+	r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: Selector{Labels: map[string]string{"half": "1"}}, DryRun: true}, 5*time.Second)
+	if outcomes(r)[Planned] != 6 || hosts[0].machine.Starts("n1") != 3 {
 		t.Errorf("dry run: %+v, %d starts", outcomes(r), hosts[0].machine.Starts("n1"))
 	}
 }
@@ -186,23 +186,23 @@
 		}
 	}
 	for _, s := range []Selector{{Names: []string{"a", "z"}}, {Group: "z"}, {Names: []string{"m2/b"}}} {
-		if _, err := l.Select(s); !errors.Is(err, ErrNone) {
+		if _, err := l.Select(s); !errors.Is(err, ErrNoInstances) {
 			t.Errorf("%+v: %v", s, err)
 		}
 	}
 }
 
-// Two operators command at once, 500 times over: one wins entirely or they come one
-// after the other; who loses is told who was first and has done nothing; the group is
-// never left mixed, and nobody waits for ever.
-func TestRaces(t *testing.T) {
+// Guards against two concurrent commands both acting on the group. In 500 seeded races one wins
+// entirely, or they run one after the other; the loser's report names the holder, and the loser has
+// started nothing; all instances end with the same desired state, and no command hangs.
+func TestConcurrentCommands(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 3, 2)
 	races := 500
 	if testing.Short() {
 		races = 50
 	}
-	one, two := fleet(t, hosts), fleet(t, hosts)
+	one, two := newFleet(t, hosts), newFleet(t, hosts)
 	lost := 0
 	for seed := range uint64(races) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -219,12 +219,12 @@
 		began := time.Now()
 		for n, f := range []*Fleet{one, two} {
 			delay := time.Duration(rng.IntN(3)) * time.Millisecond
-			order := Order{Plan: Plan{Kind: kinds[n]}, Select: everything}
+			order := Order{Plan: Plan{Kind: kinds[n]}, Select: selectAll}
 			if rolls {
 				order.MaxUnavailable = 2
 			}
 			both.Go(func() {
-				time.Sleep(delay) // what is varied, not what is waited for
+				time.Sleep(delay) // varies the order of the commands
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
 				r, err := f.Give(ctx, order)
@@ -247,15 +247,15 @@
 			switch {
 			case r.Conflict != nil:
 				lost++
-				if r.Holder == nil || r.Holder.Operator == "" || r.Holder.Since.IsZero() || by[Done]+by[Failed]+by[Silence] > 0 {
+				if r.Holder == nil || r.Holder.Operator == "" || r.Holder.Since.IsZero() || by[Done]+by[Failed]+by[NoAnswer] > 0 {
 					t.Fatalf("seed %d: the loser's report: %+v", seed, r)
 				}
 				for _, c := range commandsOf(t, one, r.ID) {
 					if len(c.Operations) > 0 {
-						t.Fatalf("seed %d: the loser began something: %+v", seed, c)
+						t.Fatalf("seed %d: the loser started an operation: %+v", seed, c)
 					}
 				}
-			case by[Done] == 6 || kinds[n] == protocol.Restart && rolls && by[Done]+by[Left] == 6:
+			case by[Done] == 6 || kinds[n] == protocol.Restart && rolls && by[Done]+by[Skipped] == 6:
 				won++
 			default:
 				t.Fatalf("seed %d: neither won nor lost: %+v", seed, r)
@@ -268,11 +268,11 @@
 		for _, row := range one.List(t.Context()).Rows {
 			desired[row.Desired]++
 			if row.Holder != nil || row.Operation != "" {
-				t.Fatalf("seed %d: left behind: %+v", seed, row)
+				t.Fatalf("seed %d: lease or operation left: %+v", seed, row)
 			}
 		}
 		if len(desired) != 1 {
-			t.Fatalf("seed %d: mixed: %v", seed, desired)
+			t.Fatalf("seed %d: desired states differ: %v", seed, desired)
 		}
 		for _, h := range hosts {
 			if twice := h.machine.Twice(); len(twice) > 0 {
@@ -294,10 +294,10 @@
 	return parts
 }
 
-// spoilt listens in place of an agent and does its worst.
-func spoilt(t *testing.T, name string, serve func(net.Conn)) *host {
+// startFaultyAgent listens in place of an agent and handles each connection with serve.
+func startFaultyAgent(t *testing.T, name string, serve func(net.Conn)) *host {
 	t.Helper()
-	h := &host{name: name, socket: filepath.Join(folder(t), name)}
+	h := &host{name: name, socket: filepath.Join(shortTempDir(t), name)}
 	l, err := net.Listen("unix", h.socket)
 	if err != nil {
 		t.Fatal(err)
@@ -326,24 +326,25 @@
 	return h
 }
 
-// Three of ten agents hang, refuse and answer garbage: the whole command ends within
-// its one time-out, the other seven are done, and the three are named.
+// Guards against faulty agents blocking a command: with one of ten agents hanging, one refusing
+// connections and one answering garbage, the command ends within its time-out, is done at the other
+// seven, and names the three.
 func TestSomeAgentsDoNotAnswer(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 7, 2)
 	hosts = append(hosts,
-		spoilt(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }),
-		spoilt(t, "m03-garbage", func(c net.Conn) {
+		startFaultyAgent(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }),
+		startFaultyAgent(t, "m03-garbage", func(c net.Conn) {
 			c.Read(make([]byte, 4096))
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n\x00\xff{{{{not json at all")
 		}),
-		&host{name: "m99-refuses", socket: filepath.Join(folder(t), "none")},
+		&host{name: "m99-refuses", socket: filepath.Join(shortTempDir(t), "none")},
 	)
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	timeout := 4 * time.Second
 	began := time.Now()
-	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: everything}, timeout)
-	if took := time.Since(began); took > timeout+FreeWithin {
+	r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: selectAll}, timeout)
+	if took := time.Since(began); took > timeout+ReleaseTimeout {
 		t.Errorf("took %v, want at most %v", took, timeout)
 	}
 	if outcomes(r)[Done] != 14 {
@@ -352,7 +353,7 @@
 	var named []string
 	for _, s := range r.Silent {
 		named = append(named, s.Agent)
-		if s.Why == "" || s.Agent == "m00-hangs" && s.Waited < timeout/ListShare/2 {
+		if s.Why == "" || s.Agent == "m00-hangs" && s.Waited < timeout/ListTimeShare/2 {
 			t.Errorf("%+v, want why, and how long it was waited for", s)
 		}
 	}
@@ -361,16 +362,16 @@
 	}
 }
 
-// Agents that hang leave the time that it takes to inspect and to resume the rest.
+// Guards against agents that hang using up the time needed to inspect or resume the others.
 func TestHangingAgentsLeaveTime(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 1, 2)
-	done := give(t, fleet(t, hosts), Order{Plan: Plan{Kind: protocol.Reload}, Select: everything}, 5*time.Second)
-	hosts = append(hosts, spoilt(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }))
-	f := fleet(t, hosts)
+	done := execute(t, newFleet(t, hosts), Order{Plan: Plan{Kind: protocol.Reload}, Select: selectAll}, 5*time.Second)
+	hosts = append(hosts, startFaultyAgent(t, "m00-hangs", func(c net.Conn) { io.Copy(io.Discard, c) }))
+	f := newFleet(t, hosts)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	l := f.ListFirst(ctx)
+	l := f.ListForSelection(ctx)
 	for _, i := range f.Inspect(ctx, l.Rows) {
 		if i.Inspection == nil {
 			t.Errorf("%s: %s", i.Name, i.Err)
@@ -379,43 +380,43 @@
 	if len(l.Rows) != 2 || len(l.Silent) != 1 {
 		t.Errorf("%+v", l)
 	}
-	r := give(t, f, Order{Resume: done.ID}, 6*time.Second)
+	r := execute(t, f, Order{Resume: done.ID}, 6*time.Second)
 	if outcomes(r)[Done] != 2 {
 		t.Errorf("resumed: %+v", r)
 	}
 }
 
-// An agent that hangs once it has been listed costs only its own instances.
-func TestAgentHangsInTheMiddle(t *testing.T) {
+// Guards against an agent that hangs after it was listed failing the instances of others.
+func TestAgentHangsAfterListing(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 4, 1)
 	var hang atomic.Bool
-	hosts[1] = front(t, hosts[1], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
+	hosts[1] = startProxy(t, hosts[1], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
 		if r.Method == http.MethodPost {
 			hang.Store(true)
 		}
 		if hang.Load() {
-			io.Copy(io.Discard, r.Body) // or the end of the connection does not show
+			io.Copy(io.Discard, r.Body) // otherwise the end of the connection is not detected
 			<-r.Context().Done()
 			return
 		}
 		pass(w)
 	})
-	f := fleet(t, hosts)
+	f := newFleet(t, hosts)
 	began := time.Now()
-	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: everything}, 4*time.Second)
-	if took := time.Since(began); took > 4*time.Second+FreeWithin {
+	r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: selectAll}, 4*time.Second)
+	if took := time.Since(began); took > 4*time.Second+ReleaseTimeout {
 		t.Errorf("took %v", took)
 	}
-	if by := outcomes(r); by[Done] != 3 || by[Silence] != 1 {
+	if by := outcomes(r); by[Done] != 3 || by[NoAnswer] != 1 {
 		t.Errorf("outcomes %v", by)
 	}
 }
 
-// front puts a proxy before an agent.
-func front(t *testing.T, h *host, handle func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter))) *host {
+// startProxy starts a proxy in front of an agent.
+func startProxy(t *testing.T, h *host, handle func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter))) *host {
 	t.Helper()
-	socket := filepath.Join(folder(t), "front")
+	socket := filepath.Join(shortTempDir(t), "front")
 	l, err := net.Listen("unix", socket)
 	if err != nil {
 		t.Fatal(err)
@@ -435,29 +436,29 @@
 	return &host{name: h.name, machine: h.machine, socket: socket}
 }
 
-// nowhere is where an answer gets lost.
-type nowhere struct{ header http.Header }
+// discardResponse is a response writer that discards the answer.
+type discardResponse struct{ header http.Header }
 
-func (n nowhere) Header() http.Header         { return n.header }
-func (n nowhere) Write(b []byte) (int, error) { return len(b), nil }
-func (n nowhere) WriteHeader(int)             {}
+func (n discardResponse) Header() http.Header         { return n.header }
+func (n discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (n discardResponse) WriteHeader(int)             {}
 
-// The first answer to each call that begins something is lost: the tool sends it
-// again, and each instance is restarted once.
+// Guards against a lost answer causing a second restart: the first answer to each call that
+// starts an operation is lost, the tool retries, and each instance is restarted once.
 func TestLostAnswersActOnce(t *testing.T) {
 	hosts := startHosts(t, 2, 2)
 	var lost sync.Map
 	for n := range hosts {
-		hosts[n] = front(t, hosts[n], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
+		hosts[n] = startProxy(t, hosts[n], func(w http.ResponseWriter, r *http.Request, pass func(http.ResponseWriter)) {
 			if _, again := lost.LoadOrStore(r.URL.Path, true); !again && r.Method == http.MethodPost && strings.Contains(r.URL.Path, "/run/") {
-				pass(nowhere{http.Header{}})
+				pass(discardResponse{http.Header{}})
 				panic(http.ErrAbortHandler)
 			}
 			pass(w)
 		})
 	}
-	f := fleet(t, hosts)
-	r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: everything}, 20*time.Second)
+	f := newFleet(t, hosts)
+	r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart}, Select: selectAll}, 20*time.Second)
 	if outcomes(r)[Done] != 4 {
 		t.Errorf("outcomes %v: %+v", outcomes(r), r.Results)
 	}
@@ -470,16 +471,16 @@
 	}
 }
 
-// A rollout restarts everyone with no more away than allowed, goes on past those that
-// are drained, and leaves the rest when the group gets worse.
+// A rollout restarts all instances with no more than the allowed number unavailable, skips
+// drained ones, and stops when an instance fails to come up or the group's failures rise.
 func TestRollout(t *testing.T) {
 	t.Run("all come back", func(t *testing.T) {
 		t.Parallel()
 		hosts := startHosts(t, 2, 3)
-		f := fleet(t, hosts)
-		give(t, f, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n6"}}}, 10*time.Second)
-		r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 2}, Select: Selector{Names: []string{"all"}}}, 30*time.Second)
-		if by := outcomes(r); r.Stopped != "" || by[Done] != 5 || by[Left] != 1 {
+		f := newFleet(t, hosts)
+		execute(t, f, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n6"}}}, 10*time.Second)
+		r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 2}, Select: Selector{Names: []string{"all"}}}, 30*time.Second)
+		if by := outcomes(r); r.Stopped != "" || by[Done] != 5 || by[Skipped] != 1 {
 			t.Errorf("%+v", r)
 		}
 		if hosts[1].machine.Running("n6") != "" {
@@ -489,21 +490,21 @@
 	t.Run("one does not come back", func(t *testing.T) {
 		t.Parallel()
 		hosts := startHosts(t, 2, 3)
-		f := fleet(t, hosts)
+		f := newFleet(t, hosts)
 		hosts[0].machine.Fail("n2", errors.New("no such program"))
-		r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1}, Select: everything}, 30*time.Second)
-		if by := outcomes(r); by[Done] != 1 || by[Failed] != 1 || by[Left] != 4 || !strings.Contains(r.Stopped, "m01/n2 did not come back") {
+		r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1}, Select: selectAll}, 30*time.Second)
+		if by := outcomes(r); by[Done] != 1 || by[Failed] != 1 || by[Skipped] != 4 || !strings.Contains(r.Stopped, "m01/n2 did not come back") {
 			t.Errorf("%v, stopped %q", outcomes(r), r.Stopped)
 		}
 		for _, name := range []string{"n4", "n5", "n6"} {
 			if hosts[1].machine.Starts(name) != 1 {
-				t.Errorf("%s was touched", name)
+				t.Errorf("%s was restarted", name)
 			}
 		}
-		// Mended and resumed: what is done stays done, the rest is carried out.
+		// Repaired and resumed: finished instances are not restarted again, the rest are.
 		hosts[0].machine.Fail("n2", nil)
 		before := hosts[0].machine.Starts("n1")
-		again := give(t, f, Order{Resume: r.ID}, 30*time.Second)
+		again := execute(t, f, Order{Resume: r.ID}, 30*time.Second)
 		if by := outcomes(again); by[Done] != 6 || again.Stopped != "" || again.ID != r.ID {
 			t.Errorf("resumed: %v, %+v", by, again)
 		}
@@ -514,12 +515,12 @@
 	t.Run("failures rise", func(t *testing.T) {
 		t.Parallel()
 		hosts := startHosts(t, 1, 6)
-		f := fleet(t, hosts)
+		f := newFleet(t, hosts)
 		m := hosts[0].machine
 		m.Answer("n1", map[string]int64{"served": 1000, "failed": 0})
 		ctx, cancel := context.WithCancel(t.Context())
 		var answering sync.WaitGroup
-		answering.Go(func() { // n1 fails more and more once n2 has been restarted
+		answering.Go(func() { // n1's failures rise once n2 has been restarted
 			served, failed := int64(1000), int64(0)
 			for every := time.NewTicker(20 * time.Millisecond); ; {
 				select {
@@ -534,22 +535,22 @@
 				m.Answer("n1", map[string]int64{"served": served, "failed": failed})
 			}
 		})
-		r := give(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1, Pause: 1500 * time.Millisecond}, Select: Selector{Names: []string{"n2", "n3", "n4", "n5", "n6", "n1"}}}, 60*time.Second)
+		r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1, Pause: 1500 * time.Millisecond}, Select: Selector{Names: []string{"n2", "n3", "n4", "n5", "n6", "n1"}}}, 60*time.Second)
 		cancel()
 		answering.Wait()
-		if by := outcomes(r); !strings.Contains(r.Stopped, "failed answers rose") || by[Left] == 0 {
+		if by := outcomes(r); !strings.Contains(r.Stopped, "failed answers rose") || by[Skipped] == 0 {
 			t.Errorf("%v, stopped %q", by, r.Stopped)
 		}
 	})
 }
 
-// A tool that dies in the middle of a rollout leaves what it had begun finished, the
-// rest untouched, and its lease ends.
+// Guards against a dead tool blocking its instances: the operation that it started ends, the other
+// instances are not restarted, and its lease expires.
 func TestToolDiesDuringARollout(t *testing.T) {
 	t.Parallel()
 	hosts := startHosts(t, 1, 4)
-	dead, alive := fleet(t, hosts), fleet(t, hosts)
-	ctx, die := context.WithCancel(t.Context())
+	dead, alive := newFleet(t, hosts), newFleet(t, hosts)
+	ctx, cancel := context.WithCancel(t.Context())
 	rows := dead.List(ctx).Rows
 	id := protocol.NewID(time.Now(), 1)
 	request := protocol.CommandRequest{ID: id, Kind: protocol.Restart}
@@ -562,13 +563,13 @@
 	if _, err := dead.All()[0].Run(ctx, id, "n1"); err != nil {
 		t.Fatal(err)
 	}
-	die()
-	r := give(t, alive, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n4"}}}, 5*time.Second)
+	cancel()
+	r := execute(t, alive, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n4"}}}, 5*time.Second)
 	if r.Conflict == nil || r.Holder == nil || r.Holder.Command != id {
 		t.Fatalf("while the lease lasts: %+v", r)
 	}
 	for until := time.Now().Add(3 * protocol.LeaseFor); ; time.Sleep(100 * time.Millisecond) {
-		r = give(t, alive, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n4"}}}, 5*time.Second)
+		r = execute(t, alive, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n4"}}}, 5*time.Second)
 		if r.Conflict == nil {
 			break
 		}
@@ -581,7 +582,7 @@
 		t.Errorf("%+v", parts)
 	}
 	if hosts[0].machine.Starts("n2") != 1 || hosts[0].machine.Starts("n1") != 2 {
-		t.Error("want n1 restarted and n2 untouched")
+		t.Error("want n1 restarted and n2 not restarted")
 	}
 }
 
