--- a/internal/standin/drawn/drawn.go
+++ b/internal/standin/drawn/drawn.go
@@ -1,4 +1,4 @@
-// Package drawn makes property tests draw the same each time, so that one build has one verdict.
+// Package drawn fixes the random seed of property tests, so that a build gives the same result on each run.
 package drawn
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Main runs a package's tests with rapid's seed fixed; -rapid.seed draws others.
+// Main runs a package's tests with a fixed rapid seed; -rapid.seed sets another.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,5 +1,5 @@
-// Package instances holds stand-ins for an agent's instances: processes that exist
-// in memory only, so that a thousand of them cost little, and that fail on command.
+// Package instances provides fake instances for agent tests: processes that exist in
+// memory only, so that a thousand of them cost little, and that fail on command.
 package instances
 
 import (
@@ -18,70 +18,70 @@
 	"otterstep/internal/fleet/instance"
 )
 
-// Machine runs the processes. They go on when an agent dies; each agent reaches
-// them through a Runner of its own.
+// Machine runs the processes. They survive the death of an agent; each agent reaches
+// them through its own Runner.
 type Machine struct {
-	mu      sync.Mutex
-	running map[string]*process
-	last    int
-	starts  map[string]int
-	tokens  map[string]string // of the latest launches, as run files tell
-	twice   []string
-	fails   map[string]error
-	deaf    map[string]bool
-	stuck   map[string]bool
-	counts  map[string]map[string]int64
+	mu           sync.Mutex
+	running      map[string]*process
+	lastPID      int
+	starts       map[string]int
+	tokens       map[string]string // of the latest start of each instance, as run files record them
+	startedTwice []string
+	startErrors  map[string]error
+	ignoresTerm  map[string]bool
+	neverServes  map[string]bool
+	counts       map[string]map[string]int64
 }
 
-// NewMachine makes one on which nothing runs.
+// NewMachine returns a machine on which no process runs.
 func NewMachine() *Machine {
 	return &Machine{
-		running: map[string]*process{}, starts: map[string]int{}, tokens: map[string]string{}, fails: map[string]error{},
-		deaf: map[string]bool{}, stuck: map[string]bool{}, counts: map[string]map[string]int64{},
+		running: map[string]*process{}, starts: map[string]int{}, tokens: map[string]string{}, startErrors: map[string]error{},
+		ignoresTerm: map[string]bool{}, neverServes: map[string]bool{}, counts: map[string]map[string]int64{},
 	}
 }
 
 type process struct {
-	machine *Machine
-	name    string
-	token   string
-	program string
-	pid     int
-	started time.Time
-	reloads int
-	words   *cordon.Set // the fleet's
-	done    chan struct{}
-	state   string
+	machine   *Machine
+	name      string
+	token     string
+	program   string
+	pid       int
+	started   time.Time
+	reloads   int
+	fleetBans *cordon.Set // the fleet-wide bans
+	done      chan struct{}
+	state     string
 }
 
-// Fail makes starts of an instance fail, or succeed again if err is nil.
-func (m *Machine) Fail(name string, err error) { m.set(func() { m.fails[name] = err }) }
+// Fail makes starts of an instance return err, or succeed again if err is nil.
+func (m *Machine) Fail(name string, err error) { m.update(func() { m.startErrors[name] = err }) }
 
 // Deaf makes an instance ignore SIGTERM.
-func (m *Machine) Deaf(name string, on bool) { m.set(func() { m.deaf[name] = on }) }
+func (m *Machine) Deaf(name string, on bool) { m.update(func() { m.ignoresTerm[name] = on }) }
 
-// Stuck makes an instance run and never serve.
-func (m *Machine) Stuck(name string, on bool) { m.set(func() { m.stuck[name] = on }) }
+// Stuck makes an instance run without ever becoming ready.
+func (m *Machine) Stuck(name string, on bool) { m.update(func() { m.neverServes[name] = on }) }
 
-// Answer sets what an instance says that it has answered, by outcome.
+// Answer sets the counts of answers, by outcome, that an instance reports.
 func (m *Machine) Answer(name string, counts map[string]int64) {
-	m.set(func() { m.counts[name] = counts })
+	m.update(func() { m.counts[name] = counts })
 }
 
-func (m *Machine) set(f func()) {
+func (m *Machine) update(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-// Crash ends an instance unasked; false if it does not run.
+// Crash ends an instance's process without a request; it returns false if none runs.
 func (m *Machine) Crash(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.end(name, "crashed")
 }
 
-// end needs the lock.
+// end removes an instance's process and records its final state. The caller holds m.mu.
 func (m *Machine) end(name, state string) bool {
 	p := m.running[name]
 	if p == nil {
@@ -93,7 +93,7 @@
 	return true
 }
 
-// Running gives the token of an instance's process; "" if none runs.
+// Running returns the token of an instance's process, or "" if none runs.
 func (m *Machine) Running(name string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// Program gives the command of an instance's process; "" if none runs.
+// Program returns the command of an instance's process, or "" if none runs.
 func (m *Machine) Program(name string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -113,46 +113,47 @@
 	return ""
 }
 
-// Starts counts the processes that an instance has had.
+// Starts returns how often an instance was started, failed starts included.
 func (m *Machine) Starts(name string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.starts[name]
 }
 
-// Twice names the instances that were started while they ran.
+// Twice returns the names of the instances that were started while they already ran.
 func (m *Machine) Twice() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]string{}, m.twice...)
+	return append([]string{}, m.startedTwice...)
 }
 
-var errDead = errors.New("the agent is dead")
+var errAgentDead = errors.New("the agent is dead")
 
-// Runner is one agent's access to a machine. Cut takes it away, as death does.
+// Runner is one agent's access to a machine. Cut ends it, as the agent's death does.
 type Runner struct {
 	machine *Machine
 
-	mu  sync.Mutex
-	cut bool
+	mu       sync.Mutex
+	detached bool
 }
 
-// Runner gives an agent access.
+// Runner returns an agent's access to the machine.
 func (m *Machine) Runner() *Runner { return &Runner{machine: m} }
 
-// Cut makes all that the agent still tries come to nothing.
+// Cut makes all further calls of the agent fail without effect.
 func (r *Runner) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = true
+	r.detached = true
 }
 
-// do runs f unless the agent is dead; nothing of f can fall behind the death.
-func (r *Runner) do(f func() error) error {
+// ifAttached runs f unless the runner was cut. It holds the runner's lock meanwhile, so that no
+// effect of f comes after Cut has returned.
+func (r *Runner) ifAttached(f func() error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut {
-		return errDead
+	if r.detached {
+		return errAgentDead
 	}
 	r.machine.mu.Lock()
 	defer r.machine.mu.Unlock()
@@ -162,18 +163,18 @@
 // Start implements instance.Runner.
 func (r *Runner) Start(i instance.Spec, token string) (p instance.Process, pid int, err error) {
 	m := r.machine
-	err = r.do(func() error {
+	err = r.ifAttached(func() error {
 		if m.running[i.Name] != nil {
-			m.twice = append(m.twice, i.Name)
-			return fmt.Errorf("%s runs already", i.Name)
+			m.startedTwice = append(m.startedTwice, i.Name)
+			return fmt.Errorf("%s is already running", i.Name)
 		}
 		m.starts[i.Name]++
-		if err := m.fails[i.Name]; err != nil {
+		if err := m.startErrors[i.Name]; err != nil {
 			return err
 		}
-		m.last++
+		m.lastPID++
 		m.tokens[i.Name] = token
-		started := &process{machine: m, name: i.Name, token: token, program: strings.Join(i.Program, " "), pid: m.last, started: time.Now(), words: cordon.New(), done: make(chan struct{})}
+		started := &process{machine: m, name: i.Name, token: token, program: strings.Join(i.Program, " "), pid: m.lastPID, started: time.Now(), fleetBans: cordon.New(), done: make(chan struct{})}
 		m.running[i.Name] = started
 		p, pid = handle{started, r}, started.pid
 		return nil
@@ -183,7 +184,7 @@
 
 // Adopt implements instance.Runner.
 func (r *Runner) Adopt(i instance.Spec) (p instance.Process, token string, pid int, err error) {
-	err = r.do(func() error {
+	err = r.ifAttached(func() error {
 		token = r.machine.tokens[i.Name]
 		if running := r.machine.running[i.Name]; running != nil {
 			p, pid = handle{running, r}, running.pid
@@ -195,7 +196,7 @@
 
 // Names implements instance.Runner.
 func (r *Runner) Names() (names []string, err error) {
-	err = r.do(func() error {
+	err = r.ifAttached(func() error {
 		names = slices.Sorted(maps.Keys(r.machine.running))
 		return nil
 	})
@@ -204,29 +205,29 @@
 
 // Up implements instance.Runner.
 func (r *Runner) Up(_ context.Context, i instance.Spec) (up bool) {
-	_ = r.do(func() error {
-		up = r.machine.running[i.Name] != nil && !r.machine.stuck[i.Name]
+	_ = r.ifAttached(func() error {
+		up = r.machine.running[i.Name] != nil && !r.machine.neverServes[i.Name]
 		return nil
 	})
 	return up
 }
 
-// Keep implements instance.Runner: nothing is kept here.
+// Keep implements instance.Runner: there is no saved state here.
 func (r *Runner) Keep(context.Context, instance.Spec, control.Keep) error {
 	return control.ErrNothingKept
 }
 
-// Tell implements instance.Runner, as a node does.
+// Tell implements instance.Runner: it applies fleet-wide bans as a node does.
 func (r *Runner) Tell(_ context.Context, i instance.Spec, w control.Word) (is control.Fleet, err error) {
-	err = r.do(func() error {
+	err = r.ifAttached(func() error {
 		p := r.machine.running[i.Name]
 		if p == nil {
 			return errors.New("nobody listens")
 		}
-		if _, _, err := p.words.Take(w.Word); err != nil {
+		if _, _, err := p.fleetBans.Take(w.Word); err != nil {
 			return fmt.Errorf("%w: %w", control.ErrOldWord, err)
 		}
-		is = control.Fleet{Version: w.Version, Token: w.Token, Since: time.Now(), Sure: w.Sure, Bans: len(w.Bans), Listed: len(servers)}
+		is = control.Fleet{Version: w.Version, Token: w.Token, Since: time.Now(), Sure: w.Sure, Bans: len(w.Bans), Listed: len(reportedServers)}
 		return nil
 	})
 	return is, err
@@ -234,22 +235,22 @@
 
 // Inspect implements instance.Runner.
 func (r *Runner) Inspect(_ context.Context, i instance.Spec) (a control.Inspection, err error) {
-	err = r.do(func() error {
+	err = r.ifAttached(func() error {
 		p := r.machine.running[i.Name]
 		if p == nil {
 			return errors.New("nobody listens")
 		}
 		a = control.Inspection{
 			Form: control.Version, Name: i.Name, Started: p.started, State: "ready", Reloads: p.reloads,
-			Counts: map[string]map[string]int64{"all": r.machine.counts[i.Name]}, Servers: servers,
+			Counts: map[string]map[string]int64{"all": r.machine.counts[i.Name]}, Servers: reportedServers,
 		}
 		return nil
 	})
 	return a, err
 }
 
-// servers is what each says it has, of the size of a usual answer.
-var servers = func() []control.Server {
+// reportedServers is the list that each instance reports, of the size of a usual answer.
+var reportedServers = func() []control.Server {
 	list := make([]control.Server, 10)
 	for n := range list {
 		list[n] = control.Server{ID: fmt.Sprintf("%016x", n), Endpoint: "127.0.0.1:8000", Breaker: "closed", Score: 0.9, Success: 1, Judged: 100}
@@ -260,7 +261,7 @@
 // Trim implements instance.Runner.
 func (r *Runner) Trim(instance.Spec) error { return nil }
 
-// handle is a process as one agent has it.
+// handle is one agent's handle on a process.
 type handle struct {
 	*process
 	runner *Runner
@@ -269,10 +270,10 @@
 // Signal implements instance.Process.
 func (h handle) Signal(s syscall.Signal) error {
 	m := h.machine
-	return h.runner.do(func() error {
+	return h.runner.ifAttached(func() error {
 		switch {
 		case m.running[h.name] != h.process:
-		case s == syscall.SIGKILL, s == syscall.SIGTERM && !m.deaf[h.name]:
+		case s == syscall.SIGKILL, s == syscall.SIGTERM && !m.ignoresTerm[h.name]:
 			m.end(h.name, "ended on "+s.String())
 		case s == syscall.SIGHUP:
 			h.reloads++
--- a/internal/standin/mutant/mutant.go
+++ b/internal/standin/mutant/mutant.go
@@ -1,6 +1,6 @@
-// Package mutant builds a program with a line of the project changed, so that a test can be
-// seen to fail without what it guards. Nothing in the tree is touched: the compiler is
-// given other files in place of some (go help build, -overlay).
+// Package mutant builds a program with parts of its source replaced, so that a test can be
+// shown to fail without the code it guards. The source tree is not changed: the replaced
+// files are passed to the compiler as an overlay (go help build, -overlay).
 package mutant
 
 import (
@@ -12,14 +12,14 @@
 	"strings"
 )
 
-// Change is one text put in another's place.
+// Change replaces one text in a source file by another.
 type Change struct {
-	File     string // from the module's root
-	Old, New string // Old stands in the file exactly once
+	File     string // relative to the module's root
+	Old, New string // Old must occur exactly once in the file
 }
 
-// Build builds a program, named by its package's folder from the module's root, into dir with the
-// changes made, and gives its path.
+// Build applies the changes, builds a program into dir and returns the binary's path. The program is
+// named by its package directory relative to the module's root.
 func Build(dir, program string, changes ...Change) (string, error) {
 	mod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
@@ -38,7 +38,7 @@
 			text = string(b)
 		}
 		if n := strings.Count(text, c.Old); n != 1 {
-			return "", fmt.Errorf("mutant: %s has %d times %q, want once", c.File, n, c.Old)
+			return "", fmt.Errorf("mutant: %s contains %d occurrences of %q, want exactly 1", c.File, n, c.Old)
 		}
 		texts[path] = strings.Replace(text, c.Old, c.New, 1)
 	}
--- a/internal/standin/racing/off.go
+++ b/internal/standin/racing/off.go
@@ -2,4 +2,4 @@
 
 package racing
 
-const watched = false
+const raceEnabled = false
--- a/internal/standin/racing/on.go
+++ b/internal/standin/racing/on.go
@@ -2,4 +2,4 @@
 
 package racing
 
-const watched = true
+const raceEnabled = true
--- a/internal/standin/racing/racing.go
+++ b/internal/standin/racing/racing.go
@@ -1,13 +1,13 @@
-// Package racing tells whether the race detector watches, for tests whose work is done by one thread: it finds
-// nothing there and makes them take five times as long. The README's first command plays them without it.
+// Package racing lets single-threaded tests skip runs under the race detector, which finds nothing in them and
+// makes them take five times as long. The README's first command runs them without it.
 package racing
 
 import "testing"
 
-// Skip skips a test of one thread while the race detector watches.
+// Skip skips a single-threaded test in a build with the race detector.
 func Skip(t *testing.T) {
 	t.Helper()
-	if watched {
-		t.Skip("one thread of virtual time: played without the race detector")
+	if raceEnabled {
+		t.Skip("single-threaded virtual time: run without the race detector")
 	}
 }
--- a/internal/standin/webbox/webbox.go
+++ b/internal/standin/webbox/webbox.go
@@ -1,5 +1,6 @@
-// Package webbox imitates a server of ordinary HTTP on the level of bytes: it notes each
-// request as it came and answers what its script says, cut off wherever a test wants.
+// Package webbox provides a scripted HTTP/1.1 server that works on raw bytes: it records each
+// request as received and writes what its script says, so that a test can break an answer off
+// at any byte.
 package webbox
 
 import (
@@ -14,40 +15,40 @@
 	"time"
 )
 
-// Seen is a request as the server got it.
+// Seen is a request as the server received it.
 type Seen struct {
 	Line   string // the request line
 	Header textproto.MIMEHeader
 	Body   []byte
-	Whole  bool   // it came to its end
-	Raw    []byte // the head's bytes
+	Whole  bool   // it was received to its end
+	Raw    []byte // the bytes of the request line and the header
 }
 
-// Script answers a request on its connection; false ends the connection.
+// Script answers a request on its connection; it returns false to close the connection.
 type Script func(s Seen, c net.Conn) bool
 
-// Box is a server. Close ends it.
+// Box is a scripted server; it must be closed.
 type Box struct {
-	listener net.Listener
-	script   Script
-	early    bool // the script runs at the head's end, not the body's
-
-	mu    sync.Mutex
-	seen  []Seen
-	conns map[net.Conn]bool
-	news  chan struct{}
-	all   sync.WaitGroup
+	listener  net.Listener
+	script    Script
+	atHeadEnd bool // the script runs at the end of the header, not of the body
+
+	mu         sync.Mutex
+	seen       []Seen
+	conns      map[net.Conn]bool
+	changed    chan struct{}
+	goroutines sync.WaitGroup
 }
 
-// New starts one. With early the script is called when the head is there, and the body is
-// left to it: Seen.Body is empty then.
+// New starts a server. With early set the script is called as soon as the header was read, and
+// reading the body is left to it: Seen.Body is empty then.
 func New(script Script, early bool) (*Box, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Box{listener: l, script: script, early: early, conns: map[net.Conn]bool{}, news: make(chan struct{})}
-	b.all.Go(func() {
+	b := &Box{listener: l, script: script, atHeadEnd: early, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
+	b.goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -56,16 +57,16 @@
 			b.mu.Lock()
 			b.conns[c] = true
 			b.mu.Unlock()
-			b.all.Go(func() { b.serve(c) })
+			b.goroutines.Go(func() { b.serve(c) })
 		}
 	})
 	return b, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which it listens.
 func (b *Box) Addr() string { return b.listener.Addr().String() }
 
-// Close ends it and its connections.
+// Close closes the listener and all connections and waits for the server's goroutines.
 func (b *Box) Close() {
 	b.listener.Close()
 	b.mu.Lock()
@@ -73,29 +74,29 @@
 		c.Close()
 	}
 	b.mu.Unlock()
-	b.all.Wait()
+	b.goroutines.Wait()
 }
 
-// Seen gives the requests so far.
+// Seen returns the requests received so far.
 func (b *Box) Seen() []Seen {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Seen(nil), b.seen...)
 }
 
-// Await waits until it has seen n requests; false after limit.
-func (b *Box) Await(n int, limit time.Duration) bool {
-	over := time.After(limit)
+// Await waits until n requests were received; it returns false at the time-out.
+func (b *Box) Await(n int, timeout time.Duration) bool {
+	expired := time.After(timeout)
 	for {
 		b.mu.Lock()
-		got, news := len(b.seen), b.news
+		got, changed := len(b.seen), b.changed
 		b.mu.Unlock()
 		if got >= n {
 			return true
 		}
 		select {
-		case <-news:
-		case <-over:
+		case <-changed:
+		case <-expired:
 			return false
 		}
 	}
@@ -117,29 +118,29 @@
 			return
 		}
 		s.Raw = bytes.Clone(raw.Bytes())
-		if s.Whole = true; !b.early {
+		if s.Whole = true; !b.atHeadEnd {
 			s.Body, err = readBody(in, s)
 			s.Whole = err == nil
 		}
 		b.mu.Lock()
 		b.seen = append(b.seen, s)
-		close(b.news)
-		b.news = make(chan struct{})
+		close(b.changed)
+		b.changed = make(chan struct{})
 		b.mu.Unlock()
-		if !s.Whole || !b.script(s, &buffered{c, in}) {
+		if !s.Whole || !b.script(s, &bufferedConn{c, in}) {
 			return
 		}
 	}
 }
 
-// buffered reads what was read ahead first.
-type buffered struct {
+// bufferedConn reads the bytes in the read-ahead buffer before those of the connection.
+type bufferedConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// Read implements io.Reader.
-func (b *buffered) Read(p []byte) (int, error) { return b.in.Read(p) }
+// Read implements net.Conn.
+func (b *bufferedConn) Read(p []byte) (int, error) { return b.in.Read(p) }
 
 func readHead(in *bufio.Reader, raw *bytes.Buffer) (s Seen, err error) {
 	for {
@@ -168,7 +169,7 @@
 	return io.ReadAll(q.Body)
 }
 
-// Says gives a script that answers with the same text, and keeps the connection or not.
+// Says returns a script that writes the same text for each request and keeps the connection open if keep is set.
 func Says(text string, keep bool) Script {
 	return func(_ Seen, c net.Conn) bool {
 		_, err := io.WriteString(c, text)
@@ -176,7 +177,7 @@
 	}
 }
 
-// OK gives an answer 200 with a body.
+// OK returns the text of an answer 200 with a body.
 func OK(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
