--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -9,21 +9,21 @@
 	"sync"
 )
 
-// answers reads along on a client's connection and counts whole answers against requests:
-// net/http drops an answer that nobody asked for, and a second one to the same request is
-// just that.
-type answers struct {
+// countingConn is a client's connection that parses what is read from it and compares the
+// number of complete answers with that of requests. net/http silently drops an unsolicited
+// answer, so that a second answer to one request would go unnoticed.
+type countingConn struct {
 	net.Conn
-	pipe  *io.PipeWriter
-	extra func(id string) // called for each answer beyond the requests
+	pipe    *io.PipeWriter
+	onExtra func(id string) // called for each answer without a request
 
-	mu    sync.Mutex
-	id    string // of the latest request
-	owing int    // requests that have no answer yet
+	mu      sync.Mutex
+	id      string // of the latest request
+	pending int    // requests without an answer
 }
 
-// countAnswers dials as net/http does, and has extra called, on any goroutine, with the id
-// of the request that was answered once more.
+// countAnswers wraps a dial function of net/http so that extra is called, on any goroutine, with
+// the ID of a request that was answered more than once.
 func countAnswers(dial func(ctx context.Context, network, addr string) (net.Conn, error), extra func(id string)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
@@ -31,37 +31,37 @@
 			return nil, err
 		}
 		out, in := io.Pipe()
-		a := &answers{Conn: c, pipe: in, extra: extra}
-		go a.count(out)
+		a := &countingConn{Conn: c, pipe: in, onExtra: extra}
+		go a.countResponses(out)
 		return a, nil
 	}
 }
 
-// asked notes a request that goes out on the connection.
-func (a *answers) asked(id string) {
+// noteRequest records a request that is sent on the connection.
+func (a *countingConn) noteRequest(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.id = id
-	a.owing++
+	a.pending++
 }
 
 // Read implements net.Conn.
-func (a *answers) Read(p []byte) (int, error) {
+func (a *countingConn) Read(p []byte) (int, error) {
 	n, err := a.Conn.Read(p)
 	if n > 0 {
-		_, _ = a.pipe.Write(p[:n]) // fails only once the counting has ended
+		_, _ = a.pipe.Write(p[:n]) // fails only after countResponses has returned
 	}
 	return n, err
 }
 
 // Close implements net.Conn.
-func (a *answers) Close() error {
+func (a *countingConn) Close() error {
 	a.pipe.Close()
 	return a.Conn.Close()
 }
 
-// count reads answers until the connection ends or what comes is none.
-func (a *answers) count(from *io.PipeReader) {
+// countResponses reads answers until the connection ends or sends something else.
+func (a *countingConn) countResponses(from *io.PipeReader) {
 	defer from.Close()
 	in := bufio.NewReader(from)
 	for {
@@ -77,11 +77,11 @@
 			continue
 		}
 		a.mu.Lock()
-		a.owing--
-		over, id := a.owing < 0, a.id
+		a.pending--
+		unrequested, id := a.pending < 0, a.id
 		a.mu.Unlock()
-		if over {
-			a.extra(id)
+		if unrequested {
+			a.onExtra(id)
 		}
 	}
 }
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -21,14 +21,14 @@
 	Effect   Effect
 	Deadline time.Duration
 	Aim      time.Duration
-	Window   time.Duration // Keyed: how long repeats are dropped
+	Window   time.Duration // Keyed: how long repetitions are dropped
 	Work     time.Duration // mean, on one core of speed 1
-	Spread   float64       // of the work's logarithm; 0: evenly from 70% to 130%
+	Spread   float64       // standard deviation of the work's logarithm; 0: uniform from 70% to 130%
 	Share    float64       // of the clients' requests
 }
 
-// part draws how much of its mean a request's work is.
-func (c *Class) part(rng *rand.Rand) float64 {
+// drawWorkFactor draws a request's work as a multiple of the mean.
+func (c *Class) drawWorkFactor(rng *rand.Rand) float64 {
 	if c.Spread > 0 { // the mean of exp(N(m, s)) is exp(m + s^2/2)
 		return math.Exp(c.Spread*rng.NormFloat64() - c.Spread*c.Spread/2)
 	}
@@ -38,62 +38,62 @@
 // BoxOptions describe an app box.
 type BoxOptions struct {
 	UID, Zone string
-	Addr      string // where it listens; "" for any port on loopback
+	Addr      string // to listen on; "" for any port on loopback
 	Cores     int
-	Speed     float64 // of a core; 1 does a class's Work in that time
-	Queue     int     // requests that wait for a core; more are turned away unseen
+	Speed     float64 // of a core; at 1 a request takes its class's Work
+	Queue     int     // requests that may wait for a core; more are turned away unprocessed
 	Classes   []Class
-	// Cold start: the share of the capacity at boot, growing evenly to the whole at
-	// ColdFor. Sent more than FallMultiple times what it can do for FallFor, a cold
-	// box falls over and stays down.
+	// Cold start: capacity begins at the share ColdFrom and grows linearly to the whole
+	// over ColdFor. A cold box that is sent more than FallMultiple times its capacity over
+	// FallFor falls over and stays down.
 	ColdFrom     float64
 	ColdFor      time.Duration
 	FallMultiple float64
 	FallFor      time.Duration
-	Cold         bool // it has just started
+	Cold         bool // starts cold
 	Seed         uint64
-	// Arrived, if set, is told of each request's id as it comes.
+	// Arrived, if set, is called with each request's ID on arrival.
 	Arrived func(id string, at time.Time)
 }
 
-// Box is an app box on loopback. Its methods that change how it behaves may be
-// called at any time.
+// Box is an app box on loopback. The methods that change its behavior may be called at
+// any time.
 type Box struct {
 	opt       BoxOptions
 	classes   map[string]Class
-	mean      float64 // of the classes' work, in seconds
+	meanWork  float64 // of the classes' work, in seconds
 	ledger    *Ledger
 	discovery *Discovery
 	addr      string
 	cores     chan struct{}
-	// Conns counts the connections that were opened to it.
+	// Conns counts the connections opened to it.
 	Conns Peak
 
-	mu       sync.Mutex
-	server   *http.Server // nil while it is down
-	listener net.Listener
-	booted   time.Time // zero: long ago
-	slow     float64   // work takes so many times longer
-	errors   float64   // share of requests that fail fast
-	hang     chan struct{}
-	draining bool
-	fell     bool
-	waiting  int
-	cold     ledger.Cold
-	load     float64 // seconds of work beyond what a cold box can take, see push
-	loadAt   time.Time
-	rng      *rand.Rand
+	mu         sync.Mutex
+	server     *http.Server // nil while it is down
+	listener   net.Listener
+	booted     time.Time // zero: long ago, the box is warm
+	slowdown   float64   // factor on the time that work takes
+	errorShare float64   // share of requests that fail fast
+	hang       chan struct{}
+	draining   bool
+	fell       bool
+	admitted   int
+	cold       ledger.Cold
+	excessWork float64 // seconds of work beyond a cold box's limit, see addColdWork
+	excessAt   time.Time
+	rng        *rand.Rand
 }
 
-// NewBox starts a warm box and lists it.
+// NewBox starts a box, warm unless opt.Cold is set, and adds it to discovery's list.
 func NewBox(opt BoxOptions, d *Discovery, l *Ledger) (*Box, error) {
 	b := &Box{
-		opt: opt, classes: map[string]Class{}, ledger: l, discovery: d, slow: 1,
+		opt: opt, classes: map[string]Class{}, ledger: l, discovery: d, slowdown: 1,
 		cores: make(chan struct{}, opt.Cores), rng: rand.New(rand.NewPCG(opt.Seed, 1)),
 	}
 	for _, c := range opt.Classes {
 		b.classes[c.Name] = c
-		b.mean += c.Work.Seconds() / float64(len(opt.Classes))
+		b.meanWork += c.Work.Seconds() / float64(len(opt.Classes))
 	}
 	if opt.Cold {
 		b.booted = time.Now()
@@ -105,7 +105,7 @@
 	return b, nil
 }
 
-// UID is the box's name in the list.
+// UID returns the box's name in discovery's list.
 func (b *Box) UID() string { return b.opt.UID }
 
 func (b *Box) listen(addr string) error {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// List has discovery list it in a state, whatever it is in.
+// List sets the box's state in discovery's list, whatever its real state is.
 func (b *Box) List(state string) {
 	b.mu.Lock()
 	t := Target{
@@ -140,16 +140,16 @@
 	b.discovery.Set(t)
 }
 
-// Slow makes work take so many times longer; 1 is normal.
-func (b *Box) Slow(times float64) { b.set(func() { b.slow = times }) }
+// Slow multiplies the time that work takes by times; 1 is normal.
+func (b *Box) Slow(times float64) { b.update(func() { b.slowdown = times }) }
 
-// FailFast makes a share of the requests fail at once, before they run.
-func (b *Box) FailFast(share float64) { b.set(func() { b.errors = share }) }
+// FailFast makes a share of the requests fail at once, without running.
+func (b *Box) FailFast(share float64) { b.update(func() { b.errorShare = share }) }
 
-// Hang makes it take requests and answer none; those that it holds when it ends
-// are dropped.
+// Hang makes the box accept requests and answer none; when it is switched off, the
+// requests held until then are aborted.
 func (b *Box) Hang(on bool) {
-	b.set(func() {
+	b.update(func() {
 		if on && b.hang == nil {
 			b.hang = make(chan struct{})
 		} else if !on && b.hang != nil {
@@ -159,45 +159,45 @@
 	})
 }
 
-func (b *Box) set(f func()) {
+func (b *Box) update(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
 }
 
-// Drain makes it finish what it has; the list says so.
+// Drain lists the box as terminating; it finishes its running requests and turns new ones away.
 func (b *Box) Drain() {
 	b.List(Terminating)
-	b.set(func() { b.draining = true })
+	b.update(func() { b.draining = true })
 }
 
-// Resume takes a drain back.
+// Resume cancels a drain.
 func (b *Box) Resume() {
-	b.set(func() { b.draining = false })
+	b.update(func() { b.draining = false })
 	b.List(InService)
 }
 
-// Crash ends it: connections break, new ones are refused. The list is not told.
+// Crash stops the box: connections break, new ones are refused. Discovery's list is not changed.
 func (b *Box) Crash() {
 	b.mu.Lock()
 	s, l := b.server, b.listener
 	b.server = nil
 	b.mu.Unlock()
 	if s != nil {
-		l.Close() // the server may not have come to know of it yet
+		l.Close() // Serve may not have registered it with the server yet
 		s.Close()
 	}
 	b.Hang(false)
 }
 
-// Leave takes it off the list and ends it.
+// Leave removes the box from discovery's list and stops it.
 func (b *Box) Leave() {
 	b.List(Terminated)
 	b.Crash()
 }
 
-// Replace ends it and starts another machine at its address, cold, under another name and so many times as
-// slow. Discovery lists that in its place.
+// Replace stops the box and starts another one at its address, cold, under another name and slower by a
+// factor. Discovery lists the new one in its place.
 func (b *Box) Replace(uid string, slower float64) (*Box, error) {
 	b.Leave()
 	b.mu.Lock()
@@ -209,11 +209,11 @@
 	return NewBox(opt, b.discovery, b.ledger)
 }
 
-// Return starts it again, cold, at its old address, and lists it.
+// Return restarts the box, cold, at its old address and lists it as in service.
 func (b *Box) Return() error {
 	b.Crash()
-	b.set(func() {
-		b.booted, b.draining, b.fell, b.slow, b.errors, b.load = time.Now(), false, false, 1, 0, 0
+	b.update(func() {
+		b.booted, b.draining, b.fell, b.slowdown, b.errorShare, b.excessWork = time.Now(), false, false, 1, 0, 0
 		b.cold.Restart()
 	})
 	if err := b.listen(b.addr); err != nil {
@@ -223,13 +223,13 @@
 	return nil
 }
 
-// Heal ends slowness, errors and hanging.
+// Heal ends the faults set by Slow, FailFast and Hang.
 func (b *Box) Heal() {
-	b.set(func() { b.slow, b.errors = 1, 0 })
+	b.update(func() { b.slowdown, b.errorShare = 1, 0 })
 	b.Hang(false)
 }
 
-// State says in a word how it is.
+// State returns one word for the box's state.
 func (b *Box) State() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -242,18 +242,18 @@
 		return "draining"
 	case b.hang != nil:
 		return "hanging"
-	case b.errors > 0:
+	case b.errorShare > 0:
 		return "failing"
-	case b.slow > 1:
+	case b.slowdown > 1:
 		return "slow"
-	case b.share(time.Now()) < 1:
+	case b.capacityShare(time.Now()) < 1:
 		return "cold"
 	}
 	return "ok"
 }
 
-// share is the part of its capacity that it has; it needs the lock.
-func (b *Box) share(now time.Time) float64 {
+// capacityShare returns the available share of the full capacity. The caller holds b.mu.
+func (b *Box) capacityShare(now time.Time) float64 {
 	if b.booted.IsZero() || b.opt.ColdFor <= 0 {
 		return 1
 	}
@@ -261,34 +261,34 @@
 	return min(1, b.opt.ColdFrom+(1-b.opt.ColdFrom)*age)
 }
 
-// push notes work that was sent and tells whether that pushes a cold box over: the
-// work of any stretch of FallFor is held against FallMultiple times what the box
-// can do in it. It needs the lock.
-func (b *Box) push(now time.Time, work time.Duration) bool {
-	share := b.share(now)
+// addColdWork records work sent to a cold box and reports whether the box falls over from it:
+// the work within any FallFor is compared with FallMultiple times what the box can do in that
+// time. The caller holds b.mu.
+func (b *Box) addColdWork(now time.Time, work time.Duration) bool {
+	share := b.capacityShare(now)
 	if share >= 1 {
 		return false
 	}
-	limit := b.opt.FallMultiple * share * float64(b.opt.Cores) * b.opt.Speed // core seconds a second
-	b.cold.Add(now.Sub(b.booted), b.opt.FallFor, work.Seconds()/b.mean, limit*b.opt.FallFor.Seconds()/b.mean)
-	if !b.loadAt.IsZero() {
-		b.load = max(0, b.load-limit*now.Sub(b.loadAt).Seconds())
+	limit := b.opt.FallMultiple * share * float64(b.opt.Cores) * b.opt.Speed // core seconds per second
+	b.cold.Add(now.Sub(b.booted), b.opt.FallFor, work.Seconds()/b.meanWork, limit*b.opt.FallFor.Seconds()/b.meanWork)
+	if !b.excessAt.IsZero() {
+		b.excessWork = max(0, b.excessWork-limit*now.Sub(b.excessAt).Seconds())
 	}
-	b.loadAt = now
-	b.load += work.Seconds()
-	return b.load > limit*b.opt.FallFor.Seconds()
+	b.excessAt = now
+	b.excessWork += work.Seconds()
+	return b.excessWork > limit*b.opt.FallFor.Seconds()
 }
 
-// ColdOver gives the requests of mean work that came while it was cold beyond what the rules allow and chance
-// explains; see ledger.Cold.
+// ColdOver returns the number of requests, of mean work, that came while the box was cold beyond what the rules
+// allow and chance explains; see ledger.Cold.
 func (b *Box) ColdOver() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cold.Over()
 }
 
-// ServeHTTP is a request that a node sent. Once it runs it goes on to its end,
-// whether or not anybody waits.
+// ServeHTTP handles a request from a node. A request that has begun to run goes on to its
+// end even if the client has gone.
 func (b *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	id := r.Header.Get("X-Correlation-Id")
@@ -299,27 +299,27 @@
 		return
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, 64<<10)); err != nil {
-		return // never began
+		return // the request did not arrive whole and never runs
 	}
-	told, _ := b.discovery.ToldAll(b.opt.UID)
-	b.ledger.Arrived(id, b.opt.UID, now, told)
+	drainKnown, _ := b.discovery.ToldAll(b.opt.UID)
+	b.ledger.Arrived(id, b.opt.UID, now, drainKnown)
 	if b.opt.Arrived != nil {
 		b.opt.Arrived(id, now)
 	}
 
 	b.mu.Lock()
-	if b.push(now, class.Work) && !b.fell {
+	if b.addColdWork(now, class.Work) && !b.fell {
 		b.fell = true
 		b.mu.Unlock()
 		b.ledger.Fell(b.opt.UID)
 		b.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	hang, draining, full := b.hang, b.draining, b.waiting >= b.opt.Queue+b.opt.Cores
-	fails := b.errors > 0 && b.rng.Float64() < b.errors
-	took := time.Duration(float64(class.Work) * class.part(b.rng) * b.slow / b.opt.Speed / b.share(now))
+	hang, draining, full := b.hang, b.draining, b.admitted >= b.opt.Queue+b.opt.Cores
+	fails := b.errorShare > 0 && b.rng.Float64() < b.errorShare
+	took := time.Duration(float64(class.Work) * class.drawWorkFactor(b.rng) * b.slowdown / b.opt.Speed / b.capacityShare(now))
 	if hang == nil && !draining && !full && !fails {
-		b.waiting++
+		b.admitted++
 	}
 	b.mu.Unlock()
 	switch {
@@ -342,10 +342,10 @@
 		time.Sleep(took)
 	}
 	<-b.cores
-	b.set(func() { b.waiting-- })
+	b.update(func() { b.admitted-- })
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	io.WriteString(w, Body(id, b.opt.UID))
 }
 
-// Body is a box's answer to a request.
+// Body returns the body with which a box answers a request.
 func Body(id, box string) string { return id + " by " + box + "\n" }
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -22,63 +22,63 @@
 )
 
 const (
-	upEvery = 50 * time.Millisecond // how often the front asks each node's /up
-	upWait  = 500 * time.Millisecond
-	// answerGrace is what an answer may take beyond the client's time, as the
-	// client's own clock counts it on a busy machine.
+	probeInterval = 50 * time.Millisecond // between calls of each node's /up
+	probeTimeout  = 500 * time.Millisecond
+	// answerGrace is how long past the client's deadline an answer may arrive, since
+	// the client measures the time itself and runs late on a busy machine.
 	answerGrace = 250 * time.Millisecond
-	runMost     = 8 * time.Hour // of clients that nobody ends
+	maxRun      = 8 * time.Hour // of clients whose context does not end
 )
 
-// Front deals requests out among nodes. It takes a node in once its /up answers
-// 200, and leaves it when /up says otherwise or connections to it fail.
+// Front distributes requests among nodes in turn. It uses a node once its /up answers
+// 200, and stops when /up answers otherwise or connections to the node fail.
 type Front struct {
 	probe http.Client
 
-	mu    sync.Mutex
-	nodes []*frontNode
-	next  int
-	twice func(id string) // of a request that was answered once more
+	mu            sync.Mutex
+	nodes         []*frontNode
+	next          int
+	onExtraAnswer func(id string) // called with the ID of a request that was answered more than once
 }
 
 type frontNode struct {
-	addr   string
-	in     bool
-	client *http.Transport
+	addr      string
+	available bool
+	transport *http.Transport
 }
 
-// NewFront makes a front for nodes at the given addresses; run it with Run.
+// NewFront returns a front for the nodes at the given addresses. Run has to run for it to use any.
 func NewFront(addrs []string) *Front {
-	f := &Front{probe: http.Client{Timeout: upWait, Transport: &http.Transport{DisableKeepAlives: true}}}
+	f := &Front{probe: http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for _, addr := range addrs {
-		f.nodes = append(f.nodes, &frontNode{addr: addr, client: &http.Transport{
+		f.nodes = append(f.nodes, &frontNode{addr: addr, transport: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second, DisableCompression: true,
-			DialContext: countAnswers(new(net.Dialer).DialContext, f.answeredTwice),
+			DialContext: countAnswers(new(net.Dialer).DialContext, f.reportExtraAnswer),
 		}})
 	}
 	return f
 }
 
-// answeredTwice tells the clients, if there are any, of a further answer.
-func (f *Front) answeredTwice(id string) {
+// reportExtraAnswer tells the clients, if there are any, of an additional answer.
+func (f *Front) reportExtraAnswer(id string) {
 	f.mu.Lock()
-	twice := f.twice
+	onExtra := f.onExtraAnswer
 	f.mu.Unlock()
-	if twice != nil {
-		twice(id)
+	if onExtra != nil {
+		onExtra(id)
 	}
 }
 
-// Run follows the nodes' /up until ctx ends.
+// Run polls the nodes' /up until ctx ends.
 func (f *Front) Run(ctx context.Context) {
-	var asking sync.WaitGroup
+	var probes sync.WaitGroup
 	for _, n := range f.nodes {
-		asking.Go(func() {
-			defer n.client.CloseIdleConnections()
-			for every := time.NewTicker(upEvery); ; {
-				up := f.up(ctx, n.addr)
+		probes.Go(func() {
+			defer n.transport.CloseIdleConnections()
+			for every := time.NewTicker(probeInterval); ; {
+				up := f.probeUp(ctx, n.addr)
 				f.mu.Lock()
-				n.in = up
+				n.available = up
 				f.mu.Unlock()
 				select {
 				case <-every.C:
@@ -89,10 +89,10 @@
 			}
 		})
 	}
-	asking.Wait()
+	probes.Wait()
 }
 
-func (f *Front) up(ctx context.Context, addr string) bool {
+func (f *Front) probeUp(ctx context.Context, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/up", nil)
 	if err != nil {
 		return false
@@ -105,131 +105,131 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// In counts the nodes that take requests.
+// In returns the number of available nodes.
 func (f *Front) In() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, node := range f.nodes {
-		if node.in {
+		if node.available {
 			n++
 		}
 	}
 	return n
 }
 
-// Out gives the addresses of the nodes that take none.
+// Out returns the addresses of the nodes that are not available.
 func (f *Front) Out() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
 	for _, n := range f.nodes {
-		if !n.in {
+		if !n.available {
 			out = append(out, n.addr)
 		}
 	}
 	return out
 }
 
-// pick gives the next node in turn; nil while none is in.
+// pick returns the next available node in turn, or nil if there is none.
 func (f *Front) pick() *frontNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.nodes {
 		f.next = (f.next + 1) % len(f.nodes)
-		if n := f.nodes[f.next]; n.in {
+		if n := f.nodes[f.next]; n.available {
 			return n
 		}
 	}
 	return nil
 }
 
-func (f *Front) out(n *frontNode) {
+func (f *Front) exclude(n *frontNode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n.in = false
+	n.available = false
 }
 
 // ClientOptions describe the clients' load.
 type ClientOptions struct {
-	Rate    float64                     // requests a second, at random moments
-	Curve   func(time.Duration) float64 // parts of the rate over time; nil: the whole
+	Rate    float64                     // requests per second, at random moments
+	Curve   func(time.Duration) float64 // factor on Rate over time; nil: 1
 	Classes []Class
 	Tenants []string
-	Skew    float64 // Zipf's exponent of the tenants; 0: all alike
-	Keys    int     // things that requests are about
+	Skew    float64 // exponent of the Zipf distribution over tenants; 0: uniform
+	Keys    int     // number of distinct keys in request paths
 	Seed    uint64
-	Most    int // requests open at once; beyond them none is sent, see Clients.Skipped
-	// Whole gives each request its class's whole deadline, in place of 70% to all of it.
+	Most    int // bound on open requests; above it none is sent, see Clients.Skipped
+	// Whole gives each request the full deadline of its class instead of 70% to 100% of it.
 	Whole    bool
-	Comeback comeback.Habits // after a refusal, or a failure of what may run twice
-	// Ended, if set, is told of each request's end: on any goroutine.
+	Comeback comeback.Habits // retries after a refusal, or after a failure of a request that may run twice
+	// Ended, if set, is called at the end of each request, on any goroutine.
 	Ended func(End)
 }
 
-// End is how a request ended, over all of its tries.
+// End is the result of a request, over all of its tries.
 type End struct {
 	Class   int
-	Due     time.Time // when it was meant to go out
+	Due     time.Time // the scheduled time of sending
 	Took    time.Duration
 	Outcome Outcome
-	Tries   int // requests at nodes
+	Tries   int // requests sent to nodes
 	Sent    bool
 }
 
-// Clients send requests through a front and note each one's final answer. A request that
-// crossed the close of a kept connection goes out once more on a new one, as the protocol
-// allows; whether a client comes back after an answer is in the options.
+// Clients send requests through a front and record each one's final answer. A request on a
+// reused connection that the node closed at the same moment is sent once more on a new one, as
+// the protocol allows; whether a client retries after an answer is in the options.
 type Clients struct {
-	opt     ClientOptions
-	front   *Front
-	ledger  *Ledger
-	last    atomic.Int64
-	skipped atomic.Int64
-	within  atomic.Int64
-	record  *load.Recorder
-	tenants []float64     // cumulative
-	done    chan struct{} // Run has returned
-	report  load.Report
+	opt           ClientOptions
+	front         *Front
+	ledger        *Ledger
+	lastID        atomic.Int64
+	skipped       atomic.Int64
+	withinAim     atomic.Int64
+	latencies     *load.Recorder
+	tenantWeights []float64     // cumulative Zipf weights
+	finished      chan struct{} // Run has returned
+	report        load.Report
 }
 
-// NewClients makes them; Run sends.
+// NewClients returns clients of a front; Run makes them send.
 func NewClients(opt ClientOptions, f *Front, l *Ledger) *Clients {
-	c := &Clients{opt: opt, front: f, ledger: l, record: load.NewRecorder(), done: make(chan struct{})}
+	c := &Clients{opt: opt, front: f, ledger: l, latencies: load.NewRecorder(), finished: make(chan struct{})}
 	f.mu.Lock()
-	f.twice = func(id string) { l.Answered(id, "", Failed, time.Now()) }
+	f.onExtraAnswer = func(id string) { l.Answered(id, "", Failed, time.Now()) }
 	f.mu.Unlock()
 	sum := 0.0
 	for i := range opt.Tenants {
 		sum += math.Pow(float64(i+1), -opt.Skew)
-		c.tenants = append(c.tenants, sum)
+		c.tenantWeights = append(c.tenantWeights, sum)
 	}
 	return c
 }
 
-// Skipped counts requests that were not sent because too many were open, or
-// because no node was in: none of them was asked of a node.
+// Skipped returns the number of requests that no node was sent, because too many were
+// open or no node was available.
 func (c *Clients) Skipped() int { return int(c.skipped.Load()) }
 
-// Begun counts the requests at nodes that were begun so far; the latest has it in the lower half of its id.
-func (c *Clients) Begun() int { return int(c.last.Load()) }
+// Begun returns the number of requests begun so far. The lower half of the latest request's ID is this number.
+func (c *Clients) Begun() int { return int(c.lastID.Load()) }
 
-// Report is the generator's account, once Wait has returned; it tells whether it lagged.
+// Report returns the load generator's report, which tells whether it lagged. It is valid once Wait has returned.
 func (c *Clients) Report() load.Report { return c.report }
 
-// Within counts the requests that were served within their class's aim.
-func (c *Clients) Within() int { return int(c.within.Load()) }
+// Within returns the number of requests served within their class's aim.
+func (c *Clients) Within() int { return int(c.withinAim.Load()) }
 
-// Latency gives a quantile, between 0 and 1, of the served requests' times since they
-// were meant to go out.
-func (c *Clients) Latency(q float64) time.Duration { return c.record.Quantile(q) }
+// Latency returns a quantile, between 0 and 1, of the served requests' latencies, measured
+// from the scheduled time of sending.
+func (c *Clients) Latency(q float64) time.Duration { return c.latencies.Quantile(q) }
 
 // Wait waits until Run has returned.
-func (c *Clients) Wait() { <-c.done }
+func (c *Clients) Wait() { <-c.finished }
 
-// Run sends until ctx ends and returns once the last answer is in. It runs once.
+// Run sends requests until ctx ends and returns after the last answer. It may be called only once.
 func (c *Clients) Run(ctx context.Context) {
-	defer close(c.done)
+	defer close(c.finished)
 	longest := time.Duration(0)
 	for _, class := range c.opt.Classes {
 		longest = max(longest, class.Deadline)
@@ -241,7 +241,7 @@
 			}
 			return c.opt.Rate
 		},
-		For: runMost, Open: c.opt.Most, TimeOut: longest + answerGrace, Seed: c.opt.Seed, Record: c.record,
+		For: maxRun, Open: c.opt.Most, TimeOut: longest + answerGrace, Seed: c.opt.Seed, Record: c.latencies,
 	})
 	if err != nil {
 		report.Void = err.Error()
@@ -250,14 +250,14 @@
 	c.report = report
 }
 
-// Ask implements load.Target: one client's request, over all of its tries.
+// Ask implements load.Target: it sends one client's request, with all of its tries.
 func (c *Clients) Ask(ctx context.Context, n uint64, due time.Time) load.Outcome {
 	rng := rand.New(rand.NewPCG(c.opt.Seed, n))
-	e := End{Class: c.class(rng.Float64()), Due: due, Outcome: Lost}
+	e := End{Class: c.drawClass(rng.Float64()), Due: due, Outcome: Lost}
 	class := c.opt.Classes[e.Class]
 	tenant := ""
-	if len(c.tenants) > 0 {
-		i, _ := slices.BinarySearch(c.tenants, rng.Float64()*c.tenants[len(c.tenants)-1])
+	if len(c.tenantWeights) > 0 {
+		i, _ := slices.BinarySearch(c.tenantWeights, rng.Float64()*c.tenantWeights[len(c.tenantWeights)-1])
 		tenant = c.opt.Tenants[i]
 	}
 	key := rng.IntN(max(c.opt.Keys, 1))
@@ -289,7 +289,7 @@
 	}
 	e.Took = time.Since(due)
 	if e.Outcome == Served && e.Took <= class.Aim {
-		c.within.Add(1)
+		c.withinAim.Add(1)
 	}
 	if c.opt.Ended != nil {
 		c.opt.Ended(e)
@@ -297,7 +297,7 @@
 	return [...]load.Outcome{Served: load.Served, Refused: load.Refused, Failed: load.Failed, Lost: load.Broken}[e.Outcome]
 }
 
-func (c *Clients) class(at float64) int {
+func (c *Clients) drawClass(at float64) int {
 	for i, class := range c.opt.Classes {
 		if at -= class.Share; at < 0 {
 			return i
@@ -306,12 +306,12 @@
 	return len(c.opt.Classes) - 1
 }
 
-// errNotSent means that no node has taken the request.
+// errNotSent means that no connection to the node could be opened.
 var errNotSent = errors.New("not sent")
 
-// request makes one try at a node that is in; false if there is none that takes it.
+// request makes one try at an available node; it returns false if there is none that accepts a connection.
 func (c *Clients) request(ctx context.Context, class Class, tenant string, key int, left time.Duration) (Outcome, time.Duration, bool) {
-	id := fmt.Sprintf("%016x", uint64(c.last.Add(1))^c.opt.Seed<<32)
+	id := fmt.Sprintf("%016x", uint64(c.lastID.Add(1))^c.opt.Seed<<32)
 	ctx, cancel := context.WithTimeout(ctx, left+answerGrace)
 	defer cancel()
 	began := time.Now()
@@ -320,26 +320,26 @@
 		if n == nil {
 			break
 		}
-		outcome, retryAfter, err := c.try(ctx, n, id, class, tenant, key, left-time.Since(began))
+		outcome, retryAfter, err := c.sendTo(ctx, n, id, class, tenant, key, left-time.Since(began))
 		if !errors.Is(err, errNotSent) {
 			c.ledger.Answered(id, class.Name, outcome, time.Now())
 			return outcome, retryAfter, true
 		}
-		c.front.out(n)
+		c.front.exclude(n)
 	}
 	c.skipped.Add(1)
 	return Lost, 0, false
 }
 
-// try sends a request to a node, once more if it crossed the close of a kept
-// connection.
-func (c *Clients) try(ctx context.Context, n *frontNode, id string, class Class, tenant string, key int, left time.Duration) (Outcome, time.Duration, error) {
+// sendTo sends a request to a node, once more if the node closed a reused connection
+// before it answered.
+func (c *Clients) sendTo(ctx context.Context, n *frontNode, id string, class Class, tenant string, key int, left time.Duration) (Outcome, time.Duration, error) {
 	for again := false; ; again = true {
-		var reused, answered atomic.Bool // the transport's goroutines may go on behind an error
+		var reused, answered atomic.Bool // the transport's goroutines may still run after an error
 		trace := httptrace.ClientTrace{
 			GotConn: func(i httptrace.GotConnInfo) {
 				reused.Store(i.Reused)
-				i.Conn.(*answers).asked(id)
+				i.Conn.(*countingConn).noteRequest(id)
 			},
 			GotFirstResponseByte: func() { answered.Store(true) },
 		}
@@ -347,7 +347,7 @@
 		if err != nil {
 			return Lost, 0, err
 		}
-		resp, err := n.client.RoundTrip(r)
+		resp, err := n.transport.RoundTrip(r)
 		if err == nil {
 			outcome, err := readOutcome(resp, id)
 			seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // absent: 0
@@ -358,7 +358,7 @@
 		case errors.As(err, &op) && op.Op == "dial":
 			return Lost, 0, errNotSent
 		case reused.Load() && !answered.Load() && !again && ctx.Err() == nil:
-			n.client.CloseIdleConnections() // so that the next one is new
+			n.transport.CloseIdleConnections() // so that the next try gets a new connection
 		default:
 			return Lost, 0, err
 		}
@@ -389,7 +389,7 @@
 	return r, nil
 }
 
-// readOutcome reads an answer. One served must be what a box made for the request.
+// readOutcome reads an answer. The body of a 200 has to be a box's answer to this request.
 func readOutcome(resp *http.Response, id string) (Outcome, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 128<<10))
@@ -399,7 +399,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		if !strings.HasPrefix(string(body), id+" by ") {
-			return Lost, fmt.Errorf("request %s: answered with %q", id, body)
+			return Lost, fmt.Errorf("request %s: body %q is not the answer to this request", id, body)
 		}
 		return Served, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -1,6 +1,6 @@
-// Package standin imitates what surrounds a node: discovery, app boxes and
-// clients, all on loopback, with failures on command and a Ledger that checks the
-// four rules from outside. Tests and cmd/otterlab use it; nothing in service does.
+// Package standin provides stand-ins for a node's surroundings: discovery, app boxes and
+// clients, all on loopback, with faults on command and a Ledger that checks the four rules
+// from outside. It is used by tests and cmd/otterlab only, never in production.
 package standin
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Target is a line of discovery's list.
+// Target is an entry of discovery's list.
 type Target struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
@@ -28,7 +28,7 @@
 	BootMs       int64   `json:"boot_ms"`
 }
 
-// The words for a target's state.
+// The states of a target.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
@@ -36,14 +36,14 @@
 )
 
 const (
-	// historyMost bounds the changes that discovery remembers; a watch from further
-	// back gets the whole list.
-	historyMost = 256
-	longestWait = 60 * time.Second
-	// toldLate is when a change counts as told, whether or not it arrived.
-	toldLate = 6 * time.Second
-	// askWait is how long a call may wait for its turn where discovery is asked.
-	askWait = 2 * time.Second
+	// maxHistory bounds the changes that discovery remembers; a watch from an earlier
+	// version gets the whole list.
+	maxHistory = 256
+	maxWatch   = 60 * time.Second
+	// assumedDelivery is the time after which a change counts as delivered even if it was not.
+	assumedDelivery = 6 * time.Second
+	// queueTimeout is how long a call may wait for its turn at a shared outlet.
+	queueTimeout = 2 * time.Second
 )
 
 type change struct {
@@ -52,27 +52,27 @@
 	at     time.Time
 }
 
-// Discovery holds one list of servers. Nodes reach it through outlets: one a node
-// where lists are pushed (the agent on the node's machine), one for all where
-// discovery is asked.
+// Discovery holds one list of servers. Nodes reach it through outlets: one for each node
+// where lists are pushed (by the agent on the node's machine), and a single one, shared by
+// all nodes, where nodes ask discovery itself.
 type Discovery struct {
-	mu      sync.Mutex
-	rev     int64
-	targets map[string]Target // without those that are terminated
-	history []change          // the latest historyMost at most
-	news    chan struct{}     // closed and replaced at each change
-	down    bool
-	one     int // of so many calls one is answered; 0: all
-	calls   int
-	outlets []*Outlet
+	mu          sync.Mutex
+	rev         int64
+	targets     map[string]Target // without terminated ones
+	history     []change          // the latest maxHistory changes
+	changed     chan struct{}     // closed and replaced at each change
+	down        bool
+	answerOneIn int // one call in this many is answered; 0: all
+	calls       int
+	outlets     []*Outlet
 }
 
-// NewDiscovery makes an empty list.
+// NewDiscovery returns a Discovery with an empty list.
 func NewDiscovery() *Discovery {
-	return &Discovery{targets: map[string]Target{}, news: make(chan struct{})}
+	return &Discovery{targets: map[string]Target{}, changed: make(chan struct{})}
 }
 
-// Set changes or adds a target; one that is Terminated leaves the list.
+// Set adds or changes a target; one that is Terminated is removed from the list.
 func (d *Discovery) Set(t Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,49 +83,49 @@
 		d.targets[t.UID] = t
 	}
 	d.history = append(d.history, change{d.rev, t, time.Now()})
-	if extra := len(d.history) - historyMost; extra > 0 {
+	if extra := len(d.history) - maxHistory; extra > 0 {
 		d.history = slices.Delete(d.history, 0, extra)
 	}
-	d.wake()
+	d.notifyWatches()
 }
 
-// Down makes discovery fail or work again. Watches end when it goes down.
+// Down makes discovery fail or work again. Watches at a shared outlet end when it goes down.
 func (d *Discovery) Down(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.wake()
+	d.notifyWatches()
 }
 
-// Overbook has discovery answer one call of so many, and turn away the others; 0 ends that.
+// Overbook makes discovery answer one call in so many and reject the others as busy; 0 ends that.
 func (d *Discovery) Overbook(one int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.one = one
+	d.answerOneIn = one
 }
 
-// turnsAway counts a call, and tells that it is one too many.
-func (d *Discovery) turnsAway() bool {
+// rejectsCall counts a call and reports whether Overbook has it rejected.
+func (d *Discovery) rejectsCall() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
-	return d.one > 0 && d.calls%d.one != 0
+	return d.answerOneIn > 0 && d.calls%d.answerOneIn != 0
 }
 
-// wake needs the lock.
-func (d *Discovery) wake() {
-	close(d.news)
-	d.news = make(chan struct{})
+// notifyWatches wakes all waiting watches. The caller holds d.mu.
+func (d *Discovery) notifyWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Targets gives the list as it stands, in the order of the uids.
+// Targets returns the current list, sorted by UID.
 func (d *Discovery) Targets() []Target {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sorted()
 }
 
-// sorted needs the lock.
+// sorted returns the targets sorted by UID. The caller holds d.mu.
 func (d *Discovery) sorted() []Target {
 	list := make([]Target, 0, len(d.targets))
 	for _, uid := range slices.Sorted(maps.Keys(d.targets)) {
@@ -134,19 +134,19 @@
 	return list
 }
 
-type answer struct {
+type listResponse struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
 
-// since gives what is newer than a version, or the whole list where that is not
-// known any more. It needs the lock.
-func (d *Discovery) since(rev int64) answer {
+// changesSince returns the changes after a version, or the whole list if the history does
+// not reach back to it. The caller holds d.mu.
+func (d *Discovery) changesSince(rev int64) listResponse {
 	if rev > d.rev || rev < d.rev-int64(len(d.history)) {
-		return answer{d.rev, true, d.sorted()}
+		return listResponse{d.rev, true, d.sorted()}
 	}
-	a := answer{Rev: d.rev, Targets: []Target{}}
+	a := listResponse{Rev: d.rev, Targets: []Target{}}
 	seen := map[string]bool{}
 	for _, c := range slices.Backward(d.history) {
 		if c.rev > rev && !seen[c.target.UID] {
@@ -157,15 +157,16 @@
 	return a
 }
 
-// ToldAll tells since when every outlet has been told that a target is not in
-// service any more; false while it still is, or not all have been told.
+// ToldAll returns the time since which every outlet counts as having delivered that a target
+// is no longer in service; false if it is in service or the change is not in the history. An
+// outlet that has not delivered it counts as of assumedDelivery after the change.
 func (d *Discovery) ToldAll(uid string) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t, listed := d.targets[uid]; listed && t.State == InService {
 		return time.Time{}, false
 	}
-	// The change since which it has been out of service all along.
+	// left is the change since which the target has been out of service without a break.
 	var left *change
 	in := true
 	for i := range d.history {
@@ -183,42 +184,42 @@
 	}
 	latest := left.at
 	for _, o := range d.outlets {
-		told, ok := o.toldOf(left.rev)
+		delivered, ok := o.deliveredAt(left.rev)
 		if !ok {
-			told = left.at.Add(toldLate)
+			delivered = left.at.Add(assumedDelivery)
 		}
-		if told.After(latest) {
-			latest = told
+		if delivered.After(latest) {
+			latest = delivered
 		}
 	}
 	return latest, true
 }
 
-// Outlet is an address at which nodes find discovery.
+// Outlet is an HTTP address at which nodes reach discovery.
 type Outlet struct {
-	discovery *Discovery
-	server    *http.Server
-	addr      string
-	turns     chan struct{} // nil where lists are pushed
-	service   time.Duration
-	// Calls counts the calls that came, also while discovery is down.
+	discovery   *Discovery
+	server      *http.Server
+	addr        string
+	slot        chan struct{} // holds the call being served; nil where lists are pushed
+	serviceTime time.Duration
+	// Calls counts the calls received, also while discovery is down.
 	Calls Peak
 
-	mu   sync.Mutex
-	told []toldRev // versions with the time at which they were first passed; historyMost at most
+	mu         sync.Mutex
+	deliveries []delivery // versions with the time of their first delivery; the latest maxHistory
 }
 
-type toldRev struct {
+type delivery struct {
 	rev int64
 	at  time.Time
 }
 
-// Pushed opens the outlet of one node: it answers at once, and is silent while
+// Pushed opens the outlet of one node. It answers without queueing, and not at all while
 // discovery is down.
 func (d *Discovery) Pushed() (*Outlet, error) { return d.outlet(nil, 0) }
 
-// Asked opens the one outlet of all nodes: it works through calls in turn, each
-// taking service, and fails them while discovery is down or after two seconds' wait.
+// Asked opens the outlet that all nodes share. It serves calls one at a time, each taking
+// service, and fails those that waited for two seconds, and all while discovery is down.
 func (d *Discovery) Asked(service time.Duration) (*Outlet, error) {
 	return d.outlet(make(chan struct{}, 1), service)
 }
@@ -228,7 +229,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	o := &Outlet{discovery: d, addr: l.Addr().String(), turns: turns, service: service}
+	o := &Outlet{discovery: d, addr: l.Addr().String(), slot: turns, serviceTime: service}
 	o.server = &http.Server{Handler: o, ReadHeaderTimeout: 5 * time.Second}
 	d.mu.Lock()
 	d.outlets = append(d.outlets, o)
@@ -237,10 +238,10 @@
 	return o, nil
 }
 
-// Addr is where nodes find it.
+// Addr returns the address on which it listens.
 func (o *Outlet) Addr() string { return o.addr }
 
-// Close ends it and its watches.
+// Close closes the outlet and its watches.
 func (o *Outlet) Close() {
 	d := o.discovery
 	d.mu.Lock()
@@ -249,11 +250,11 @@
 	o.server.Close()
 }
 
-// toldOf gives when a version, or a later one, was first passed on.
-func (o *Outlet) toldOf(rev int64) (time.Time, bool) {
+// deliveredAt returns when a version, or a later one, was first delivered.
+func (o *Outlet) deliveredAt(rev int64) (time.Time, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, t := range o.told {
+	for _, t := range o.deliveries {
 		if t.rev >= rev {
 			return t.at, true
 		}
@@ -261,16 +262,16 @@
 	return time.Time{}, false
 }
 
-func (o *Outlet) tell(rev int64) {
+func (o *Outlet) recordDelivery(rev int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if n := len(o.told); n > 0 && o.told[n-1].rev >= rev {
+	if n := len(o.deliveries); n > 0 && o.deliveries[n-1].rev >= rev {
 		return
 	}
-	if len(o.told) == historyMost {
-		o.told = slices.Delete(o.told, 0, 1)
+	if len(o.deliveries) == maxHistory {
+		o.deliveries = slices.Delete(o.deliveries, 0, 1)
 	}
-	o.told = append(o.told, toldRev{rev, time.Now()})
+	o.deliveries = append(o.deliveries, delivery{rev, time.Now()})
 }
 
 // ServeHTTP answers calls for the list and watches of it.
@@ -289,13 +290,13 @@
 			http.Error(w, "since or timeout_ms: no whole number", http.StatusBadRequest)
 			return
 		}
-		since, wait = rev, min(time.Duration(ms)*time.Millisecond, longestWait)
+		since, wait = rev, min(time.Duration(ms)*time.Millisecond, maxWatch)
 	}
-	if o.discovery.turnsAway() || !o.turn(r.Context()) {
+	if o.discovery.rejectsCall() || !o.awaitTurn(r.Context()) {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	a, ok := o.wait(r.Context(), since, wait)
+	a, ok := o.awaitChange(r.Context(), since, wait)
 	if !ok {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
@@ -307,43 +308,45 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if _, err := w.Write(text); err == nil {
-		o.tell(a.Rev)
+		o.recordDelivery(a.Rev)
 	}
 }
 
-// turn waits for a call's turn where discovery is asked.
-func (o *Outlet) turn(ctx context.Context) bool {
-	if o.turns == nil {
+// awaitTurn waits for a call's turn at a shared outlet and takes the time of its service; it returns
+// false if the call gave up or its time ran out.
+func (o *Outlet) awaitTurn(ctx context.Context) bool {
+	if o.slot == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
 	select {
-	case o.turns <- struct{}{}:
+	case o.slot <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
-	defer func() { <-o.turns }()
+	defer func() { <-o.slot }()
 	select {
-	case <-time.After(o.service):
+	case <-time.After(o.serviceTime):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// wait waits for something newer than since, for as long as the call may wait.
-func (o *Outlet) wait(ctx context.Context, since int64, most time.Duration) (answer, bool) {
+// awaitChange waits until there is a change after since, or for maxWait; it returns false if the call is
+// to fail.
+func (o *Outlet) awaitChange(ctx context.Context, since int64, maxWait time.Duration) (listResponse, bool) {
 	d := o.discovery
-	over := time.After(most)
+	expired := time.After(maxWait)
 	timedOut := false
 	for {
 		d.mu.Lock()
-		a, down, news := d.since(since), d.down, d.news
+		a, down, changed := d.changesSince(since), d.down, d.changed
 		d.mu.Unlock()
 		switch {
-		case down && o.turns != nil:
-			return answer{}, false
+		case down && o.slot != nil:
+			return listResponse{}, false
 		case !down && (since < 0 || a.Rev > since || a.All || timedOut):
 			if since < 0 {
 				a.All = true
@@ -351,11 +354,11 @@
 			return a, true
 		}
 		select {
-		case <-news:
-		case <-over:
-			timedOut, over = true, nil
+		case <-changed:
+		case <-expired:
+			timedOut, expired = true, nil
 		case <-ctx.Done():
-			return answer{}, false
+			return listResponse{}, false
 		}
 	}
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -8,7 +8,7 @@
 	"otterstep/internal/ledger"
 )
 
-// Effect tells what a repeat of a request would do.
+// Effect tells what a repetition of a request would do.
 type Effect = ledger.Effect
 
 // The effects of a class.
@@ -18,7 +18,7 @@
 	Unsafe = ledger.Unsafe
 )
 
-// Outcome is what a client got.
+// Outcome is how a request ended for its client.
 type Outcome = ledger.Outcome
 
 // The outcomes of a request.
@@ -26,121 +26,122 @@
 	Served  = ledger.Served
 	Refused = ledger.Refused
 	Failed  = ledger.Failed
-	Lost    = ledger.Lost // no whole answer in the client's time
+	Lost    = ledger.Lost // no complete answer before the client's deadline
 )
 
 const (
-	// lateSend is how long after a request's final answer an attempt may still
-	// arrive: it may have been on its way.
-	lateSend = 500 * time.Millisecond
-	// drainGrace is the rule's half second and what sockets get beyond it.
+	// lateAttemptGrace is how long after a request's final answer an attempt may still
+	// arrive, since it may have been in transit.
+	lateAttemptGrace = 500 * time.Millisecond
+	// drainGrace is the 500 ms that the drain rule allows and 50 ms for delays in sockets.
 	drainGrace = 550 * time.Millisecond
 )
 
-// Ledger feeds the ledger of the four rules with what app boxes are sent and what clients
-// are answered. It remembers a bounded number of requests, the latest ones. It is safe
-// for concurrent use.
+// Ledger records the attempts that app boxes receive and the answers that clients receive, and
+// checks them with the ledger of the four rules. It remembers a bounded number of the latest
+// requests. It is safe for concurrent use.
 type Ledger struct {
-	most int
+	maxRequests int
 
 	mu       sync.Mutex
 	rules    *ledger.Ledger
-	epoch    time.Time // of the rules' times
+	epoch    time.Time // origin of the times that rules is given
 	requests map[string]*ledger.Record
-	order    []string // a ring of the ids in requests
+	order    []string // ring buffer of the IDs in requests
 	next     int
 	counts   map[string]*[ledger.Outcomes]int
-	arrived  int // attempts
+	attempts int // number of attempts that boxes received
 }
 
-// NewLedger makes one that remembers up to most requests.
+// NewLedger returns a ledger that remembers up to most requests.
 func NewLedger(most int) *Ledger {
 	return &Ledger{
-		most: most, rules: ledger.New(drainGrace, lateSend), requests: map[string]*ledger.Record{}, order: make([]string, 0, most),
+		maxRequests: most, rules: ledger.New(drainGrace, lateAttemptGrace), requests: map[string]*ledger.Record{}, order: make([]string, 0, most),
 		counts: map[string]*[ledger.Outcomes]int{},
 	}
 }
 
-// of needs the lock.
-func (l *Ledger) of(id string) *ledger.Record {
+// recordOf returns a request's record, which it creates if need be in place of the oldest. The
+// caller holds l.mu.
+func (l *Ledger) recordOf(id string) *ledger.Record {
 	r := l.requests[id]
 	if r == nil {
 		r = &ledger.Record{}
 		l.requests[id] = r
-		if len(l.order) < l.most {
+		if len(l.order) < l.maxRequests {
 			l.order = append(l.order, id)
 		} else {
 			delete(l.requests, l.order[l.next])
 			l.order[l.next] = id
-			l.next = (l.next + 1) % l.most
+			l.next = (l.next + 1) % l.maxRequests
 		}
 	}
 	return r
 }
 
-// since gives a time as the rules have it, from an hour on so that none is 0. It needs the
-// lock.
-func (l *Ledger) since(at time.Time) time.Duration {
+// ruleTime converts a time to the rules' form. The first is one hour, so that none is 0, which
+// means that there is no time. The caller holds l.mu.
+func (l *Ledger) ruleTime(at time.Time) time.Duration {
 	if l.epoch.IsZero() {
 		l.epoch = at.Add(-time.Hour)
 	}
 	return at.Sub(l.epoch)
 }
 
-// Arrived notes an attempt that a box was sent. told, if not zero, is since when
-// the nodes know that the box takes nothing new.
+// Arrived records an attempt that a box received. told, if not zero, is the time since which
+// all nodes have known that the box takes no new requests.
 func (l *Ledger) Arrived(id, box string, at, told time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.arrived++
-	now, since := l.since(at), time.Duration(0)
+	l.attempts++
+	now, since := l.ruleTime(at), time.Duration(0)
 	if !told.IsZero() {
-		since = l.since(told)
+		since = l.ruleTime(told)
 	}
-	l.rules.Attempt(now, l.of(id), id, box, since)
+	l.rules.Attempt(now, l.recordOf(id), id, box, since)
 }
 
-// Ran notes that a box runs a request. It is false for a repeat that boxes drop:
-// of a keyed request whose effect is less than window ago.
+// Ran records that a box runs a request. It returns false for a repetition that boxes drop:
+// that of a keyed request whose effect is less than window ago.
 func (l *Ledger) Ran(id, box string, effect Effect, window time.Duration, at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rules.Ran(l.since(at), l.of(id), id, box, effect, window)
+	return l.rules.Ran(l.ruleTime(at), l.recordOf(id), id, box, effect, window)
 }
 
-// Answered notes a request's final answer at its client.
+// Answered records a request's final answer at its client.
 func (l *Ledger) Answered(id, class string, o Outcome, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.of(id)
+	r := l.recordOf(id)
 	if !r.Answered() {
 		if l.counts[class] == nil {
 			l.counts[class] = new([ledger.Outcomes]int)
 		}
 		l.counts[class][o]++
 	}
-	l.rules.Answer(l.since(at), r, id, o, 0)
+	l.rules.Answer(l.ruleTime(at), r, id, o, 0)
 }
 
-// Fell notes that a cold box was pushed over.
+// Fell records that a cold box fell over from overload.
 func (l *Ledger) Fell(box string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rules.Fell(box)
 }
 
-// Report is a ledger's account.
+// Report is the result of a ledger's checks.
 type Report struct {
 	ledger.Report
 	Counts  map[string][]int // by class: served, refused, failed, lost
-	Arrived int              // attempts that boxes were sent
+	Arrived int              // attempts that boxes received
 }
 
-// Report gives the account so far.
+// Report returns the results so far.
 func (l *Ledger) Report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := Report{Report: l.rules.Report(), Counts: map[string][]int{}, Arrived: l.arrived}
+	r := Report{Report: l.rules.Report(), Counts: map[string][]int{}, Arrived: l.attempts}
 	for class, c := range l.counts {
 		r.Counts[class] = slices.Clone(c[:])
 	}
--- a/internal/standin/peak_test.go
+++ b/internal/standin/peak_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The most within 100 ms is told, also behind the bound of what is kept.
+// The highest number within 100 ms is reported, and stays at the bound when more events come than are stored.
 func TestPeak(t *testing.T) {
 	var p Peak
 	began := time.Now()
@@ -15,14 +15,14 @@
 	if all, most := p.Counts(); all != 50 || most != 11 {
 		t.Errorf("%d, %d within 100 ms", all, most)
 	}
-	for range peakMost + 5 {
+	for range maxPeakEvents + 5 {
 		p.At(began.Add(time.Minute))
 	}
-	if all, most := p.Counts(); all != 50+peakMost+5 || most != peakMost {
+	if all, most := p.Counts(); all != 50+maxPeakEvents+5 || most != maxPeakEvents {
 		t.Errorf("%d, %d within 100 ms", all, most)
 	}
 	p.Reset()
 	if all, most := p.Counts(); all+most != 0 {
-		t.Errorf("%d, %d behind the reset", all, most)
+		t.Errorf("%d, %d after the reset", all, most)
 	}
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -17,18 +17,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// call asks an outlet; the connection is not kept.
-func call(ctx context.Context, o *Outlet, query string) (int, answer, error) {
+// call sends a call to an outlet on a connection of its own.
+func call(ctx context.Context, o *Outlet, query string) (int, listResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+o.Addr()+"/discovery/hosts"+query, nil)
 	if err != nil {
-		return 0, answer{}, err
+		return 0, listResponse{}, err
 	}
 	resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 	if err != nil {
-		return 0, answer{}, err
+		return 0, listResponse{}, err
 	}
 	defer resp.Body.Close()
-	var a answer
+	var a listResponse
 	if resp.StatusCode == http.StatusOK {
 		err = json.NewDecoder(resp.Body).Decode(&a)
 	}
@@ -53,7 +53,7 @@
 	if code != 200 || err != nil || !a.All || a.Rev != 1 || len(a.Targets) != 1 {
 		t.Fatalf("list: %d %+v %v", code, a, err)
 	}
-	got := make(chan answer, 1)
+	got := make(chan listResponse, 1)
 	go func() {
 		_, a, _ := call(context.Background(), o, "?since=1&timeout_ms=20000")
 		got <- a
@@ -71,8 +71,8 @@
 			t.Errorf("%s: %d", query, code)
 		}
 	}
-	// Beyond what it remembers, and from another life, it gives the whole list.
-	for n := range historyMost + 5 {
+	// For a version before the history, and for one from another run of discovery, it gives the whole list.
+	for n := range maxHistory + 5 {
 		d.Set(Target{UID: "s3", State: InService, BootMs: int64(n)})
 	}
 	for _, since := range []int{2, 1 << 30} {
@@ -80,7 +80,7 @@
 			t.Errorf("since %d: %+v, %v", since, a, err)
 		}
 	}
-	if len(d.history) > historyMost {
+	if len(d.history) > maxHistory {
 		t.Errorf("%d changes are remembered", len(d.history))
 	}
 }
@@ -118,29 +118,29 @@
 	}
 }
 
-// The drain rule goes by when the last outlet was told, of the present drain.
-func TestToldAll(t *testing.T) {
+// The drain rule counts from the time at which the last outlet delivered the present drain, not an earlier one.
+func TestDeliveredToAll(t *testing.T) {
 	d := NewDiscovery()
 	one, two := pushed(t, d), pushed(t, d)
 	d.Set(Target{UID: "s1", State: InService})
 	if _, ok := d.ToldAll("s1"); ok {
-		t.Error("told of a drain that is none")
+		t.Error("a target in service counts as draining")
 	}
 	d.Set(Target{UID: "s1", State: Terminating})
 	began := time.Now()
 	call(t.Context(), one, "")
 	told, ok := d.ToldAll("s1")
-	if !ok || told.Sub(began) < toldLate-time.Second {
-		t.Errorf("told %v after, %v, want the latest time while one outlet was not asked", told.Sub(began), ok)
+	if !ok || told.Sub(began) < assumedDelivery-time.Second {
+		t.Errorf("delivered after %v, %v, want the assumed delivery while one outlet was not asked", told.Sub(began), ok)
 	}
 	call(t.Context(), two, "")
 	if told, ok = d.ToldAll("s1"); !ok || told.Sub(began) > 2*time.Second {
-		t.Errorf("told %v after, %v, want it now that both were asked", told.Sub(began), ok)
+		t.Errorf("delivered after %v, %v, want the real delivery once both outlets were asked", told.Sub(began), ok)
 	}
 	d.Set(Target{UID: "s1", State: InService})
 	d.Set(Target{UID: "s1", State: Terminated})
 	if again, ok := d.ToldAll("s1"); !ok || !again.After(told) {
-		t.Errorf("a second leave counts from the first: %v, %v", again, ok)
+		t.Errorf("a second removal counts from the first: %v, %v", again, ok)
 	}
 }
 
@@ -168,8 +168,8 @@
 	return b, d, l
 }
 
-// send sends a box a request and gives status, whether it is marked as unprocessed,
-// and the body.
+// send sends a request to a box and returns the status, whether the answer is marked as
+// unprocessed, and the body.
 func send(t *testing.T, b *Box, class, id string) (code int, unprocessed bool, body string, err error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+b.addr+"/"+class+"/k1", nil)
@@ -186,7 +186,7 @@
 	return resp.StatusCode, resp.Header.Get("X-Unprocessed") == "1", string(text), err
 }
 
-func TestBoxMisbehavesOnCommand(t *testing.T) {
+func TestBoxInjectsFaults(t *testing.T) {
 	b, d, _ := newBox(t, nil)
 	if code, _, body, err := send(t, b, "read", "a"); code != 200 || body != Body("a", "s1") || err != nil {
 		t.Errorf("as usual: %d %q %v", code, body, err)
@@ -228,12 +228,12 @@
 	}
 	b.Leave()
 	if len(d.Targets()) != 0 {
-		t.Error("it is still listed")
+		t.Error("a box that left is still listed")
 	}
 }
 
-// A box that is ended and started in one breath has its address again.
-func TestBoxReturnsAtOnce(t *testing.T) {
+// A box that is stopped and restarted at once can listen on its old address again.
+func TestBoxRestartsOnItsAddress(t *testing.T) {
 	b, _, _ := newBox(t, nil)
 	for n := range 200 {
 		if err := b.Return(); err != nil {
@@ -248,7 +248,7 @@
 	return l.requests[id] != nil
 }
 
-func TestBoxTurnsAwayWhatItCannotQueue(t *testing.T) {
+func TestBoxRejectsBeyondItsQueue(t *testing.T) {
 	b, _, _ := newBox(t, func(o *BoxOptions) {
 		o.Classes = []Class{{Name: "read", Work: 200 * time.Millisecond}}
 	})
@@ -267,20 +267,20 @@
 		by[<-codes]++
 	}
 	if by[200] < 4 || by[503] == 0 || by[200]+by[503] != 12 {
-		t.Errorf("%v, want four to run or wait and the rest turned away", by)
+		t.Errorf("answers by status: %v, want at least four served and the rest turned away", by)
 	}
 }
 
-// A cold box that is sent too much falls over and stays down; a warm one does not.
+// A cold box that is overloaded falls over and stays down; a warm one does not.
 func TestColdBoxFalls(t *testing.T) {
 	for name, cold := range map[string]bool{"cold": true, "warm": false} {
 		b, _, l := newBox(t, nil)
 		if cold {
-			b.set(func() { b.booted = time.Now() })
+			b.update(func() { b.booted = time.Now() })
 		}
-		for n := range 6 { // 3 s of work against 3 × 0.3 × 2 cores for a second
+		for n := range 6 { // 3 s of work against a limit of 3 × 0.3 × 2 core seconds within 1 s
 			b.mu.Lock()
-			fell := b.push(time.Now(), 500*time.Millisecond)
+			fell := b.addColdWork(time.Now(), 500*time.Millisecond)
 			b.mu.Unlock()
 			if fell != (cold && n >= 3) {
 				t.Errorf("%s: push %d: fell %v", name, n, fell)
@@ -297,8 +297,8 @@
 	}
 }
 
-// Each broken rule is seen, and what keeps them is not taken for one.
-func TestLedgerSeesBrokenRules(t *testing.T) {
+// The ledger reports each violation of a rule, and none where the rules are kept.
+func TestLedgerReportsViolations(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
 	none := time.Time{}
@@ -315,11 +315,11 @@
 		"answered twice": {func(l *Ledger) { l.Answered("a", "read", Served, now); l.Answered("a", "read", Served, now) }, "answered twice"},
 		"sent late": {func(l *Ledger) {
 			l.Answered("a", "read", Refused, now)
-			l.Arrived("a", "s1", at(lateSend+1), none)
+			l.Arrived("a", "s1", at(lateAttemptGrace+1), none)
 		}, "after its final answer"},
 		"just on its way": {func(l *Ledger) {
 			l.Answered("a", "read", Refused, now)
-			l.Arrived("a", "s1", at(lateSend), none)
+			l.Arrived("a", "s1", at(lateAttemptGrace), none)
 		}, ""},
 		"unsafe twice": {func(l *Ledger) { l.Ran("a", "s1", Unsafe, 0, now); l.Ran("a", "s2", Unsafe, 0, now) }, "effect happens twice"},
 		"keyed, dropped": {func(l *Ledger) {
@@ -358,11 +358,11 @@
 	}
 }
 
-// A client whose request crosses the close of a kept connection sends it once more;
-// one whose answer breaks off has lost it.
-func TestClientsNoteWhatTheyGet(t *testing.T) {
+// Clients record the outcome of each kind of answer. An answer that breaks off, belongs to another
+// request or does not come counts as lost.
+func TestClientsRecordOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		answers []string // one a connection; "" closes it unanswered
+		answers []string // one per connection; "" closes it without an answer
 		want    Outcome
 	}{
 		"served":       {[]string{"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nID by s1\r\n"}, Served},
@@ -395,12 +395,12 @@
 		}()
 		ledger := NewLedger(10)
 		f := NewFront([]string{l.Addr().String()})
-		f.nodes[0].in = true
+		f.nodes[0].available = true
 		clients := NewClients(ClientOptions{Rate: 1, Classes: classes, Most: 1}, f, ledger)
 		clients.request(t.Context(), classes[2], "", 1, time.Second)
 		<-served
 		l.Close()
-		f.nodes[0].client.CloseIdleConnections()
+		f.nodes[0].transport.CloseIdleConnections()
 		if got := ledger.Report().Counts["book"]; len(got) == 0 || got[c.want] != 1 {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
