--- a/internal/standin/faults/check.go
+++ b/internal/standin/faults/check.go
@@ -16,71 +16,71 @@
 	"otterstep/internal/fleet/record"
 )
 
-// Files are what a fleet's processes have written down.
+// Files are the files written by a fleet's processes.
 type Files struct {
 	// Cuts counts the power cuts of each agent's machine. PutBack names agents whose record and copy
-	// were both put back: no process then knows of an order that was under way.
+	// were both restored to an old state: no process then knows of an order that was in progress.
 	Cuts    map[string]int
 	PutBack map[string]bool
-	Records map[string][]string // by agent; those that it lost come first, in their order
-	Logs    map[string]string   // by AGENT/INSTANCE
+	Records map[string][]string // paths by agent; lost records come first, in the order of their loss
+	Logs    map[string]string   // paths by AGENT/INSTANCE
 }
 
-// Verdict is what a checker found.
+// Verdict is the result of Check.
 type Verdict struct {
-	Broken []string // each promise that was broken, in words
-	// Away is the most instances that were away at once by what their own logs say, Starts how
-	// often each was started.
+	Broken []string // a description of each violated guarantee
+	// Away is the highest number of instances that were unavailable at the same time according to their
+	// own logs, Starts how often each was started.
 	Away   int
 	Starts map[string]int
-	// Effects counts the effects under fences, Refused what shows as stopped by one.
+	// Effects counts the effects under fences, Fenced the operations that a fence stopped.
 	Effects, Fenced int
 }
 
-func (v *Verdict) broken(format string, args ...any) {
+func (v *Verdict) violation(format string, args ...any) {
 	v.Broken = append(v.Broken, fmt.Sprintf(format, args...))
 }
 
-// Check judges a fleet by its files alone, when it is at rest: the tokens in each agent's
-// record never fall from one effect to the next, and no order of a job ends more than one
-// process or starts more than one. It shares no code with what decides.
+// Check checks a fleet by its files alone, once nothing is in progress: the tokens in each agent's
+// record never decrease from one effect to the next, and no order of a job ends or starts more
+// than one process. It shares no code with the production code that decides these things.
 func Check(f Files) (*Verdict, error) {
 	v := &Verdict{Starts: map[string]int{}}
 	for _, agent := range slices.Sorted(maps.Keys(f.Records)) {
-		if err := v.records(f, agent); err != nil {
+		if err := v.checkRecords(f, agent); err != nil {
 			return nil, err
 		}
 	}
-	if err := v.logs(f.Logs); err != nil {
+	if err := v.checkLogs(f.Logs); err != nil {
 		return nil, err
 	}
 	return v, nil
 }
 
-// effects are the steps of an operation behind which something happens.
+// effects are the steps of an operation that have an effect on a process.
 var effects = []string{"term", "kill", "launch", "hup"}
 
-// records reads what an agent has written, over all that it has lost: what was put back is there
-// twice and counts once.
-func (v *Verdict) records(f Files, agent string) error {
+// checkRecords checks an agent's records, the lost ones included. Entries of a record that was restored
+// occur twice and count once.
+func (v *Verdict) checkRecords(f Files, agent string) error {
 	paths := f.Records[agent]
 	highest := map[string]protocol.Token{}
-	fences := map[string]protocol.Fence{}     // of commands
-	tokens := map[string]protocol.Token{}     // of operations, by COMMAND INSTANCE
-	touched := map[string]map[string]string{} // by COMMAND INSTANCE STEP: notes seen
-	raise := func(by protocol.Fence, what string) {
+	fences := map[string]protocol.Fence{}   // by command
+	tokens := map[string]protocol.Token{}   // of operations, by COMMAND INSTANCE
+	notes := map[string]map[string]string{} // set of the steps' notes, by COMMAND INSTANCE STEP
+	advance := func(by protocol.Fence, what string) {
 		if by.Token < highest[by.Duty] {
-			v.broken("%s: %s under token %v of %s, behind %v", agent, what, by.Token, by.Duty, highest[by.Duty])
+			v.violation("%s: %s under token %v of %s, behind %v", agent, what, by.Token, by.Duty, highest[by.Duty])
 		}
 		highest[by.Duty] = max(highest[by.Duty], by.Token)
 	}
-	worded := uint64(0)
-	known := map[string]bool{}
+	banVersion := uint64(0)
+	seen := map[string]bool{}
 	entry := func(text json.RawMessage) error {
-		if known[string(text)] {
+		if seen[string(text)] {
 			return nil
 		}
-		known[string(text)] = true
+		seen[string(text)] = true
 		var e book.Entry
 		if err := json.Unmarshal(text, &e); err != nil {
 			return err
@@ -88,8 +88,8 @@
 		switch {
 		case e.Snapshot != nil:
 			for d, t := range e.Snapshot.Fences {
-				if len(paths) == 1 { // else it may have forgotten, until it learns again
-					raise(protocol.Fence{Duty: d, Token: t}, "a snapshot")
+				if len(paths) == 1 { // after a loss the agent may not know the latest fences
+					advance(protocol.Fence{Duty: d, Token: t}, "a snapshot")
 				}
 			}
 			for _, c := range e.Snapshot.Commands {
@@ -102,21 +102,21 @@
 				}
 			}
 		case e.Fence != nil:
-			raise(e.Fence.Fence, "a raise")
+			advance(e.Fence.Fence, "a raise")
 		case e.Fleet != nil:
 			if e.Fleet.Fence != nil {
-				raise(*e.Fleet.Fence, "the fleet's word")
+				advance(*e.Fleet.Fence, "the fleet's word")
 			}
-			if w := e.Fleet.Word.Version; w < worded && len(paths) == 1 {
-				v.broken("%s: the fleet's version %d behind %d", agent, w, worded)
+			if w := e.Fleet.Word.Version; w < banVersion && len(paths) == 1 {
+				v.violation("%s: the fleet's version %d behind %d", agent, w, banVersion)
 			} else {
-				worded = w
+				banVersion = w
 			}
 		case e.Open != nil && e.Open.Request.Fence != nil:
-			raise(*e.Open.Request.Fence, "command "+e.Open.Request.ID)
+			advance(*e.Open.Request.Fence, "command "+e.Open.Request.ID)
 			fences[e.Open.Request.ID] = *e.Open.Request.Fence
 		case e.Begin != nil && e.Begin.Fence != nil:
-			raise(*e.Begin.Fence, "an operation on "+e.Begin.Instance)
+			advance(*e.Begin.Fence, "an operation on "+e.Begin.Instance)
 			tokens[e.Begin.ID+" "+e.Begin.Instance] = e.Begin.Fence.Token
 		case e.End != nil && e.End.State == protocol.Interrupted && strings.Contains(e.End.Reason, " is over"):
 			v.Fenced++
@@ -128,17 +128,17 @@
 			op := e.Step.ID + " " + e.Step.Instance
 			if slices.Contains(effects, e.Step.Name) {
 				v.Effects++
-				raise(protocol.Fence{Duty: by.Duty, Token: tokens[op]}, "step "+e.Step.Name+" on "+e.Step.Instance)
+				advance(protocol.Fence{Duty: by.Duty, Token: tokens[op]}, "step "+e.Step.Name+" on "+e.Step.Instance)
 			}
 			if e.Step.Name == "term" || e.Step.Name == "started" {
 				key := op + " " + e.Step.Name
-				if touched[key] == nil {
-					touched[key] = map[string]string{}
+				if notes[key] == nil {
+					notes[key] = map[string]string{}
 				}
-				touched[key][e.Step.Note] = ""
-				// Behind a power cut an order that was under way goes on with another process.
-				if cut := strings.HasSuffix(key, " started") && f.Cuts[agent] > 0; len(touched[key]) > 1 && !cut && !f.PutBack[agent] {
-					v.broken("%s: order %s has %s of more than one process: %v", agent, op, e.Step.Name, slices.Sorted(maps.Keys(touched[key])))
+				notes[key][e.Step.Note] = ""
+				// After a power cut an order in progress goes on with another process.
+				if powerCut := strings.HasSuffix(key, " started") && f.Cuts[agent] > 0; len(notes[key]) > 1 && !powerCut && !f.PutBack[agent] {
+					v.violation("%s: order %s has %s of more than one process: %v", agent, op, e.Step.Name, slices.Sorted(maps.Keys(notes[key])))
 				}
 			}
 		}
@@ -152,15 +152,16 @@
 	return nil
 }
 
-// change is an instance's coming or going.
-type change struct {
-	at   time.Time
-	away int
+// availabilityChange is an instance's becoming unavailable (delta 1) or available (delta -1).
+type availabilityChange struct {
+	at    time.Time
+	delta int
 }
 
-// logs reads when instances began to drain and were ready again.
-func (v *Verdict) logs(files map[string]string) error {
-	var all []change
+// checkLogs counts the instances' starts and the highest number of those unavailable at once, from the
+// lines that tell when an instance began to drain and was ready again.
+func (v *Verdict) checkLogs(files map[string]string) error {
+	var all []availabilityChange
 	for key, path := range files {
 		f, err := os.Open(path)
 		if err != nil {
@@ -168,24 +169,24 @@
 		}
 		lines := bufio.NewScanner(f)
 		lines.Buffer(nil, 1<<20)
-		away := true // before the first start, which does not count
+		away := true // also before the first start, which is not counted as a return
 		first := true
 		for lines.Scan() {
 			line := lines.Text()
 			at, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(strings.SplitN(line, " ", 2)[0], "time="))
 			if err != nil {
-				continue // of another form: not of the node's own log
+				continue // not a line of the node's own log
 			}
 			switch {
 			case strings.Contains(line, "msg=ready"):
 				v.Starts[key]++
 				if away && !first {
-					all = append(all, change{at, -1})
+					all = append(all, availabilityChange{at, -1})
 				}
 				away, first = false, false
 			case strings.Contains(line, "msg=draining") && !away:
 				away = true
-				all = append(all, change{at, 1})
+				all = append(all, availabilityChange{at, 1})
 			}
 		}
 		f.Close()
@@ -193,23 +194,23 @@
 			return fmt.Errorf("faults: %s: %w", path, err)
 		}
 	}
-	slices.SortFunc(all, func(a, b change) int {
+	slices.SortFunc(all, func(a, b availabilityChange) int {
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
-		return a.away - b.away
+		return a.delta - b.delta
 	})
-	now := 0
+	unavailable := 0
 	for _, c := range all {
-		now += c.away
-		v.Away = max(v.Away, now)
+		unavailable += c.delta
+		v.Away = max(v.Away, unavailable)
 	}
 	return nil
 }
 
-// Once tells whether a job that has ended touched each of its instances as it says: those
-// that are done were started once since, all others never; before says how often each had
-// been started when it was submitted.
+// Once checks that a job that has ended restarted instances as it reports: once those that are
+// done, and never the others. before is how often each had been started when the job was
+// submitted.
 func (v *Verdict) Once(j *duty.Job, before int) {
 	for i, t := range j.Targets {
 		want := before
@@ -217,7 +218,7 @@
 			want++
 		}
 		if got := v.Starts[t.Key()]; got != want {
-			v.broken("job %s: %s is %q and was started %d times, want %d", j.ID, t.Key(), j.Steps[i].Phase, got, want)
+			v.violation("job %s: %s is %q and was started %d times, want %d", j.ID, t.Key(), j.Steps[i].Phase, got, want)
 		}
 	}
 }
--- a/internal/standin/faults/process.go
+++ b/internal/standin/faults/process.go
@@ -19,24 +19,24 @@
 	"otterstep/internal/fleet/record"
 )
 
-// Orders are what a process of a test does to itself. They stand in a file that it reads
-// again and again, so that they may change while it runs; one that is missing orders nothing.
+// Orders tell a process under test which faults to inject into itself. The process rereads
+// them from a file, so that they can change while it runs; a missing file means no faults.
 type Orders struct {
-	// At names a step of an owner's order, and Signal what the process sends itself there:
-	// SIGSTOP or SIGKILL. Of all processes that have the same Once, only the first does it.
+	// At names a step of an owner's order, and Signal the signal that the process sends itself
+	// there: SIGSTOP or SIGKILL. Of all processes with the same Once, only the first does so.
 	At     string         `json:"at,omitempty"`
 	Signal syscall.Signal `json:"signal,omitempty"`
-	Once   string         `json:"once,omitempty"` // a file that the process makes
-	// Rate is how fast its clock runs, 1 if 0; Jump is added to it.
+	Once   string         `json:"once,omitempty"` // path of a file that the process creates
+	// Rate is the rate of its clock, 1 if 0; Jump is added to the clock.
 	Rate float64       `json:"rate,omitempty"`
 	Jump time.Duration `json:"jump,omitempty"`
-	// Disk fails writes of the council's store and of the record with these words, Slow makes
-	// the store's writes take so long.
+	// Disk, if set, is the error with which writes of the council's store and of the record
+	// fail; Slow delays each write of the store.
 	Disk string        `json:"disk,omitempty"`
 	Slow time.Duration `json:"slow,omitempty"`
 }
 
-// Write gives a process its orders.
+// Write replaces the orders in a file.
 func Write(path string, o Orders) error {
 	text, err := json.Marshal(o)
 	if err != nil {
@@ -48,25 +48,25 @@
 	return os.Rename(path+".new", path)
 }
 
-// hooks reads a process's orders.
+// hooks injects the faults that a process's orders name.
 type hooks struct {
 	path  string
-	began time.Duration // the system's clock at the start
+	began time.Duration // reading of the system's clock at the start
 
-	mu   sync.Mutex
-	last Orders
-	read time.Time
+	mu     sync.Mutex
+	last   Orders
+	readAt time.Time
 }
 
-const readEvery = 10 * time.Millisecond
+const reloadInterval = 10 * time.Millisecond
 
 func (h *hooks) orders() Orders {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if time.Since(h.read) < readEvery {
+	if time.Since(h.readAt) < reloadInterval {
 		return h.last
 	}
-	h.read = time.Now()
+	h.readAt = time.Now()
 	var o Orders
 	text, err := os.ReadFile(h.path)
 	if err == nil {
@@ -78,32 +78,32 @@
 	return h.last
 }
 
-// Options make an agent one that follows the orders in a file: the build for tests.
+// Options returns the options of a test build's agent, which follows the orders in a file.
 func Options(path string) agent.Options {
 	h := &hooks{path: path, began: boottime.System{}.Now()}
 	return agent.Options{
-		Clock: boottime.Func(h.now), Steps: h.step, FS: disk{record.OS{}, h},
+		Clock: boottime.Func(h.now), Steps: h.step, FS: failingFS{record.OS{}, h},
 		Disk: func(dir string) (council.Stores, error) {
-			if err := h.fails(); err != nil {
+			if err := h.diskError(); err != nil {
 				return nil, err
 			}
 			s, err := council.OpenStores(dir)
 			if err != nil {
 				return nil, err
 			}
-			return stores{s, h}, nil
+			return failingStores{s, h}, nil
 		},
 	}
 }
 
-// now is the system's clock at the ordered rate, with the ordered jump.
+// now returns the system's clock at the ordered rate and with the ordered jump.
 func (h *hooks) now() time.Duration {
 	o := h.orders()
-	is := boottime.System{}.Now()
+	now := boottime.System{}.Now()
 	if o.Rate != 0 {
-		is = h.began + time.Duration(float64(is-h.began)*o.Rate)
+		now = h.began + time.Duration(float64(now-h.began)*o.Rate)
 	}
-	return is + o.Jump
+	return now + o.Jump
 }
 
 // step sends the process its own signal at the ordered step.
@@ -114,93 +114,93 @@
 	}
 	f, err := os.OpenFile(o.Once, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return // another process was first, or this one has done it
+		return // another process was first, or this one has done so before
 	}
 	fmt.Fprintf(f, "%d", os.Getpid())
 	f.Close()
-	_ = syscall.Kill(os.Getpid(), o.Signal) // it is its own
+	_ = syscall.Kill(os.Getpid(), o.Signal) // can't fail: the process is its own
 }
 
-func (h *hooks) fails() error {
-	if words := h.orders().Disk; words != "" {
-		return errors.New(words)
+func (h *hooks) diskError() error {
+	if text := h.orders().Disk; text != "" {
+		return errors.New(text)
 	}
 	return nil
 }
 
-// stores is a council's store on a disk that fails by order.
-type stores struct {
+// failingStores is a council's store whose writes fail or are slow as ordered.
+type failingStores struct {
 	council.Stores
 	h *hooks
 }
 
-func (s stores) write(do func() error) error {
+func (s failingStores) write(do func() error) error {
 	time.Sleep(s.h.orders().Slow)
-	if err := s.h.fails(); err != nil {
+	if err := s.h.diskError(); err != nil {
 		return err
 	}
 	return do()
 }
 
 // StoreLogs implements raft.LogStore.
-func (s stores) StoreLogs(l []*raft.Log) error {
+func (s failingStores) StoreLogs(l []*raft.Log) error {
 	return s.write(func() error { return s.Stores.StoreLogs(l) })
 }
 
 // Set implements raft.StableStore.
-func (s stores) Set(k, v []byte) error {
+func (s failingStores) Set(k, v []byte) error {
 	return s.write(func() error { return s.Stores.Set(k, v) })
 }
 
 // SetUint64 implements raft.StableStore.
-func (s stores) SetUint64(k []byte, v uint64) error {
+func (s failingStores) SetUint64(k []byte, v uint64) error {
 	return s.write(func() error { return s.Stores.SetUint64(k, v) })
 }
 
-// disk is the record's file system, failing by order.
-type disk struct {
+// failingFS is the record's file system whose writes fail as ordered.
+type failingFS struct {
 	record.OS
 	h *hooks
 }
 
 // Create implements record.FS.
-func (d disk) Create(name string) (record.File, error) {
-	if err := d.h.fails(); err != nil {
+func (d failingFS) Create(name string) (record.File, error) {
+	if err := d.h.diskError(); err != nil {
 		return nil, err
 	}
 	f, err := d.OS.Create(name)
-	return file{f, d.h}, err
+	return failingFile{f, d.h}, err
 }
 
 // Append implements record.FS.
-func (d disk) Append(name string) (record.File, error) {
-	if err := d.h.fails(); err != nil {
+func (d failingFS) Append(name string) (record.File, error) {
+	if err := d.h.diskError(); err != nil {
 		return nil, err
 	}
 	f, err := d.OS.Append(name)
-	return file{f, d.h}, err
+	return failingFile{f, d.h}, err
 }
 
-type file struct {
+type failingFile struct {
 	record.File
 	h *hooks
 }
 
 // Sync implements record.File.
-func (f file) Sync() error {
-	if err := f.h.fails(); err != nil {
+func (f failingFile) Sync() error {
+	if err := f.h.diskError(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-// Stopped tells whether a process is stopped by a signal (proc(5), state T).
+// Stopped reports whether a process is stopped by a signal (proc(5), state T).
 func Stopped(pid int) bool {
 	text, err := os.ReadFile(filepath.Join("/proc", fmt.Sprint(pid), "stat"))
 	if err != nil {
 		return false
 	}
-	// The name may hold anything but ends at the last parenthesis.
+	// The command name may contain any byte, but ends at the last parenthesis.
 	rest := string(text[strings.LastIndexByte(string(text), ')')+1:])
 	fields := strings.Fields(rest)
 	return len(fields) > 0 && fields[0] == "T"
--- a/internal/standin/faults/relay.go
+++ b/internal/standin/faults/relay.go
@@ -1,6 +1,6 @@
-// Package faults stands between the processes of a fleet and breaks things: relays that cut,
-// hold, delay and reset what passes between two agents, and agents that stop at a named step,
-// whose clocks run wrong and whose disks fail. A checker reads what the processes wrote down.
+// Package faults injects faults into the processes of a fleet: relays cut, hold, delay and reset
+// the traffic between two agents, and agents stop at a named step, or have wrong clocks and failing
+// disks. Checkers read the records and logs that the processes wrote.
 package faults
 
 import (
@@ -11,104 +11,104 @@
 	"time"
 )
 
-// Mode is what a relay does with one direction.
+// Mode is how a relay treats one direction.
 type Mode string
 
 // The modes.
 const (
 	Pass Mode = "pass"
-	// Cut lets nothing through, and says nothing: streams stay open and silent, and are reset
-	// when the direction passes again, as from a machine that was cut off.
+	// Cut silently drops all data: streams stay open without traffic, and are reset when the
+	// direction passes again, as after a network partition.
 	Cut Mode = "cut"
-	// Hold keeps what comes and passes it on, late, when the direction passes again.
+	// Hold buffers data and delivers it when the direction passes again.
 	Hold Mode = "hold"
-	// Reset breaks open streams and new ones.
+	// Reset breaks open streams, and new ones as they are opened.
 	Reset Mode = "reset"
 )
 
-// pieceMost bounds what one stream's direction holds back, in bytes, besides what the sockets
-// themselves keep; the sender waits beyond it.
-const pieceMost = 32 << 10
+// maxChunk bounds the bytes that one direction of a stream buffers, besides those in the sockets'
+// own buffers; the sender blocks beyond it.
+const maxChunk = 32 << 10
 
-// Relay is the way from one agent to another: a Unix socket before the other's own. The
-// direction there is of requests, back of answers.
+// Relay is a proxy on a Unix socket between one agent and another's socket. The forward
+// direction carries requests, the backward direction answers.
 type Relay struct {
-	to       string
-	listener net.Listener
-	work     sync.WaitGroup
-
-	mu      sync.Mutex
-	there   Mode
-	back    Mode
-	delay   time.Duration
-	match   string // holds only streams on which this was seen, from then on
-	changed chan struct{}
-	streams map[*relayed]bool
-	closed  bool
+	to         string
+	listener   net.Listener
+	goroutines sync.WaitGroup
+
+	mu       sync.Mutex
+	forward  Mode
+	backward Mode
+	delay    time.Duration
+	match    string // Hold applies only to streams that have contained this text
+	changed  chan struct{}
+	streams  map[*stream]bool
+	closed   bool
 }
 
-// relayed is one stream through a relay.
-type relayed struct {
-	in, out net.Conn
-	cut     bool // something of it was swallowed or kept silent: it can't go on
-	matched bool
+// stream is one stream through a relay.
+type stream struct {
+	in, out     net.Conn
+	interrupted bool // data was dropped: the stream can't go on
+	held        bool
 }
 
-// NewRelay listens at a socket and passes all on to another.
+// NewRelay listens on the socket at and relays to the socket to.
 func NewRelay(at, to string) (*Relay, error) {
 	l, err := net.Listen("unix", at)
 	if err != nil {
 		return nil, fmt.Errorf("faults: %w", err)
 	}
-	r := &Relay{to: to, listener: l, there: Pass, back: Pass, changed: make(chan struct{}), streams: map[*relayed]bool{}}
-	r.work.Go(r.accept)
+	r := &Relay{to: to, listener: l, forward: Pass, backward: Pass, changed: make(chan struct{}), streams: map[*stream]bool{}}
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
 // Set sets both directions' modes.
 func (r *Relay) Set(there, back Mode) {
-	r.change(func() { r.there, r.back, r.match = there, back, "" })
+	r.update(func() { r.forward, r.backward, r.match = there, back, "" })
 }
 
-// HoldOnly holds the requests on streams from the first that has a text in it, such as an
-// order's path; all others pass.
+// HoldOnly holds requests on a stream from the first one that contains a text, such as the
+// path of an order; everything else passes.
 func (r *Relay) HoldOnly(text string) {
-	r.change(func() { r.there, r.back, r.match = Hold, Pass, text })
+	r.update(func() { r.forward, r.backward, r.match = Hold, Pass, text })
 }
 
-// Delay sets how late all passes.
-func (r *Relay) Delay(d time.Duration) { r.change(func() { r.delay = d }) }
+// Delay sets the delay of each chunk in both directions.
+func (r *Relay) Delay(d time.Duration) { r.update(func() { r.delay = d }) }
 
-// Held counts the streams that hold something back.
+// Held returns the number of streams that HoldOnly holds.
 func (r *Relay) Held() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for s := range r.streams {
-		if s.matched {
+		if s.held {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *Relay) change(f func()) {
+func (r *Relay) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 	for s := range r.streams {
-		if s.cut && r.there != Cut && r.back != Cut || r.there == Reset || r.back == Reset {
+		if s.interrupted && r.forward != Cut && r.backward != Cut || r.forward == Reset || r.backward == Reset {
 			s.in.Close()
 			s.out.Close()
 		}
 		if r.match == "" {
-			s.matched = false
+			s.held = false
 		}
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Close ends the relay and all its streams.
+// Close closes the relay and all its streams.
 func (r *Relay) Close() error {
 	err := r.listener.Close()
 	r.mu.Lock()
@@ -120,7 +120,7 @@
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
-	r.work.Wait()
+	r.goroutines.Wait()
 	return err
 }
 
@@ -130,7 +130,7 @@
 		if err != nil {
 			return
 		}
-		r.work.Go(func() { r.serve(in) })
+		r.goroutines.Go(func() { r.serve(in) })
 	}
 }
 
@@ -138,34 +138,35 @@
 	defer in.Close()
 	out, err := net.Dial("unix", r.to)
 	if err != nil {
-		return // as from a machine where nobody listens
+		return // as on a machine where nobody listens
 	}
 	defer out.Close()
-	s := &relayed{in: in, out: out}
+	s := &stream{in: in, out: out}
 	r.mu.Lock()
-	if r.closed || r.there == Reset || r.back == Reset {
+	if r.closed || r.forward == Reset || r.backward == Reset {
 		r.mu.Unlock()
 		return
 	}
 	r.streams[s] = true
 	r.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(s, in, out, true) })
-	both.Go(func() { r.pump(s, out, in, false) })
+	both.Go(func() { r.copyDirection(s, in, out, true) })
+	both.Go(func() { r.copyDirection(s, out, in, false) })
 	both.Wait()
 	r.mu.Lock()
 	delete(r.streams, s)
 	r.mu.Unlock()
 }
 
-// pump passes one direction on. At its end it ends the stream: agents close both ways at once.
-func (r *Relay) pump(s *relayed, from, to net.Conn, there bool) {
+// copyDirection relays one direction. At its end it closes the whole stream, since agents close both
+// directions at once.
+func (r *Relay) copyDirection(s *stream, from, to net.Conn, forward bool) {
 	defer from.Close()
 	defer to.Close()
-	buf := make([]byte, pieceMost)
+	buf := make([]byte, maxChunk)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && r.gate(s, there, string(buf[:n])) {
+		if n > 0 && r.awaitPass(s, forward, string(buf[:n])) {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -176,9 +177,9 @@
 	}
 }
 
-// gate waits until a piece may pass; false if the stream has come to its end meanwhile. A
-// sender that has died meanwhile does not matter: what it had sent still arrives.
-func (r *Relay) gate(s *relayed, there bool, text string) bool {
+// awaitPass waits until a chunk may pass; it returns false if the stream has to end instead. A
+// chunk passes even if its sender has died meanwhile, since it was already sent.
+func (r *Relay) awaitPass(s *stream, forward bool, text string) bool {
 	r.mu.Lock()
 	if d := r.delay; d > 0 {
 		r.mu.Unlock()
@@ -187,23 +188,23 @@
 	}
 	defer r.mu.Unlock()
 	for {
-		mode := r.back
-		if there {
-			mode = r.there
+		mode := r.backward
+		if forward {
+			mode = r.forward
 		}
 		if mode == Hold && r.match != "" {
-			s.matched = s.matched || strings.Contains(text, r.match)
-			if !s.matched {
+			s.held = s.held || strings.Contains(text, r.match)
+			if !s.held {
 				mode = Pass
 			}
 		}
-		if r.closed || mode == Reset || s.cut && mode == Pass {
+		if r.closed || mode == Reset || s.interrupted && mode == Pass {
 			return false
 		}
 		if mode == Pass {
 			return true
 		}
-		s.cut = s.cut || mode == Cut
+		s.interrupted = s.interrupted || mode == Cut
 		changed := r.changed
 		r.mu.Unlock()
 		<-changed
--- a/internal/standin/faults/relay_test.go
+++ b/internal/standin/faults/relay_test.go
@@ -15,10 +15,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers each line with itself, and gives the ways to it through a relay.
+// echo starts an echo server behind a relay and returns the relay and its socket.
 func echo(t *testing.T) (*Relay, string) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "of") // short: a socket's path is bounded
+	dir, err := os.MkdirTemp("", "of") // short, since a socket's path is limited in length
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,30 +49,30 @@
 	return r, at
 }
 
-type line struct {
+type lineConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, at string) *line {
+func dial(t *testing.T, at string) *lineConn {
 	t.Helper()
 	c, err := net.Dial("unix", at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &line{c, bufio.NewReader(c)}
+	return &lineConn{c, bufio.NewReader(c)}
 }
 
-// says sends a line and waits so long for the answer.
-func (l *line) says(text string, wait time.Duration) (string, error) {
+// sendLine sends a line and waits for the answer for up to wait.
+func (l *lineConn) sendLine(text string, wait time.Duration) (string, error) {
 	if _, err := fmt.Fprintln(l, text); err != nil {
 		return "", err
 	}
-	return l.hears(wait)
+	return l.readLine(wait)
 }
 
-func (l *line) hears(wait time.Duration) (string, error) {
+func (l *lineConn) readLine(wait time.Duration) (string, error) {
 	if err := l.SetReadDeadline(time.Now().Add(wait)); err != nil {
 		return "", err
 	}
@@ -80,13 +80,13 @@
 }
 
 const (
-	soon = 10 * time.Second
-	not  = 50 * time.Millisecond
+	responseTimeout = 10 * time.Second
+	silencePeriod   = 50 * time.Millisecond
 )
 
-// What is held comes late and whole; what is cut never comes, and its stream breaks when the
-// way is whole again; others pass.
-func TestRelayBreaksWhatItIsTold(t *testing.T) {
+// Held data arrives complete when the direction passes again. Cut data never arrives, and its
+// stream is reset when the direction passes again. Streams that a mode does not apply to pass.
+func TestRelayModes(t *testing.T) {
 	for name, back := range map[string]bool{"there": false, "back": true} {
 		t.Run(name, func(t *testing.T) {
 			r, at := echo(t)
@@ -98,31 +98,31 @@
 				}
 			}
 			l := dial(t, at)
-			if got, err := l.says("a", soon); err != nil || got != "a\n" {
+			if got, err := l.sendLine("a", responseTimeout); err != nil || got != "a\n" {
 				t.Fatalf("%q, %v", got, err)
 			}
 			set(Hold)
-			if got, err := l.says("b", not); err == nil {
+			if got, err := l.sendLine("b", silencePeriod); err == nil {
 				t.Errorf("held, and answered %q", got)
 			}
 			set(Pass)
-			if got, err := l.hears(soon); err != nil || got != "b\n" {
+			if got, err := l.readLine(responseTimeout); err != nil || got != "b\n" {
 				t.Errorf("late: %q, %v", got, err)
 			}
 			set(Cut)
-			if got, err := l.says("c", not); err == nil {
+			if got, err := l.sendLine("c", silencePeriod); err == nil {
 				t.Errorf("cut, and answered %q", got)
 			}
 			set(Pass)
-			if got, err := l.hears(soon); err == nil {
+			if got, err := l.readLine(responseTimeout); err == nil {
 				t.Errorf("a stream that was cut goes on: %q", got)
 			}
 			set(Reset)
-			if got, err := dial(t, at).says("d", soon); err == nil {
+			if got, err := dial(t, at).sendLine("d", responseTimeout); err == nil {
 				t.Errorf("reset, and answered %q", got)
 			}
 			set(Pass)
-			if got, err := dial(t, at).says("e", soon); err != nil || got != "e\n" {
+			if got, err := dial(t, at).sendLine("e", responseTimeout); err != nil || got != "e\n" {
 				t.Errorf("healed: %q, %v", got, err)
 			}
 		})
@@ -131,32 +131,32 @@
 		r, at := echo(t)
 		r.HoldOnly("/run/")
 		l := dial(t, at)
-		if got, err := l.says("other", soon); err != nil || got != "other\n" {
+		if got, err := l.sendLine("other", responseTimeout); err != nil || got != "other\n" {
 			t.Errorf("%q, %v", got, err)
 		}
-		if got, err := l.says("POST /run/ x", not); err == nil || r.Held() != 1 {
+		if got, err := l.sendLine("POST /run/ x", silencePeriod); err == nil || r.Held() != 1 {
 			t.Errorf("%q, %d held", got, r.Held())
 		}
-		if got, err := dial(t, at).says("another stream", soon); err != nil {
+		if got, err := dial(t, at).sendLine("another stream", responseTimeout); err != nil {
 			t.Errorf("%q, %v", got, err)
 		}
 		r.Set(Pass, Pass)
-		if got, err := l.hears(soon); err != nil || got != "POST /run/ x\n" {
+		if got, err := l.readLine(responseTimeout); err != nil || got != "POST /run/ x\n" {
 			t.Errorf("late: %q, %v", got, err)
 		}
 	})
 	t.Run("delay", func(t *testing.T) {
 		r, at := echo(t)
-		r.Delay(not)
+		r.Delay(silencePeriod)
 		began := time.Now()
-		if got, err := dial(t, at).says("a", soon); err != nil || time.Since(began) < 2*not {
+		if got, err := dial(t, at).sendLine("a", responseTimeout); err != nil || time.Since(began) < 2*silencePeriod {
 			t.Errorf("%q after %v, %v", got, time.Since(began), err)
 		}
 	})
 }
 
-// One seed, one schedule; and schedules have every kind of fault.
-func TestSchedulesComeFromTheirSeeds(t *testing.T) {
+// A seed always gives the same schedule, and schedules contain each kind of fault.
+func TestSchedulesAreDeterministic(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(100) {
 		a, b := Draw(seed, 5, 20, time.Second, seed%2 == 0), Draw(seed, 5, 20, time.Second, seed%2 == 0)
--- a/internal/standin/faults/schedule.go
+++ b/internal/standin/faults/schedule.go
@@ -11,33 +11,34 @@
 
 // The kinds of faults.
 const (
-	Kill      = "kill"       // an agent, and start it again after For
-	Stop      = "stop"       // an agent's process, SIGSTOP, and SIGCONT after For
-	KillAt    = "kill-at"    // whichever agent comes to Step first; started again after For
-	StopAt    = "stop-at"    // likewise, SIGSTOP and SIGCONT
-	CutOff    = "cut-off"    // an agent from all others
-	CutWay    = "cut-way"    // requests from one to another, or the answers
-	HoldWay   = "hold-way"   // orders from one to another
-	ResetWay  = "reset-way"  // streams from one to another
-	DelayAll  = "delay-all"  // every way
-	DiskFails = "disk-fails" // of an agent
-	DiskSlow  = "disk-slow"
-	ClockRate = "clock-rate" // of an agent, from then on
-	ClockJump = "clock-jump"
-	Submit    = "submit"    // a job
-	Cancel    = "cancel"    // the latest job
-	Pause     = "pause"     // the latest job, and resume it after For
-	Lose      = "lose"      // What of an agent's memory, with its agent killed and started again after For
-	PowerCut  = "power"     // likewise with its instances killed too
-	HoldWord  = "hold-word" // the fleet's word from one to another
-	NodeStop  = "node-stop" // a node's process, SIGSTOP, and SIGCONT after For
-	NodeKill  = "node-kill" // a node's process; its agent starts another one
-	Ban       = "ban"       // the fleet leaves a box out, for For if that is not 0
-	Unban     = "unban"     // and ends one such ban
-	Undo      = "undo"      // the latest change is taken back
+	Kill      = "kill"       // kills an agent and restarts it after For
+	Stop      = "stop"       // SIGSTOP to an agent's process, and SIGCONT after For
+	KillAt    = "kill-at"    // kills the first agent that reaches Step and restarts it after For
+	StopAt    = "stop-at"    // likewise with SIGSTOP and SIGCONT
+	CutOff    = "cut-off"    // cuts an agent off from all others
+	CutWay    = "cut-way"    // drops requests from one agent to another, or the answers
+	HoldWay   = "hold-way"   // holds orders from one agent to another
+	ResetWay  = "reset-way"  // resets streams from one agent to another
+	DelayAll  = "delay-all"  // delays all streams between agents
+	DiskFails = "disk-fails" // makes an agent's writes fail
+	DiskSlow  = "disk-slow"  // makes an agent's writes slow
+	ClockRate = "clock-rate" // changes the rate of an agent's clock for good
+	ClockJump = "clock-jump" // makes an agent's clock jump
+	Submit    = "submit"     // submits a job
+	Cancel    = "cancel"     // cancels the latest job
+	Pause     = "pause"      // pauses the latest job and resumes it after For
+	Lose      = "lose"       // kills an agent, takes What from its stored state and restarts it after For
+	PowerCut  = "power"      // likewise, and kills the agent's instances too
+	HoldWord  = "hold-word"  // holds the fleet's word from one agent to another
+	NodeStop  = "node-stop"  // SIGSTOP to a node's process, and SIGCONT after For
+	NodeKill  = "node-kill"  // kills a node's process; its agent starts another one
+	Ban       = "ban"        // bans a box fleet-wide, for For if that is not 0
+	Unban     = "unban"      // ends one such ban
+	Undo      = "undo"       // reverts the latest change
 )
 
-// What an agent may lose. Old ones are put back as they were before the schedule began.
+// The stored state that an agent may lose. Those called old are restored to their state before the
+// schedule began.
 const (
 	Nothing   = "nothing"
 	Record    = "record"
@@ -51,39 +52,39 @@
 	OldFolder = "an old folder"
 )
 
-// Memories lists them; from storesFrom on they take a voter's store away, of which the council of
-// three bears one.
+// Memories lists the losses. Those from firstStoreLoss on remove a voter's store, which a council of
+// three survives once; those from firstFolderLoss on affect the whole folder.
 var Memories = []string{Nothing, Record, Copy, Both, OldRecord, OldMemory, Store, Folder, All, OldFolder}
 
-const storesFrom, foldersFrom = 6, 7
+const firstStoreLoss, firstFolderLoss = 6, 7
 
-// Kinds lists them.
+// Kinds lists the kinds of faults that Draw chooses from.
 var Kinds = []string{Kill, Stop, KillAt, StopAt, CutOff, CutWay, HoldWay, ResetWay, DelayAll, DiskFails, DiskSlow, ClockRate, ClockJump, Submit, Cancel, Pause}
 
-var steps = []string{owner.BeforeIntent, owner.BeforeSend, owner.AfterSend, owner.AfterEnd, owner.BetweenOrders}
+var commandSteps = []string{owner.BeforeIntent, owner.BeforeSend, owner.AfterSend, owner.AfterEnd, owner.BetweenOrders}
 
-// WordKinds are those between an operator's word on the fleet and the nodes.
-var WordKinds = []string{Kill, Stop, StopAt, KillAt, CutOff, CutWay, HoldWord, ResetWay, DelayAll, DiskFails, ClockJump, NodeStop, NodeKill, NodeKill, Ban, Ban, Ban, Unban, Unban, Undo}
+// BanKinds lists the kinds of faults that DrawWords chooses from; repeated ones are more likely.
+var BanKinds = []string{Kill, Stop, StopAt, KillAt, CutOff, CutWay, HoldWord, ResetWay, DelayAll, DiskFails, ClockJump, NodeStop, NodeKill, NodeKill, Ban, Ban, Ban, Unban, Unban, Undo}
 
-var wordSteps = []string{owner.BeforeWord, owner.AfterWord}
+var banSteps = []string{owner.BeforeWord, owner.AfterWord}
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	After time.Duration // since the fault before it began
+	After time.Duration // since the start of the previous fault
 	For   time.Duration
 	Kind  string
 	Agent int // counted from 0
 	Other int
-	Back  bool // the answers' direction
+	Back  bool // the direction of the answers
 	Step  string
 	Rate  float64
 	Jump  time.Duration
-	What  string // is lost
+	What  string // what is lost
 	Node  int    // counted from 0
 	Box   int    // likewise
 }
 
-// String words a fault.
+// String describes a fault in a line.
 func (f Fault) String() string {
 	a, b := fmt.Sprint("m", f.Agent+1), fmt.Sprint("m", f.Other+1)
 	what := f.Kind
@@ -116,10 +117,10 @@
 	return fmt.Sprintf("+%v %s", f.After, what)
 }
 
-// Schedule is faults one after the other; they may overlap.
+// Schedule is a sequence of faults, which may overlap.
 type Schedule []Fault
 
-// String words a schedule, a line a fault.
+// String describes a schedule with one line per fault.
 func (s Schedule) String() string {
 	var b strings.Builder
 	for _, f := range s {
@@ -128,9 +129,9 @@
 	return b.String()
 }
 
-// Draw makes the schedule of a seed: n faults among some agents, whose lease sets how long
-// they take. It begins with a job. With losses a third of the faults take memory away, and the
-// stores of less than a majority of voters.
+// Draw returns the schedule for a seed: at least n faults among agents, with durations in
+// proportion to the lease. It begins with the submission of a job. With losses set, a third of the
+// faults remove stored state, but the stores of less than a majority of voters.
 func Draw(seed uint64, agents, n int, lease time.Duration, losses bool) Schedule {
 	stream, stores := uint64(32), 0
 	if losses {
@@ -142,22 +143,22 @@
 	}
 	all := Schedule{{Kind: Submit}}
 	for len(all) < n {
-		f := Fault{After: span(0, 0.8), For: span(0.1, 2.5), Kind: Kinds[rng.IntN(len(Kinds))], Agent: rng.IntN(agents), Step: steps[rng.IntN(len(steps))]}
+		f := Fault{After: span(0, 0.8), For: span(0.1, 2.5), Kind: Kinds[rng.IntN(len(Kinds))], Agent: rng.IntN(agents), Step: commandSteps[rng.IntN(len(commandSteps))]}
 		if f.Kind == Cancel && rng.IntN(4) > 0 {
-			f.Kind = Pause // a cancel leaves little to be disturbed
+			f.Kind = Pause // after a cancel there is little left to disturb
 		}
 		f.Other = (f.Agent + 1 + rng.IntN(agents-1)) % agents
 		f.Back = rng.IntN(2) == 0
 		if losses && rng.IntN(3) == 0 {
 			f.Kind = []string{Lose, PowerCut}[rng.IntN(2)]
 			what := rng.IntN(len(Memories))
-			if what >= storesFrom {
+			if what >= firstStoreLoss {
 				if stores++; stores > 1 {
-					what %= storesFrom
+					what %= firstStoreLoss
 				}
 			}
 			f.What = Memories[what]
-			if what >= foldersFrom { // a folder does not go from under running instances
+			if what >= firstFolderLoss { // a folder is lost only when no instance is running
 				f.Kind = PowerCut
 			}
 		}
@@ -179,8 +180,8 @@
 	return all
 }
 
-// DrawWords makes the schedule of a seed for the fleet's word: changes by operators, and faults between them and
-// so many nodes, with so many boxes.
+// DrawWords returns the schedule for a seed for the fleet's word (the fleet-wide bans): changes by operators, and
+// faults on the way from them to the nodes.
 func DrawWords(seed uint64, agents, nodes, boxes, n int, lease time.Duration) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 34))
 	span := func(from, to float64) time.Duration {
@@ -189,8 +190,8 @@
 	all := Schedule{{Kind: Ban, Box: rng.IntN(boxes)}}
 	for len(all) < n {
 		f := Fault{
-			After: span(0, 0.8), For: span(0.1, 2.5), Kind: WordKinds[rng.IntN(len(WordKinds))], Agent: rng.IntN(agents),
-			Step: wordSteps[rng.IntN(len(wordSteps))], Node: rng.IntN(nodes), Box: rng.IntN(boxes), Back: rng.IntN(2) == 0,
+			After: span(0, 0.8), For: span(0.1, 2.5), Kind: BanKinds[rng.IntN(len(BanKinds))], Agent: rng.IntN(agents),
+			Step: banSteps[rng.IntN(len(banSteps))], Node: rng.IntN(nodes), Box: rng.IntN(boxes), Back: rng.IntN(2) == 0,
 		}
 		f.Other = (f.Agent + 1 + rng.IntN(agents-1)) % agents
 		switch f.Kind {
--- a/internal/standin/faults/words.go
+++ b/internal/standin/faults/words.go
@@ -11,153 +11,153 @@
 	"time"
 )
 
-// Arrival is a request of a node's at a box.
+// Arrival is a node's request on arrival at a box.
 type Arrival struct {
 	Node, Box string
 	At        time.Time
 }
 
-// Claim is what somebody was told of a node: that its process has confirmed a version.
+// Claim is an answer to an operator: that a node's process has confirmed a version.
 type Claim struct {
 	Node          string // AGENT/INSTANCE
 	Version       uint64
 	Asked, Answer time.Time
 }
 
-// Words is what a checker of the fleet's word reads.
+// Words is the input of CheckWords, the checker of the fleet's word (the fleet-wide bans).
 type Words struct {
-	Logs     map[string]string // nodes' own, by AGENT/INSTANCE
+	Logs     map[string]string // paths of the nodes' own logs, by AGENT/INSTANCE
 	Arrivals []Arrival
 	Claims   []Claim
-	// Agreed is when each version was known to be agreed on, Out the servers that it leaves out.
+	// Agreed is when each version was known to be agreed on, Out the servers that it bans.
 	Agreed map[uint64]time.Time
 	Out    map[uint64][]string
 }
 
 const (
-	// toldWithin is how long after it was told a node may still send something to a server that is out.
-	toldWithin = 500 * time.Millisecond
-	// oldMost is how old the latest word may be that a node comes back with for sure: what the agent takes for
-	// sure, and the time of a call.
-	oldMost = 5 * time.Second
-	// noticed is how long an agent may take to notice that a process has ended.
-	noticed = 500 * time.Millisecond
+	// sendGrace is how long after it was told of a ban a node may still send requests to the banned server.
+	sendGrace = 500 * time.Millisecond
+	// maxBansAge bounds the age of the bans with which a node may start to serve as confirmed: the age up to
+	// which the agent takes its copy as confirmed, and the time of a call.
+	maxBansAge = 5 * time.Second
+	// exitNoticeDelay is how long an agent may take to notice that a process has ended.
+	exitNoticeDelay = 500 * time.Millisecond
 )
 
-// life is a process of a node, by its log.
-type life struct {
+// processRun is one process of a node, as its log shows it.
+type processRun struct {
 	began, ready time.Time
-	unsure       bool // it began to serve without a word
-	words        []word
+	unconfirmed  bool // it began to serve without confirmed bans
+	updates      []versionUpdate
 }
 
-type word struct {
+type versionUpdate struct {
 	at      time.Time
 	version uint64
 }
 
-// CheckWords judges what became of the fleet's word by what nodes logged, what boxes got, and what operators were
-// told. It shares no code with what decides.
+// CheckWords checks how the fleet's word was applied, from the nodes' logs, the requests that boxes received and
+// the answers that operators got. It shares no code with the production code that applies it.
 func CheckWords(w Words) (broken []string, lives int, err error) {
-	say := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
-	all := map[string][]life{}
+	report := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
+	runs := map[string][]processRun{}
 	for _, node := range slices.Sorted(maps.Keys(w.Logs)) {
-		if all[node], err = readLives(w.Logs[node]); err != nil {
+		if runs[node], err = readRuns(w.Logs[node]); err != nil {
 			return nil, 0, err
 		}
-		lives += len(all[node])
-		for _, l := range all[node] {
+		lives += len(runs[node])
+		for _, run := range runs[node] {
 			version := uint64(0)
-			for _, told := range l.words {
-				if told.version < version {
-					say("%s took version %d behind %d at %s", node, told.version, version, told.at.Format(time.TimeOnly))
+			for _, update := range run.updates {
+				if update.version < version {
+					report("%s took version %d behind %d at %s", node, update.version, version, update.at.Format(time.TimeOnly))
 				}
-				version = told.version
+				version = update.version
 			}
-			if l.ready.IsZero() {
+			if run.ready.IsZero() {
 				continue
 			}
-			had := l.version(l.ready)
+			applied := run.versionAt(run.ready)
 			for v, at := range w.Agreed {
-				if v > had && at.Before(l.ready.Add(-oldMost)) && !l.unsure {
-					say("%s served from %s on with version %d, and %d had been agreed on at %s", node, l.ready.Format(time.StampMilli), had, v, at.Format(time.StampMilli))
+				if v > applied && at.Before(run.ready.Add(-maxBansAge)) && !run.unconfirmed {
+					report("%s served from %s on with version %d, and %d had been agreed on at %s", node, run.ready.Format(time.StampMilli), applied, v, at.Format(time.StampMilli))
 					break
 				}
 			}
-			if !l.unsure && len(l.words) > 0 && l.words[0].at.After(l.ready) {
-				say("%s served before it was told anything, and did not say so", node)
+			if !run.unconfirmed && len(run.updates) > 0 && run.updates[0].at.After(run.ready) {
+				report("%s served before it was told anything, and did not log that", node)
 			}
 		}
 	}
-	names := map[string]string{}
+	nodeByName := map[string]string{}
 	for node := range w.Logs {
 		_, name, _ := strings.Cut(node, "/")
-		names[name] = node
+		nodeByName[name] = node
 	}
 	seen := map[string]bool{}
 	for _, a := range w.Arrivals {
-		l := lifeAt(all[names[a.Node]], a.At)
-		if l == nil {
+		run := runAt(runs[nodeByName[a.Node]], a.At)
+		if run == nil {
 			continue
 		}
-		if from := a.At.Add(-toldWithin); l.outAll(from, a.At, func(v uint64) bool { return slices.Contains(w.Out[v], a.Box) }) {
-			if key := a.Node + " " + a.Box + " " + strconv.FormatUint(l.version(from), 10); !seen[key] {
+		if from := a.At.Add(-sendGrace); run.excludedThroughout(from, a.At, func(v uint64) bool { return slices.Contains(w.Out[v], a.Box) }) {
+			if key := a.Node + " " + a.Box + " " + strconv.FormatUint(run.versionAt(from), 10); !seen[key] {
 				seen[key] = true
-				say("%s sent something to %s at %s, which is out by version %d", a.Node, a.Box, a.At.Format(time.StampMilli), l.version(from))
+				report("%s sent a request to %s at %s, which version %d bans", a.Node, a.Box, a.At.Format(time.StampMilli), run.versionAt(from))
 			}
 		}
 	}
 	for _, c := range w.Claims {
-		l := lifeAt(all[c.Node], c.Answer)
-		if l != nil && l.version(c.Answer) >= c.Version {
+		run := runAt(runs[c.Node], c.Answer)
+		if run != nil && run.versionAt(c.Answer) >= c.Version {
 			continue
 		}
-		if l != nil && c.Asked.Sub(l.began) < noticed { // it may speak of the process before
-			if before := lifeAt(all[c.Node], l.began.Add(-time.Millisecond)); before != nil && before.version(c.Answer) >= c.Version {
+		if run != nil && c.Asked.Sub(run.began) < exitNoticeDelay { // the answer may be about the process before
+			if before := runAt(runs[c.Node], run.began.Add(-time.Millisecond)); before != nil && before.versionAt(c.Answer) >= c.Version {
 				continue
 			}
 		}
-		say("it was told at %s that %s has version %d, and its log tells of none", c.Answer.Format(time.StampMilli), c.Node, c.Version)
+		report("an answer at %s claims that %s has version %d, which its log does not show", c.Answer.Format(time.StampMilli), c.Node, c.Version)
 	}
 	return broken, lives, nil
 }
 
-// version gives the one in force at a time.
-func (l *life) version(at time.Time) (v uint64) {
-	for _, told := range l.words {
-		if !told.at.After(at) {
-			v = told.version
+// versionAt returns the version in force at a time; 0 if none.
+func (run *processRun) versionAt(at time.Time) (v uint64) {
+	for _, update := range run.updates {
+		if !update.at.After(at) {
+			v = update.version
 		}
 	}
 	return v
 }
 
-// outAll tells whether every word that was in force at some time between two times leaves something out; false
-// if there was a time without any.
-func (l *life) outAll(from, to time.Time, out func(version uint64) bool) bool {
-	if len(l.words) == 0 || l.words[0].at.After(from) {
+// excludedThroughout reports whether out holds for each version that was in force at any time between from and
+// to; false if there was a time without a version.
+func (run *processRun) excludedThroughout(from, to time.Time, out func(version uint64) bool) bool {
+	if len(run.updates) == 0 || run.updates[0].at.After(from) {
 		return false
 	}
-	for i, told := range l.words {
-		followed := i+1 < len(l.words) && !l.words[i+1].at.After(from)
-		if !followed && !told.at.After(to) && !out(told.version) {
+	for i, update := range run.updates {
+		followed := i+1 < len(run.updates) && !run.updates[i+1].at.After(from)
+		if !followed && !update.at.After(to) && !out(update.version) {
 			return false
 		}
 	}
 	return true
 }
 
-func lifeAt(all []life, at time.Time) (l *life) {
+func runAt(all []processRun, at time.Time) (run *processRun) {
 	for i := range all {
 		if !all[i].began.After(at) {
-			l = &all[i]
+			run = &all[i]
 		}
 	}
-	return l
+	return run
 }
 
-// readLives reads a node's log.
-func readLives(path string) (all []life, err error) {
+// readRuns reads the processes of a node from its log.
+func readRuns(path string) (all []processRun, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("faults: %w", err)
@@ -169,15 +169,15 @@
 		line := lines.Text()
 		at, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(strings.SplitN(line, " ", 2)[0], "time="))
 		if err != nil {
-			continue // of another form: not of the node's own log
+			continue // not a line of the node's own log
 		}
 		if strings.Contains(line, `msg="waits for the fleet's word"`) {
-			all = append(all, life{began: at})
+			all = append(all, processRun{began: at})
 		}
 		if len(all) == 0 {
 			continue
 		}
-		l := &all[len(all)-1]
+		run := &all[len(all)-1]
 		switch {
 		case strings.Contains(line, `msg="the fleet's word"`):
 			_, rest, _ := strings.Cut(line, "version=")
@@ -185,11 +185,11 @@
 			if err != nil {
 				return nil, fmt.Errorf("faults: %s: %q: %w", path, line, err)
 			}
-			l.words = append(l.words, word{at, version})
+			run.updates = append(run.updates, versionUpdate{at, version})
 		case strings.Contains(line, "told this node nothing for sure"):
-			l.unsure = true
-		case strings.Contains(line, "msg=ready") && l.ready.IsZero():
-			l.ready = at
+			run.unconfirmed = true
+		case strings.Contains(line, "msg=ready") && run.ready.IsZero():
+			run.ready = at
 		}
 	}
 	if err := lines.Err(); err != nil {
