--- a/internal/standin/sipua/caller.go
+++ b/internal/standin/sipua/caller.go
@@ -14,29 +14,29 @@
 // Caller is a user agent that sends requests through a proxy.
 type Caller struct {
 	*endpoint
-	bell
+	notifier
 	proxy    peer
 	tls      *tls.Config
 	t1       time.Duration
 	requests map[string]*Transaction // by branch and method
-	asked    map[string]int          // requests from the other side, by method and Call-ID
+	received map[string]int          // number of requests from the other side, by method and Call-ID
 }
 
-// Options are what a user agent is made of.
+// Options configure a user agent.
 type Options struct {
-	Proxy     string // a Caller's
+	Proxy     string // address of the proxy; for a Caller only
 	Transport string // "udp", "tcp" or "tls"
 	TLS       *tls.Config
-	Addr      string // to listen at; "" for any
+	Addr      string // to listen on; "" for any port on loopback
 	T1        time.Duration
 	Loss      Loss
 }
 
-// NewCaller makes a caller; Close ends it.
+// NewCaller starts a caller; it must be closed.
 func NewCaller(o Options) (*Caller, error) {
-	c := &Caller{bell: newBell(), t1: o.T1, requests: map[string]*Transaction{}, asked: map[string]int{}}
+	c := &Caller{notifier: newNotifier(), t1: o.T1, requests: map[string]*Transaction{}, received: map[string]int{}}
 	var err error
-	if c.endpoint, err = listen(o, c.take); err != nil {
+	if c.endpoint, err = listen(o, c.handleMessage); err != nil {
 		return nil, err
 	}
 	c.tls = o.TLS
@@ -52,7 +52,7 @@
 	return c, c.Reconnect(o.Proxy)
 }
 
-// Reconnect makes a new connection to the proxy and leaves the old one open.
+// Reconnect opens a new connection to the proxy and leaves the old one open.
 func (c *Caller) Reconnect(proxy string) error {
 	var conn net.Conn
 	var err error
@@ -64,44 +64,44 @@
 	if err != nil {
 		return err
 	}
-	c.ring(func() { c.proxy = peer{conn: conn} })
+	c.update(func() { c.proxy = peer{conn: conn} })
 	c.serve(conn)
 	return nil
 }
 
-// to gives where requests go now.
-func (c *Caller) to() peer {
+// proxyPeer returns the current destination of requests.
+func (c *Caller) proxyPeer() peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.proxy
 }
 
-// Close ends it.
+// Close stops the caller and waits for its goroutines.
 func (c *Caller) Close() {
 	close(c.done)
 	c.endpoint.close()
 }
 
-// Addr is where it listens.
+// Addr returns the address on which it listens.
 func (c *Caller) Addr() string { return c.addr() }
 
-// Transaction is a request with all that came of it.
+// Transaction is a request with its responses.
 type Transaction struct {
-	caller *Caller
-	Method string
-	CallID string
-	Branch string
-	Text   []byte // as sent
-	from   string // of the request's fields
-	seq    int
-	uri    string
-	routes []string
+	caller     *Caller
+	Method     string
+	CallID     string
+	Branch     string
+	Text       []byte // as sent
+	fromHeader string // value of the From field
+	seq        int
+	uri        string
+	routes     []string
 
-	// Under the caller's lock.
+	// Guarded by the caller's lock.
 	responses []*sip.Response
 }
 
-// Request describes a request; what is left out is made up.
+// Request describes a request; Write fills in fields that are not set.
 type Request struct {
 	Method string
 	URI    string
@@ -109,14 +109,14 @@
 	From   string // with its tag
 	To     string
 	Seq    int
-	Branch string // with the cookie
-	Via    string // instead of one of the caller's own
+	Branch string // with the magic cookie
+	Via    string // in place of the caller's own
 	Fields []string
 	Routes []string
 	Body   string
 }
 
-// Write gives a request's text and puts what was made up into r.
+// Write returns a request's text and sets the missing fields of r.
 func (c *Caller) Write(r *Request) []byte {
 	set := func(s *string, v string) {
 		if *s == "" {
@@ -124,11 +124,11 @@
 		}
 	}
 	set(&r.URI, "sip:desk@pool.invalid")
-	set(&r.CallID, name("call"))
-	set(&r.From, "\"A caller\" <sip:caller@"+c.addr()+">;tag="+name("a"))
+	set(&r.CallID, uniqueName("call"))
+	set(&r.From, "\"A caller\" <sip:caller@"+c.addr()+">;tag="+uniqueName("a"))
 	set(&r.To, "<sip:desk@pool.invalid>")
-	set(&r.Branch, "z9hG4bK"+name("b"))
-	set(&r.Via, "SIP/2.0/"+c.name+" "+c.addr()+";branch="+r.Branch+";rport")
+	set(&r.Branch, "z9hG4bK"+uniqueName("b"))
+	set(&r.Via, "SIP/2.0/"+c.viaTransport+" "+c.addr()+";branch="+r.Branch+";rport")
 	if r.Seq == 0 {
 		r.Seq = 1
 	}
@@ -146,40 +146,40 @@
 	return []byte(b.String())
 }
 
-// Send sends a request and sends it again until something comes, as section 17.1 of RFC
-// 3261 has it.
+// Send sends a request and, over UDP, retransmits it until a response comes, as in section
+// 17.1 of RFC 3261.
 func (c *Caller) Send(r Request) *Transaction {
 	text := c.Write(&r)
 	t := &Transaction{
 		caller: c, Method: r.Method, CallID: r.CallID, Branch: r.Branch, Text: text,
-		from: r.From, seq: r.Seq, uri: r.URI, routes: r.Routes,
+		fromHeader: r.From, seq: r.Seq, uri: r.URI, routes: r.Routes,
 	}
-	c.ring(func() { c.requests[t.Method+" "+t.Branch] = t })
-	c.send(c.to(), text)
+	c.update(func() { c.requests[t.Method+" "+t.Branch] = t })
+	c.send(c.proxyPeer(), text)
 	if c.packet != nil {
-		c.all.Go(func() { t.resend() })
+		c.goroutines.Go(func() { t.resend() })
 	}
 	return t
 }
 
-// resend is timers A, B, E and F.
+// resend implements timers A, B, E and F.
 func (t *Transaction) resend() {
 	c := t.caller
 	for wait, end := c.t1, time.Now().Add(64*c.t1); time.Now().Before(end); {
-		if c.over(wait, func() bool {
-			return len(t.responses) > 0 && (t.Method == "INVITE" || t.final() != 0)
+		if c.awaitOrClosed(wait, func() bool {
+			return len(t.responses) > 0 && (t.Method == "INVITE" || t.finalCode() != 0)
 		}) {
 			return
 		}
-		c.send(c.to(), t.Text)
+		c.send(c.proxyPeer(), t.Text)
 		if wait *= 2; t.Method != "INVITE" {
 			wait = min(wait, 8*c.t1) // T2
 		}
 	}
 }
 
-// final gives the first final response's code; it needs the lock.
-func (t *Transaction) final() int {
+// finalCode returns the code of the first final response, or 0. The caller holds the lock.
+func (t *Transaction) finalCode() int {
 	for _, r := range t.responses {
 		if r.StatusCode >= 200 {
 			return r.StatusCode
@@ -188,13 +188,13 @@
 	return 0
 }
 
-// Final waits for a final response and gives its code; 0 if none came within limit.
+// Final waits for a final response and returns its code, or 0 if none came within limit.
 func (t *Transaction) Final(limit time.Duration) (code int) {
-	t.caller.await(limit, func() bool { code = t.final(); return code != 0 })
+	t.caller.await(limit, func() bool { code = t.finalCode(); return code != 0 })
 	return code
 }
 
-// First waits for any response and gives its code; 0 if none came within limit.
+// First waits for any response and returns the code of the first, or 0 if none came within limit.
 func (t *Transaction) First(limit time.Duration) (code int) {
 	t.caller.await(limit, func() bool {
 		if len(t.responses) > 0 {
@@ -205,27 +205,27 @@
 	return code
 }
 
-// Heard waits for a response of a code.
+// Heard waits for a response with a code; it returns false if none came within limit.
 func (t *Transaction) Heard(code int, limit time.Duration) bool {
 	return t.caller.await(limit, func() bool {
 		return slices.ContainsFunc(t.responses, func(r *sip.Response) bool { return r.StatusCode == code })
 	})
 }
 
-// Finals gives each different final response once, as code and To tag: a
-// retransmission is no second one.
+// Finals returns the distinct final responses, each as code and To tag, so that
+// retransmissions count once.
 func (t *Transaction) Finals() (finals []string) {
 	t.caller.mu.Lock()
 	defer t.caller.mu.Unlock()
 	for _, r := range t.responses {
-		if f := fmt.Sprint(r.StatusCode, " ", tagOf(value(r, "To"))); r.StatusCode >= 200 && !slices.Contains(finals, f) {
+		if f := fmt.Sprint(r.StatusCode, " ", tagOf(headerValue(r, "To"))); r.StatusCode >= 200 && !slices.Contains(finals, f) {
 			finals = append(finals, f)
 		}
 	}
 	return finals
 }
 
-// Responses gives all responses so far, repeats too.
+// Responses returns all responses so far, retransmissions included.
 func (t *Transaction) Responses() []*sip.Response {
 	t.caller.mu.Lock()
 	defer t.caller.mu.Unlock()
@@ -241,10 +241,10 @@
 			to = v
 		}
 	}
-	return t.caller.Send(Request{Method: "CANCEL", URI: t.uri, CallID: t.CallID, From: t.from, To: to, Seq: t.seq, Branch: t.Branch})
+	return t.caller.Send(Request{Method: "CANCEL", URI: t.uri, CallID: t.CallID, From: t.fromHeader, To: to, Seq: t.seq, Branch: t.Branch})
 }
 
-// Dialog gives what requests inside the dialog of the first 2xx need.
+// Dialog returns a template for requests inside the dialog that the first 2xx created.
 func (t *Transaction) Dialog() Request {
 	t.caller.mu.Lock()
 	defer t.caller.mu.Unlock()
@@ -256,54 +256,54 @@
 	return Request{}
 }
 
-// dialog needs no lock: r does not change.
+// dialog is Dialog for a given response. It needs no lock, since r does not change.
 func (t *Transaction) dialog(r *sip.Response) Request {
-	q := Request{CallID: t.CallID, From: t.from, To: value(r, "To"), Seq: t.seq + 1, URI: t.uri}
-	if c := value(r, "Contact"); c != "" {
+	q := Request{CallID: t.CallID, From: t.fromHeader, To: headerValue(r, "To"), Seq: t.seq + 1, URI: t.uri}
+	if c := headerValue(r, "Contact"); c != "" {
 		q.URI = strings.Trim(c, "<>")
 	}
-	if q.Routes = t.routes; q.Routes == nil { // set by the dialog's first answer
-		q.Routes = values(r, "Record-Route")
+	if q.Routes = t.routes; q.Routes == nil { // not in a dialog yet: the response sets the route
+		q.Routes = headerValues(r, "Record-Route")
 		slices.Reverse(q.Routes)
 	}
 	return q
 }
 
-// Asked tells how many requests of a method came from the other side of a call.
+// Asked returns the number of requests of a method from the other side of a call.
 func (c *Caller) Asked(method, callID string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.asked[method+" "+callID]
+	return c.received[method+" "+callID]
 }
 
-// AwaitAsked waits for such a request.
+// AwaitAsked waits for a request of a method from the other side of a call.
 func (c *Caller) AwaitAsked(method, callID string, limit time.Duration) bool {
-	return c.await(limit, func() bool { return c.asked[method+" "+callID] > 0 })
+	return c.await(limit, func() bool { return c.received[method+" "+callID] > 0 })
 }
 
-// take handles what comes in.
-func (c *Caller) take(from peer, m sip.Message) {
+// handleMessage handles a received message.
+func (c *Caller) handleMessage(from peer, m sip.Message) {
 	switch m := m.(type) {
 	case *sip.Request:
-		c.ring(func() { c.asked[string(m.Method)+" "+m.CallID().Value()]++ })
+		c.update(func() { c.received[string(m.Method)+" "+m.CallID().Value()]++ })
 		if m.Method != sip.ACK {
 			c.send(from, response(m, 200, "", nil))
 		}
 	case *sip.Response:
 		branch, _ := m.Via().Params.Get("branch")
 		var t *Transaction
-		c.ring(func() {
+		c.update(func() {
 			if t = c.requests[string(m.CSeq().MethodName)+" "+branch]; t != nil {
 				t.responses = append(t.responses, m)
 			}
 		})
 		if t != nil && t.Method == "INVITE" && m.StatusCode >= 200 {
-			c.send(c.to(), t.ack(m))
+			c.send(c.proxyPeer(), t.ack(m))
 		}
 	}
 }
 
-// ack writes the ACK to a final response.
+// ack returns the text of the ACK to a final response.
 func (t *Transaction) ack(r *sip.Response) []byte {
 	if r.StatusCode < 300 {
 		q := t.dialog(r)
@@ -311,14 +311,14 @@
 		return t.caller.Write(&q)
 	}
 	return t.caller.Write(&Request{
-		Method: "ACK", URI: t.uri, CallID: t.CallID, From: t.from, To: value(r, "To"), Seq: t.seq, Branch: t.Branch,
+		Method: "ACK", URI: t.uri, CallID: t.CallID, From: t.fromHeader, To: headerValue(r, "To"), Seq: t.seq, Branch: t.Branch,
 	})
 }
 
-// Raw sends bytes as they are.
+// Raw sends bytes unchanged to the proxy.
 func (c *Caller) Raw(text []byte) error {
 	var err error
-	if to := c.to(); to.conn != nil {
+	if to := c.proxyPeer(); to.conn != nil {
 		_, err = to.conn.Write(text)
 	} else {
 		_, err = c.packet.WriteTo(text, to.addr)
--- a/internal/standin/sipua/calls.go
+++ b/internal/standin/sipua/calls.go
@@ -12,34 +12,34 @@
 	"otterstep/internal/load"
 )
 
-// CallsOptions describe calls to one proxy.
+// CallsOptions configure calls through one proxy.
 type CallsOptions struct {
 	URL     string // sip:127.0.0.1:5060, with ;transport=tcp for TCP
-	Callers int    // user agents, each with an address of its own; 8 if 0
+	Callers int    // number of user agents, each with its own address; 8 if 0
 	T1      time.Duration
-	// Whole has a call end with the answer to its BYE. Else it ends once it is set up, so
-	// that the time is the setup's, and the BYE follows by itself.
+	// Whole makes a call end with the answer to its BYE. Otherwise it ends once it is set up, so
+	// that its duration is the time of the setup, and the BYE is sent in the background.
 	Whole bool
 }
 
 const (
-	usualCallers = 8
-	mostCallers  = 1000
-	// mostHangups bounds the BYEs that are out at once; a call waits for room before it
-	// begins.
-	mostHangups = 10_000
+	defaultCallers = 8
+	maxCallers     = 1000
+	// maxHangups bounds the calls that are not yet ended, including those whose BYE is in
+	// progress; a call waits for a slot before it begins.
+	maxHangups = 10_000
 )
 
-// Calls is a load.Target whose requests are calls: INVITE, its answer, ACK and BYE.
+// Calls is a load.Target whose requests are SIP calls: INVITE, its answer, ACK and BYE.
 type Calls struct {
-	opt     CallsOptions
-	callers []*Caller
-	room    chan struct{} // of hangups
-	hangups sync.WaitGroup
-	unended atomic.Int64
+	opt           CallsOptions
+	callers       []*Caller
+	hangupSlots   chan struct{} // a slot for each call that is not yet ended
+	hangups       sync.WaitGroup
+	failedHangups atomic.Int64
 }
 
-// NewCalls makes one; Close it in the end. Calls go to loopback addresses only.
+// NewCalls returns a load target for calls to loopback addresses; it must be closed.
 func NewCalls(o CallsOptions) (*Calls, error) {
 	rest, ok := strings.CutPrefix(o.URL, "sip:")
 	addr, transport, named := strings.Cut(rest, ";transport=")
@@ -48,17 +48,17 @@
 	}
 	at, err := netip.ParseAddrPort(addr)
 	if o.Callers == 0 {
-		o.Callers = usualCallers
+		o.Callers = defaultCallers
 	}
 	switch {
 	case !ok || err != nil || transport != "udp" && transport != "tcp":
-		return nil, fmt.Errorf("calls: %q is no sip:ADDRESS:PORT or sip:ADDRESS:PORT;transport=tcp", o.URL)
+		return nil, fmt.Errorf("calls: %q is no sip:ADDRESS:PORT or sip:ADDRESS:PORT;transport=tcp URL", o.URL)
 	case !at.Addr().IsLoopback() || !at.Addr().Is4():
 		return nil, fmt.Errorf("calls: callers are on 127.0.0.1 and reach 127.0.0.0/8 only, not %v", at.Addr())
-	case o.Callers < 1 || o.Callers > mostCallers:
-		return nil, fmt.Errorf("calls: %d callers: 1 to %d", o.Callers, mostCallers)
+	case o.Callers < 1 || o.Callers > maxCallers:
+		return nil, fmt.Errorf("calls: %d callers, want 1 to %d", o.Callers, maxCallers)
 	}
-	c := &Calls{opt: o, room: make(chan struct{}, mostHangups)}
+	c := &Calls{opt: o, hangupSlots: make(chan struct{}, maxHangups)}
 	for range o.Callers {
 		u, err := NewCaller(Options{Proxy: addr, Transport: transport, T1: o.T1})
 		if err != nil {
@@ -70,7 +70,7 @@
 	return c, nil
 }
 
-// Close waits for the hangups and ends the callers.
+// Close waits for the BYEs in progress and closes the callers.
 func (c *Calls) Close() {
 	c.hangups.Wait()
 	for _, u := range c.callers {
@@ -78,14 +78,15 @@
 	}
 }
 
-// Unended counts the calls whose BYE was not answered 200, once Close has returned.
-func (c *Calls) Unended() int { return int(c.unended.Load()) }
+// Unended returns the number of calls whose BYE was not answered 200. It is final once Close has returned.
+func (c *Calls) Unended() int { return int(c.failedHangups.Load()) }
 
-// Ask implements load.Target. An answer 2xx is Served, one of 503 or 480 Refused, any
-// other Failed; none within ctx is Broken, and its INVITE is cancelled.
+// Ask implements load.Target. An answer 2xx counts as Served, 503 and 480 as Refused, any
+// other as Failed. Without an answer before ctx's deadline the call is Broken and its INVITE
+// is cancelled.
 func (c *Calls) Ask(ctx context.Context, n uint64, _ time.Time) load.Outcome {
 	select {
-	case c.room <- struct{}{}:
+	case c.hangupSlots <- struct{}{}:
 	case <-ctx.Done():
 		return load.Broken
 	}
@@ -98,7 +99,7 @@
 	code := tx.Final(left)
 	done := func() {
 		u.forget(tx)
-		<-c.room
+		<-c.hangupSlots
 	}
 	switch {
 	case code == 0:
@@ -122,7 +123,7 @@
 		q.Method = "BYE"
 		bye := u.Send(q)
 		if bye.Final(64*u.t1) != 200 {
-			c.unended.Add(1)
+			c.failedHangups.Add(1)
 		}
 		u.forget(bye)
 	}
@@ -134,9 +135,9 @@
 	return load.Served
 }
 
-// forget drops a transaction, so that a caller's memory goes with the calls that it has.
+// forget drops a transaction, so that a caller's memory is bounded by its current calls.
 func (c *Caller) forget(t *Transaction) {
-	c.ring(func() { delete(c.requests, t.Method+" "+t.Branch) })
+	c.update(func() { delete(c.requests, t.Method+" "+t.Branch) })
 }
 
 var _ load.Target = (*Calls)(nil)
--- a/internal/standin/sipua/calls_test.go
+++ b/internal/standin/sipua/calls_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Calls are set up, told apart by how they end, and ended; callers keep nothing of them.
+// Calls are set up and ended, each counts under its outcome, and callers keep no transaction of an ended call.
 func TestCallsAsLoad(t *testing.T) {
 	const t1 = 50 * time.Millisecond
 	for _, transport := range []string{"udp", "tcp"} {
@@ -32,7 +32,7 @@
 			case 1:
 				c.Reply(486)
 			case 2:
-				c.Reply(180) // and no more until the CANCEL
+				c.Reply(180) // and nothing else until the CANCEL
 				if c.Cancelled(10 * time.Second) {
 					c.Reply(487)
 				}
@@ -69,8 +69,8 @@
 	}
 }
 
-// What calls can't go to is told before any goes out.
-func TestCallsSayWhatIsWrong(t *testing.T) {
+// NewCalls rejects invalid options before any call is sent.
+func TestNewCallsRejectsInvalidOptions(t *testing.T) {
 	for url, want := range map[string]string{
 		"http://127.0.0.1:1/": "is no sip:", "sip:127.0.0.1": "is no sip:", "sip:192.0.2.1:5060": "127.0.0.0/8 only",
 		"sip:127.0.0.1:5060;transport=sctp": "is no sip:", "sip:desk.invalid:5060": "is no sip:",
@@ -79,7 +79,7 @@
 			t.Errorf("%s: %v, %v", url, c, err)
 		}
 	}
-	if _, err := NewCalls(CallsOptions{URL: "sip:127.0.0.1:5060", Callers: mostCallers + 1}); err == nil {
-		t.Error("too many callers are taken")
+	if _, err := NewCalls(CallsOptions{URL: "sip:127.0.0.1:5060", Callers: maxCallers + 1}); err == nil {
+		t.Error("too many callers are accepted")
 	}
 }
--- a/internal/standin/sipua/plain.go
+++ b/internal/standin/sipua/plain.go
@@ -9,19 +9,19 @@
 	"github.com/emiago/sipgo/sip"
 )
 
-// Plain is a minimal proxy over UDP to measure others against: stateless, a server at
-// random for each Call-ID, nothing retried and nothing refused.
+// Plain is a minimal UDP proxy that serves as a baseline for measurements. It keeps no
+// transactions, chooses a server at random for each Call-ID, and neither retries nor refuses.
 type Plain struct {
-	conn    net.PacketConn
-	servers []net.Addr
-	mu      sync.Mutex
-	calls   map[string]net.Addr // grows for good: it lives for one measurement
-	done    sync.WaitGroup
+	conn         net.PacketConn
+	servers      []net.Addr
+	mu           sync.Mutex
+	serverByCall map[string]net.Addr // never shrinks: a proxy lives for one measurement only
+	goroutines   sync.WaitGroup
 }
 
-// NewPlain makes one in front of servers; Close ends it.
+// NewPlain starts a proxy in front of servers; it must be closed.
 func NewPlain(servers []string) (*Plain, error) {
-	p := &Plain{calls: map[string]net.Addr{}}
+	p := &Plain{serverByCall: map[string]net.Addr{}}
 	for _, s := range servers {
 		a, err := net.ResolveUDPAddr("udp", s)
 		if err != nil {
@@ -31,18 +31,18 @@
 	}
 	var err error
 	if p.conn, err = net.ListenPacket("udp", "127.0.0.1:0"); err == nil {
-		p.done.Go(p.run)
+		p.goroutines.Go(p.run)
 	}
 	return p, err
 }
 
-// Addr is where it listens.
+// Addr returns the address on which it listens.
 func (p *Plain) Addr() string { return p.conn.LocalAddr().String() }
 
-// Close ends it.
+// Close stops the proxy and waits for its goroutine.
 func (p *Plain) Close() {
 	p.conn.Close()
-	p.done.Wait()
+	p.goroutines.Wait()
 }
 
 func (p *Plain) run() {
@@ -88,10 +88,10 @@
 func (p *Plain) server(callID string) net.Addr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.calls[callID]
+	s := p.serverByCall[callID]
 	if s == nil {
 		s = p.servers[rand.IntN(len(p.servers))]
-		p.calls[callID] = s
+		p.serverByCall[callID] = s
 	}
 	return s
 }
--- a/internal/standin/sipua/sipua.go
+++ b/internal/standin/sipua/sipua.go
@@ -1,7 +1,7 @@
-// Package sipua imitates the two ends of SIP calls on loopback: callers and call
-// desks' servers that follow scripts, lose datagrams on command, and count what they
-// see. They read messages with a library that the node does not use, so that both
-// sides can't share a mistake.
+// Package sipua provides the two ends of SIP calls on loopback: callers, and servers that
+// follow scripts. Both lose datagrams on command and count the messages they receive. They
+// parse messages with a library that the node does not use, so that both sides can't share
+// a fault.
 package sipua
 
 import (
@@ -21,12 +21,12 @@
 	"github.com/emiago/sipgo/sip"
 )
 
-// Loss decides what becomes of a datagram on its way: how many copies go on (0 loses
-// it), and whether it waits for the next one to overtake it. key names a message, the
-// same for each of its transmissions; out tells sent from received ones.
+// Loss decides how a datagram is delivered: in how many copies (0 loses it), and whether
+// it is delayed until the next one has overtaken it. key identifies a message and is the
+// same for each of its transmissions; out is true for sent datagrams, false for received ones.
 type Loss func(out bool, key string) (copies int, late bool)
 
-// LoseFirst loses the first n transmissions of each message, whichever way it goes.
+// LoseFirst loses the first n transmissions of each message, in each direction.
 func LoseFirst(n int) Loss {
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -42,24 +42,24 @@
 	}
 }
 
-// peer is where a message came from: an address, or a connection.
+// peer is the other side of an exchange: an address, or a connection.
 type peer struct {
 	addr net.Addr
 	conn net.Conn
 }
 
-// endpoint sends and receives messages over UDP or TCP.
+// endpoint sends and receives messages over UDP, TCP or TLS.
 type endpoint struct {
-	packet   net.PacketConn
-	listener net.Listener
-	loss     Loss
-	name     string // of the transport, as Via has it
-	handle   func(from peer, m sip.Message)
+	packet       net.PacketConn
+	listener     net.Listener
+	loss         Loss
+	viaTransport string // the transport's name in a Via field
+	handle       func(from peer, m sip.Message)
 
-	guard sync.Mutex
-	conns map[net.Conn]bool
-	held  *datagram // overtaken
-	all   sync.WaitGroup
+	connsMu    sync.Mutex
+	conns      map[net.Conn]bool
+	delayed    *datagram // waits for the next one to overtake it
+	goroutines sync.WaitGroup
 }
 
 type datagram struct {
@@ -70,14 +70,14 @@
 	out  bool
 }
 
-// listen opens an endpoint on a port of the system's choice, or at o.Addr if that is
-// given; run takes what comes.
+// listen opens an endpoint at o.Addr, or on any port if that is empty; run starts
+// receiving.
 func listen(o Options, handle func(peer, sip.Message)) (*endpoint, error) {
 	addr := o.Addr
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
-	e := &endpoint{loss: o.Loss, handle: handle, conns: map[net.Conn]bool{}, name: strings.ToUpper(o.Transport)}
+	e := &endpoint{loss: o.Loss, handle: handle, conns: map[net.Conn]bool{}, viaTransport: strings.ToUpper(o.Transport)}
 	var err error
 	if o.Transport != "udp" {
 		if e.listener, err = net.Listen("tcp", addr); err == nil {
@@ -93,9 +93,9 @@
 
 func (e *endpoint) run() {
 	if e.listener != nil {
-		e.all.Go(e.accept)
+		e.goroutines.Go(e.accept)
 	} else {
-		e.all.Go(e.receive)
+		e.goroutines.Go(e.receive)
 	}
 }
 
@@ -106,19 +106,19 @@
 	return e.packet.LocalAddr().String()
 }
 
-// close ends it and waits for its goroutines.
+// close closes the endpoint and its connections and waits for its goroutines.
 func (e *endpoint) close() {
 	if e.packet != nil {
 		e.packet.Close()
 	} else {
 		e.listener.Close()
 	}
-	e.guard.Lock()
+	e.connsMu.Lock()
 	for c := range e.conns {
 		c.Close()
 	}
-	e.guard.Unlock()
-	e.all.Wait()
+	e.connsMu.Unlock()
+	e.goroutines.Wait()
 }
 
 func (e *endpoint) receive() {
@@ -132,43 +132,43 @@
 		if n == 0 || err != nil {
 			continue
 		}
-		e.pass(datagram{from: peer{addr: addr}, m: m})
+		e.applyLoss(datagram{from: peer{addr: addr}, m: m})
 	}
 }
 
-// pass lets a datagram go on as the loss says.
-func (e *endpoint) pass(d datagram) {
+// applyLoss delivers a datagram as the endpoint's Loss decides.
+func (e *endpoint) applyLoss(d datagram) {
 	copies, late := 1, false
 	if e.loss != nil {
-		copies, late = e.loss(d.out, key(d.m))
+		copies, late = e.loss(d.out, messageKey(d.m))
 	}
-	e.guard.Lock()
-	before := e.held
-	e.held = nil
-	if late && before == nil && copies > 0 {
-		e.held = &d
+	e.connsMu.Lock()
+	overtaken := e.delayed
+	e.delayed = nil
+	if late && overtaken == nil && copies > 0 {
+		e.delayed = &d
 		copies = 0
 	}
-	e.guard.Unlock()
+	e.connsMu.Unlock()
 	for range copies {
-		e.do(d)
+		e.deliver(d)
 	}
-	if before != nil {
-		e.do(*before)
+	if overtaken != nil {
+		e.deliver(*overtaken)
 	}
 }
 
-func (e *endpoint) do(d datagram) {
+func (e *endpoint) deliver(d datagram) {
 	if d.out {
-		// A refusal shows as silence, as it does to a phone.
+		// An error of the network is ignored: to a phone it shows as silence.
 		_, _ = e.packet.WriteTo(d.text, d.to)
 	} else {
 		e.handle(d.from, d.m)
 	}
 }
 
-// key names a message by its start, CSeq and branch.
-func key(m sip.Message) string {
+// messageKey identifies a message by its method or status code, CSeq and branch.
+func messageKey(m sip.Message) string {
 	start := ""
 	switch m := m.(type) {
 	case *sip.Request:
@@ -198,15 +198,15 @@
 
 // serve reads a connection until it ends.
 func (e *endpoint) serve(c net.Conn) {
-	e.guard.Lock()
+	e.connsMu.Lock()
 	e.conns[c] = true
-	e.guard.Unlock()
-	e.all.Go(func() {
+	e.connsMu.Unlock()
+	e.goroutines.Go(func() {
 		defer func() {
 			c.Close()
-			e.guard.Lock()
+			e.connsMu.Lock()
 			delete(e.conns, c)
-			e.guard.Unlock()
+			e.connsMu.Unlock()
 		}()
 		in := bufio.NewReader(c)
 		for {
@@ -221,7 +221,7 @@
 	})
 }
 
-// readMessage takes one message off a stream.
+// readMessage reads one message from a stream.
 func readMessage(in *bufio.Reader) ([]byte, error) {
 	var head []byte
 	length := 0
@@ -246,7 +246,7 @@
 	return append(head, body...), err
 }
 
-// send sends a message; an error of the network is silence.
+// send sends a message; errors of the network are ignored.
 func (e *endpoint) send(to peer, text []byte) {
 	if to.conn != nil {
 		_, _ = to.conn.Write(text)
@@ -257,22 +257,22 @@
 	}
 	m, err := sip.ParseMessage(text)
 	if err != nil {
-		panic("a stand-in wrote what can't be read: " + err.Error())
+		panic("sipua: the message to send can't be read: " + err.Error())
 	}
-	e.pass(datagram{text: text, to: to.addr, m: m, out: true})
+	e.applyLoss(datagram{text: text, to: to.addr, m: m, out: true})
 }
 
-// bell tells those who wait that something has changed. Make it with newBell.
-type bell struct {
+// notifier guards state and wakes those that wait for a change of it. Create it with newNotifier.
+type notifier struct {
 	mu      sync.Mutex
 	changed chan struct{}
-	done    chan struct{} // closed at the end
+	done    chan struct{} // closed when the user agent is closed
 }
 
-func newBell() bell { return bell{done: make(chan struct{})} }
+func newNotifier() notifier { return notifier{done: make(chan struct{})} }
 
-// ring runs a change and tells of it.
-func (b *bell) ring(change func()) {
+// update runs a change under the lock and wakes all waiters.
+func (b *notifier) update(change func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change()
@@ -282,11 +282,11 @@
 	}
 }
 
-// await waits until ok holds, looking after each change; false if limit or the end came
-// first.
-func (b *bell) await(limit time.Duration, ok func() bool) bool {
-	over := time.NewTimer(limit)
-	defer over.Stop()
+// await waits until ok holds, checking it after each change; it returns false if limit passed or
+// the user agent was closed first.
+func (b *notifier) await(limit time.Duration, ok func() bool) bool {
+	expired := time.NewTimer(limit)
+	defer expired.Stop()
 	for {
 		b.mu.Lock()
 		if ok() {
@@ -300,7 +300,7 @@
 		b.mu.Unlock()
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-expired.C:
 			return false
 		case <-b.done:
 			return false
@@ -308,8 +308,9 @@
 	}
 }
 
-// over is await for those who go on until ok holds: true at the end too.
-func (b *bell) over(limit time.Duration, ok func() bool) bool {
+// awaitOrClosed is await for loops that run until ok holds: it returns true also when the user agent
+// is closed.
+func (b *notifier) awaitOrClosed(limit time.Duration, ok func() bool) bool {
 	if b.await(limit, ok) {
 		return true
 	}
@@ -323,27 +324,27 @@
 
 var lastName atomic.Int64
 
-// name gives a word that is used once in this process.
-func name(kind string) string {
+// uniqueName returns a name that no other call in this process returns.
+func uniqueName(kind string) string {
 	return kind + strconv.FormatInt(lastName.Add(1), 36) + "x" + strconv.FormatInt(time.Now().UnixNano(), 36)
 }
 
-// values gives the values of a message's fields of a name.
-func values(m sip.Message, name string) (all []string) {
+// headerValues returns the values of all of a message's header fields of a name.
+func headerValues(m sip.Message, name string) (all []string) {
 	for _, h := range m.GetHeaders(name) {
 		all = append(all, h.Value())
 	}
 	return all
 }
 
-func value(m sip.Message, name string) string {
-	if all := values(m, name); len(all) > 0 {
+func headerValue(m sip.Message, name string) string {
+	if all := headerValues(m, name); len(all) > 0 {
 		return all[0]
 	}
 	return ""
 }
 
-// tagOf gives the tag in a From or To value.
+// tagOf returns the tag in the value of a From or To field.
 func tagOf(value string) string {
 	_, tag, _ := strings.Cut(value, ";tag=")
 	tag, _, _ = strings.Cut(tag, ";")
