--- a/internal/standin/lab/bench_test.go
+++ b/internal/standin/lab/bench_test.go
@@ -14,9 +14,8 @@
 	"otterstep/internal/fleet/proc"
 )
 
-// BenchmarkCrash measures the time from an instance's death by SIGKILL until it
-// answers /up again: under an agent, with its first delay of 200 ms, and under a
-// shell's endless loop, which has no delay and no limit.
+// BenchmarkCrash measures the time from the SIGKILL of an instance until it answers /up again: under an agent, whose
+// first restart delay is 200 ms, and under an endless shell loop, which has neither delay nor limit.
 func BenchmarkCrash(b *testing.B) {
 	opt := testOptions(b.TempDir())
 	opt.Instances, opt.Agents, opt.Rate = 1, 1, 0
@@ -35,9 +34,9 @@
 		return resp.StatusCode == http.StatusOK
 	}
 	await := func(b *testing.B, want bool) {
-		for until := time.Now().Add(startWithin); up() != want; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(startTimeout); up() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
-				b.Fatalf("up is not %v after %v", want, startWithin)
+				b.Fatalf("up is not %v after %v", want, startTimeout)
 			}
 		}
 	}
@@ -64,8 +63,8 @@
 			defer p.Release()
 			p.Signal(syscall.SIGKILL)
 			<-p.Done()
-		}, func() { // a command makes the agent forget the crash, so that delays don't grow
-			if err := l.Roll(b.Context(), 1, nil); err != nil {
+		}, func() { // a restart by command resets the agent's restart delay, so that delays don't grow
+			if err := l.RestartAll(b.Context(), 1, nil); err != nil {
 				b.Fatal(err)
 			}
 		})
--- a/internal/standin/lab/campaign_test.go
+++ b/internal/standin/lab/campaign_test.go
@@ -12,17 +12,17 @@
 	"otterstep/internal/standin/mutant"
 )
 
-// campaignLab is the fleet that otterlab faults plays schedules on.
+// campaignLab returns the options of the fleet on which otterlab faults runs schedules.
 func campaignLab(t *testing.T) Options {
 	o := testOptions("")
-	built(t, &o)
+	useBuiltPrograms(t, &o)
 	o.Dir = t.TempDir()
 	o.Instances, o.Agents, o.Boxes = 6, 3, 2
 	o.Council = &Council{Voters: 3, Lease: time.Second, Orders: true}
 	return o
 }
 
-// Fixed seeds of the campaign: those that once broke something, and some with lost memories.
+// Fixed seeds of the campaign: those that have found a fault before, and some with losses of state.
 func TestCampaign(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -32,13 +32,13 @@
 		t.Run(fmt.Sprintf("%d %v", c.seed, c.losses), func(t *testing.T) {
 			t.Parallel()
 			if c.seed != 6019 {
-				further(t)
+				skipIfShort(t)
 			}
 			o := campaignLab(t)
 			if c.losses {
-				o.Rate = 0 // a power cut takes requests along
+				o.Rate = 0 // no clients: their requests fail in a power cut
 			}
-			room(t, o.Rate)
+			reserveSlot(t, o.Rate)
 			run, err := PlayFaults(context.Background(), o, c.seed, Campaign{Faults: 12, Most: 1, Losses: c.losses})
 			if err != nil {
 				t.Fatal(err)
@@ -50,11 +50,11 @@
 	}
 }
 
-// A build that starts what it knows nothing of is seen to fail, as soon as a schedule takes the
-// memory of the drained instance's machine in a power cut.
-func TestCampaignSeesWhatIsStartedUnknown(t *testing.T) {
-	further(t)
-	bin := changed(t, mutant.Change{
+// Checks the checker: it has to detect an agent that starts instances whose desired state is unknown. The schedule has
+// a power cut in which the machine of the drained instance loses its record and copy.
+func TestCampaignDetectsStartOfUnknownInstance(t *testing.T) {
+	skipIfShort(t)
+	bin := buildChangedAgent(t, mutant.Change{
 		File: "internal/fleet/recovery/recovery.go",
 		Old:  "\tcase f.Council == Silent:\n",
 		New:  "\tcase f.Council == Silent:\n\t\treturn Verdict{Do: Follow, Word: Word{Source: \"nobody\", Up: true}}\n",
@@ -69,7 +69,7 @@
 	}) {
 		seed++
 	}
-	room(t, o.Rate)
+	reserveSlot(t, o.Rate)
 	run, err := PlayFaults(context.Background(), o, seed, c)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/lab/comeback.go
+++ b/internal/standin/lab/comeback.go
@@ -19,45 +19,45 @@
 	"otterstep/internal/standin/faults"
 )
 
-// What a fleet may lose when all of it goes at once.
+// What is lost when all agents and instances are killed at once.
 const (
 	LoseNothing  = "nothing"
-	LoseAThird   = "a-third"  // of the records
-	LoseRecords  = "records"  // all of them
-	LoseMemories = "memories" // all records and copies, but the council's
-	LoseMajority = "majority" // of the council's stores
+	LoseAThird   = "a-third"  // the records of every third agent
+	LoseRecords  = "records"  // the records of all agents
+	LoseMemories = "memories" // the records of all agents and their copies, but not the council stores
+	LoseMajority = "majority" // the council stores of a majority of the voters
 )
 
-// Losses lists them.
+// Losses lists the kinds of loss.
 var Losses = []string{LoseNothing, LoseAThird, LoseRecords, LoseMemories, LoseMajority}
 
-// Comeback is how a fleet's return is to be measured.
+// Comeback configures a measurement of the restart of a whole fleet.
 type Comeback struct {
 	Loss    string
-	Drained int           // instances that are drained before
-	Away    time.Duration // how long discovery is away, from the kill on
+	Drained int           // number of instances drained before the kill
+	Away    time.Duration // how long discovery is down, from the kill on
 }
 
-// Return is how a fleet came back.
+// Return is the result of the restart of a whole fleet.
 type Return struct {
-	Half, Most, All time.Duration // from the last agent's start until so many served: 50%, 90%, all
-	Burst           int           // the most instances that became ready within 100 ms
-	Wrong           int           // drained instances that were started
-	Held            int           // instances that were held when all was over
-	// Calls of discovery, and the most within 100 ms; Conns is the most that were opened to one
-	// server within 100 ms.
+	Half, Most, All time.Duration // from the start of the last agent until 50%, 90% and all of the instances served
+	Burst           int           // most instances that became ready within 100 ms
+	Wrong           int           // drained instances that became ready
+	Held            int           // instances held at the end
+	// Calls counts the requests to discovery, CallsMost the most within 100 ms. ConnsMost is the most connections that
+	// were opened to one server within 100 ms.
 	Calls, CallsMost, ConnsMost int
 	Served                      []Share
 }
 
-// Share is how much of the service of before there is, at a time.
+// Share is the share of instances that serve at a time, of those that are meant to.
 type Share struct {
-	At   time.Duration // since the last agent's start
+	At   time.Duration // since the start of the last agent
 	Part float64
 }
 
-// Play drains some instances, kills all agents and instances at once, takes away what is to be
-// lost, starts all agents and looks how the fleet comes back.
+// Play drains some instances, kills all agents and instances at once, removes the state that is to be lost, starts all
+// agents, and measures how the instances become ready.
 func (c Comeback) Play(ctx context.Context, opt Options) (Return, error) {
 	var r Return
 	l, err := New(ctx, opt)
@@ -66,7 +66,7 @@
 	}
 	defer l.Close()
 	if opt.Council != nil {
-		if err := (&faultPlayer{lab: l}).whole(ctx); err != nil {
+		if err := (&faultRunner{lab: l}).waitForCouncil(ctx); err != nil {
 			return r, err
 		}
 	}
@@ -77,22 +77,22 @@
 		names = append(names, i.Name)
 	}
 	if c.Drained > 0 {
-		limit, cancel := context.WithTimeout(ctx, startWithin)
+		limit, cancel := context.WithTimeout(ctx, startTimeout)
 		_, err := l.Fleet.Give(limit, group.Order{Plan: group.Plan{Kind: protocol.Drain}, Select: group.Selector{Names: names}})
 		cancel()
 		if err != nil {
 			return r, err
 		}
 	}
-	time.Sleep(time.Second) // until the council has been told of the last word
+	time.Sleep(time.Second) // until the last report has reached the council
 	l.Discovery.Down(c.Away > 0)
-	var all sync.WaitGroup
+	var kills sync.WaitGroup
 	for n := range opt.Agents {
-		all.Go(func() { l.KillMachine(n) })
+		kills.Go(func() { l.KillMachine(n) })
 	}
-	all.Wait()
+	kills.Wait()
 	killed := time.Now()
-	if err := l.lose(c.Loss); err != nil {
+	if err := l.applyLoss(c.Loss); err != nil {
 		return r, err
 	}
 	for _, o := range l.outlets {
@@ -107,70 +107,70 @@
 		}
 	}
 	began := time.Now()
-	back := time.AfterFunc(time.Until(killed.Add(c.Away)), func() { l.Discovery.Down(false) })
-	defer back.Stop()
+	restore := time.AfterFunc(time.Until(killed.Add(c.Away)), func() { l.Discovery.Down(false) })
+	defer restore.Stop()
 	want := len(l.Instances) - c.Drained
-	limit, cancel := context.WithTimeout(ctx, healWithin+c.Away)
+	limit, cancel := context.WithTimeout(ctx, recoveryTimeout+c.Away)
 	defer cancel()
 	for r.All == 0 && limit.Err() == nil {
-		up := l.serving(limit, down)
-		now := Share{time.Since(began), float64(up) / float64(want)}
-		for _, step := range []struct {
+		serving := l.countServing(limit, down)
+		now := Share{time.Since(began), float64(serving) / float64(want)}
+		for _, threshold := range []struct {
 			at    *time.Duration
 			share float64
 		}{{&r.Half, 0.5}, {&r.Most, 0.9}, {&r.All, 1}} {
-			if *step.at == 0 && now.Part >= step.share {
-				*step.at = now.At
+			if *threshold.at == 0 && now.Part >= threshold.share {
+				*threshold.at = now.At
 			}
 		}
 		r.Served = append(r.Served, now)
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, o := range l.outlets {
-		n, most := o.Calls.Counts()
-		r.Calls, r.CallsMost = r.Calls+n, max(r.CallsMost, most)
+		n, peak := o.Calls.Counts()
+		r.Calls, r.CallsMost = r.Calls+n, max(r.CallsMost, peak)
 	}
 	for _, b := range l.Boxes {
-		_, most := b.Conns.Counts()
-		r.ConnsMost = max(r.ConnsMost, most)
+		_, peak := b.Conns.Counts()
+		r.ConnsMost = max(r.ConnsMost, peak)
 	}
 	recoveries, _ := l.Fleet.Recoveries(ctx)
 	for _, a := range recoveries {
 		r.Held += len(a.Held)
 	}
-	return r, l.readies(&r, began, down)
+	return r, l.readReadyTimes(&r, began, down)
 }
 
-// lose takes away what is to be lost; nothing runs.
-func (l *Lab) lose(loss string) error {
+// applyLoss removes the state that is to be lost. No agent or instance may be running.
+func (l *Lab) applyLoss(loss string) error {
 	for n := range l.opt.Agents {
-		gone := faults.Nothing
+		kind := faults.Nothing
 		switch loss {
 		case LoseNothing:
 		case LoseAThird:
 			if n%3 == 0 {
-				gone = faults.Record
+				kind = faults.Record
 			}
 		case LoseRecords:
-			gone = faults.Record
+			kind = faults.Record
 		case LoseMemories:
-			gone = faults.Both
+			kind = faults.Both
 		case LoseMajority:
 			if n < l.opt.Council.Voters/2+1 {
-				gone = faults.Store
+				kind = faults.Store
 			}
 		default:
-			return fmt.Errorf("lab: no loss %q: %s", loss, strings.Join(Losses, ", "))
+			return fmt.Errorf("lab: unknown loss %q, want one of: %s", loss, strings.Join(Losses, ", "))
 		}
-		if err := l.Lose(n, gone); err != nil {
+		if err := l.LoseState(n, kind); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// serving counts the instances that answer /up, but those that are to be down.
-func (l *Lab) serving(ctx context.Context, down map[string]bool) (n int) {
+// countServing counts the instances that answer /up with OK, except for the drained ones.
+func (l *Lab) countServing(ctx context.Context, down map[string]bool) (n int) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
 	c := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -199,9 +199,8 @@
 	return n
 }
 
-// readies reads from the instances' logs how many came at once, and whether one did that was
-// to be down.
-func (l *Lab) readies(r *Return, since time.Time, down map[string]bool) error {
+// readReadyTimes reads from the instances' logs when they became ready, and sets Burst and Wrong of the result.
+func (l *Lab) readReadyTimes(r *Return, since time.Time, down map[string]bool) error {
 	var times []time.Time
 	for _, i := range l.Instances {
 		f, err := os.Open(i.LogFile)
@@ -213,8 +212,8 @@
 		}
 		lines := bufio.NewScanner(f)
 		for lines.Scan() {
-			word, _, _ := strings.Cut(strings.TrimPrefix(lines.Text(), "time="), " ")
-			at, err := time.Parse(time.RFC3339Nano, word)
+			timestamp, _, _ := strings.Cut(strings.TrimPrefix(lines.Text(), "time="), " ")
+			at, err := time.Parse(time.RFC3339Nano, timestamp)
 			if err != nil || !at.After(since) || !strings.Contains(lines.Text(), "msg=ready") {
 				continue
 			}
--- a/internal/standin/lab/demo.go
+++ b/internal/standin/lab/demo.go
@@ -13,14 +13,14 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// Story is the demo's timetable.
+// Story is the schedule of the demo.
 type Story struct {
-	Calm, Hang, Healed time.Duration // before, while and after a box hangs
+	Calm, Hang, Healed time.Duration // before, during and after the hang of a box
 	After              time.Duration // after the rolling restart
 }
 
-// Demo plays load, a box that hangs and a rolling restart, says on w what happens,
-// and prints a table. It reports whether the rules held.
+// Demo runs load, a box that hangs, a rolling restart and a box that crashes. It writes the events and a table of the
+// outcomes to w, and returns whether the rules held.
 func (l *Lab) Demo(ctx context.Context, s Story, w io.Writer) (held bool, err error) {
 	say := func(format string, args ...any) {
 		fmt.Fprintf(w, "%5.1fs  %s\n", time.Since(l.started).Seconds(), fmt.Sprintf(format, args...))
@@ -29,7 +29,7 @@
 		return false, err
 	}
 	box := l.Boxes[0]
-	say("box %s hangs: it takes requests and answers none", box.UID())
+	say("box %s hangs: it accepts requests and does not answer", box.UID())
 	box.Hang(true)
 	if err := pause(ctx, s.Hang); err != nil {
 		return false, err
@@ -40,7 +40,7 @@
 		return false, err
 	}
 	say("rolling restart of all instances through %d agents", l.opt.Agents)
-	if err := l.Roll(ctx, 1, func(r group.Result) {
+	if err := l.RestartAll(ctx, 1, func(r group.Result) {
 		say("  %s/%s %s in %.1fs %s", r.Agent, r.Instance, r.Outcome, r.Took.Seconds(), r.Text)
 	}); err != nil {
 		return false, err
@@ -61,12 +61,12 @@
 	return l.Print(w), nil
 }
 
-// Roll restarts all instances, at most so many away at once.
-func (l *Lab) Roll(ctx context.Context, most int, progress func(group.Result)) error {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(1+len(l.Instances))*startWithin)
+// RestartAll restarts all instances, with at most the given number unavailable at once.
+func (l *Lab) RestartAll(ctx context.Context, maxUnavailable int, progress func(group.Result)) error {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(1+len(l.Instances))*startTimeout)
 	defer cancel()
 	r, err := l.Fleet.Give(ctx, group.Order{
-		Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: most}, Select: group.Selector{Names: []string{"all"}}, Progress: progress,
+		Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: maxUnavailable}, Select: group.Selector{Names: []string{"all"}}, Progress: progress,
 	})
 	switch {
 	case err != nil:
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Print writes the ledger's table and tells whether the rules held.
+// Print writes a table of the requests' outcomes and the rule violations. It returns whether the rules held.
 func (l *Lab) Print(w io.Writer) bool {
 	r := l.Ledger.Report()
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -95,7 +95,7 @@
 	}
 	t.Flush()
 	if l.Clients != nil {
-		fmt.Fprintf(w, "\nserved within the aim: %d; p50 %v, p99 %v; repeats that boxes dropped: %d; never sent: %d\n", l.Clients.Within(),
+		fmt.Fprintf(w, "\nserved within the aim: %d; p50 %v, p99 %v; repeats dropped by boxes: %d; never sent: %d\n", l.Clients.Within(),
 			l.Clients.Latency(0.5).Round(time.Millisecond), l.Clients.Latency(0.99).Round(time.Millisecond), r.Repeats, l.Clients.Skipped())
 	}
 	if r.Breaks == 0 {
--- a/internal/standin/lab/desired.go
+++ b/internal/standin/lab/desired.go
@@ -12,56 +12,57 @@
 	"otterstep/internal/standin/mutant"
 )
 
-// waitsFor is how long nodes of a measured fleet wait for its word at their start.
-const waitsFor = 2 * time.Second
+// desiredStateWait is how long nodes of a measured fleet wait for the desired state at their start.
+const desiredStateWait = 2 * time.Second
 
-// askEvery is how often it is asked how far a ban has come.
-const askEvery = 10 * time.Millisecond
+// confirmPollInterval is how often the number of nodes that have confirmed a ban is polled.
+const confirmPollInterval = 10 * time.Millisecond
 
-// SlowUnderLoad makes a node slow once two of its requests are open.
+// SlowUnderLoad is a defect that delays a node's answers by 700 ms while more than one connection of the upstream's
+// pool is in use.
 var SlowUnderLoad = mutant.Change{
 	File: "internal/node/upstream.go", Old: "\tserved := h.Code == http.StatusOK\n",
 	New: "\tserved := h.Code == http.StatusOK\n\tif open, idle := u.pool.Count(); open-idle > 1 {\n\t\ttime.Sleep(700 * time.Millisecond)\n\t}\n",
 }
 
-// words starts a fleet that has a council and takes its word.
-func words(ctx context.Context, opt Options) (*Lab, *wordPlay, error) {
-	opt.Fleet = waitsFor
+// newDesiredStateLab starts a fleet with a council whose desired state its nodes apply.
+func newDesiredStateLab(ctx context.Context, opt Options) (*Lab, *stateObserver, error) {
+	opt.DesiredStateWait = desiredStateWait
 	l, err := New(ctx, opt)
 	if err != nil {
 		return nil, nil, err
 	}
-	play := &wordPlay{lab: l, agreed: map[uint64]time.Time{}, stop: func() {}}
-	err = (&faultPlayer{lab: l}).whole(ctx)
+	observer := &stateObserver{lab: l, agreedAt: map[uint64]time.Time{}, stop: func() {}}
+	err = (&faultRunner{lab: l}).waitForCouncil(ctx)
 	if err == nil {
-		err = play.counted(ctx)
+		err = observer.waitForServerCount(ctx)
 	}
 	if err != nil {
 		l.Close()
 		return nil, nil, err
 	}
-	return l, play, nil
+	return l, observer, nil
 }
 
-// BanTimes times bans and their ends from the operator's call until all nodes have confirmed it whose agents
-// answer; so many agents that do not vote are stopped.
-func BanTimes(ctx context.Context, opt Options, times, hung int) (all []time.Duration, err error) {
-	l, _, err := words(ctx, opt)
+// BanTimes measures the time from an operator's ban, or from its removal, until all nodes whose agents run have
+// confirmed it. Of the agents that do not vote, hung are stopped.
+func BanTimes(ctx context.Context, opt Options, times, stoppedAgents int) (all []time.Duration, err error) {
+	l, _, err := newDesiredStateLab(ctx, opt)
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	if hung > opt.Agents-opt.Council.Voters {
-		return nil, fmt.Errorf("lab: %d agents hang, %d do not vote", hung, opt.Agents-opt.Council.Voters)
+	if stoppedAgents > opt.Agents-opt.Council.Voters {
+		return nil, fmt.Errorf("lab: cannot stop %d agents, only %d do not vote", stoppedAgents, opt.Agents-opt.Council.Voters)
 	}
 	stopped := map[string]bool{}
-	for n := range hung {
-		at := opt.Agents - 1 - n
-		stopped[agentName(at)] = true
-		if err := l.SignalAgent(at, syscall.SIGSTOP); err != nil {
+	for n := range stoppedAgents {
+		agent := opt.Agents - 1 - n
+		stopped[agentName(agent)] = true
+		if err := l.SignalAgent(agent, syscall.SIGSTOP); err != nil {
 			return nil, err
 		}
-		defer l.SignalAgent(at, syscall.SIGCONT)
+		defer l.SignalAgent(agent, syscall.SIGCONT)
 	}
 	want := len(slices.DeleteFunc(slices.Clone(l.Instances), func(i Instance) bool { return stopped[i.Agent] }))
 	for n := range times {
@@ -83,11 +84,11 @@
 		}
 		for confirmed := 0; confirmed < want; {
 			if ctx.Err() != nil {
-				return nil, fmt.Errorf("lab: %d of %d nodes have version %v: %w", confirmed, want, version, ctx.Err())
+				return nil, fmt.Errorf("lab: only %d of %d nodes have confirmed version %v: %w", confirmed, want, version, ctx.Err())
 			}
 			st, _ := l.Fleet.Answering(ctx, version, func(agent string) bool { return !stopped[agent] })
 			if confirmed = st.Confirmed; confirmed < want {
-				if err := pause(ctx, askEvery); err != nil {
+				if err := pause(ctx, confirmPollInterval); err != nil {
 					return nil, err
 				}
 			}
@@ -98,24 +99,24 @@
 	return all, nil
 }
 
-// Harm is what a version that does harm has cost.
+// Harm is the impact of a defective version.
 type Harm struct {
-	Note             string // what the fleet says of it
-	Had              int    // instances that had the version at most, at once
+	Note             string // of the change that rolled the version back
+	Had              int    // most instances that had the version at once
 	Back             time.Duration
 	Served, Unserved int
 }
 
-// HarmOf has a fleet under load go to a version, watched for so long at the first instances that have it, and
-// waits until it was taken back everywhere.
+// HarmOf upgrades a fleet under load to a defective version, with a trial of the given length on the first instances,
+// and waits until the version has been rolled back everywhere.
 func HarmOf(ctx context.Context, opt Options, program []string, trial time.Duration) (h Harm, err error) {
 	opt.Programs = map[string][]string{"bad": program}
-	l, _, err := words(ctx, opt)
+	l, _, err := newDesiredStateLab(ctx, opt)
 	if err != nil {
 		return h, err
 	}
 	defer l.Close()
-	if err := pause(ctx, settleFor); err != nil {
+	if err := pause(ctx, warmUp); err != nil {
 		return h, err
 	}
 	budgets := desired.DefaultBudgets
@@ -140,7 +141,7 @@
 			h.Note = v.State.History[len(v.State.History)-1].Note
 			break
 		}
-		if err := pause(ctx, pollEvery); err != nil {
+		if err := pause(ctx, pollInterval); err != nil {
 			return h, err
 		}
 	}
--- a/internal/standin/lab/faultplay.go
+++ b/internal/standin/lab/faultplay.go
@@ -19,82 +19,80 @@
 )
 
 const (
-	// healWithin is how long a healed fleet may take to come to rest, and jobWithin what each
-	// rollout that it still has to carry out adds, with many fleets at once on one machine.
-	healWithin = time.Minute
-	jobWithin  = 20 * time.Second
-	askWithin  = 2 * time.Second
-	pollEvery  = 50 * time.Millisecond
+	// recoveryTimeout bounds the time in which a fleet has to settle once all faults have ended, and jobTimeout is
+	// added for each rollout that was submitted. Both allow for many fleets at once on one machine.
+	recoveryTimeout = time.Minute
+	jobTimeout      = 20 * time.Second
+	requestTimeout  = 2 * time.Second
+	pollInterval    = 50 * time.Millisecond
 )
 
-// FaultRun is how a schedule of faults went.
+// FaultRun is the result of running a schedule of faults.
 type FaultRun struct {
-	Seed     uint64
-	Schedule faults.Schedule
-	Failed   []string // what was broken
-	Jobs     int
-	Changes  int           // of owners
-	Rest     time.Duration // from the last fault's end until all jobs were over
-	Effects  int
-	Fenced   int // operations that a newer token stopped
-	Away     int // at most, at once
-	Lost     int // memories
-	Drained  string
-	// Versions counts the changes of what the fleet should be, Lives the nodes' processes.
-	Versions, Lives int
-	// Served and Unserved are the clients' requests.
+	Seed         uint64
+	Schedule     faults.Schedule
+	Failed       []string // violations
+	Jobs         int
+	OwnerChanges int           // changes of the owner
+	Rest         time.Duration // from the end of the last fault until all jobs had ended
+	Effects      int
+	Fenced       int // operations rejected because of a newer token
+	MaxDown      int // most instances down at once
+	StateLosses  int // losses of agents' persistent state
+	Drained      string
+	// Versions counts the changes of the desired state, NodeProcesses the node processes that ran.
+	Versions, NodeProcesses int
+	// Served and Unserved count client requests.
 	Served, Unserved int
 }
 
-// String sums a run up.
+// String summarizes a run.
 func (r FaultRun) String() string {
 	lost := ""
-	if r.Lost > 0 {
-		lost = fmt.Sprintf(", %d memories lost", r.Lost)
+	if r.StateLosses > 0 {
+		lost = fmt.Sprintf(", %d losses of state", r.StateLosses)
 	}
 	if r.Versions > 0 {
-		return fmt.Sprintf("%d faults, %d changes of the fleet, %d processes of nodes", len(r.Schedule), r.Versions, r.Lives)
+		return fmt.Sprintf("%d faults, %d changes of the desired state, %d node processes", len(r.Schedule), r.Versions, r.NodeProcesses)
 	}
-	return fmt.Sprintf("%d faults%s, %d jobs, %d effects, %d stopped by a newer token, %d changes of owner, %d away at most, served %d, not %d",
-		len(r.Schedule), lost, r.Jobs, r.Effects, r.Fenced, r.Changes, r.Away, r.Served, r.Unserved)
+	return fmt.Sprintf("%d faults%s, %d jobs, %d effects, %d operations fenced, %d changes of owner, at most %d down, %d requests served, %d not",
+		len(r.Schedule), lost, r.Jobs, r.Effects, r.Fenced, r.OwnerChanges, r.MaxDown, r.Served, r.Unserved)
 }
 
-// Add adds another run's figures.
+// Add adds the counts of another run.
 func (r *FaultRun) Add(o FaultRun) {
 	r.Schedule = append(r.Schedule, o.Schedule...)
-	r.Lost += o.Lost
+	r.StateLosses += o.StateLosses
 	r.Jobs += o.Jobs
-	r.Changes += o.Changes
+	r.OwnerChanges += o.OwnerChanges
 	r.Effects += o.Effects
 	r.Fenced += o.Fenced
-	r.Away = max(r.Away, o.Away)
+	r.MaxDown = max(r.MaxDown, o.MaxDown)
 	r.Versions += o.Versions
-	r.Lives += o.Lives
+	r.NodeProcesses += o.NodeProcesses
 	r.Served += o.Served
 	r.Unserved += o.Unserved
 }
 
-// Campaign says what schedules are drawn from.
+// Campaign configures the generation of fault schedules.
 type Campaign struct {
 	Faults int
-	Most   int // what each job may have away
-	// Losses takes memories away too, from a fleet of which one instance was drained: it must
-	// never start again.
+	Most   int // max. unavailable instances per job
+	// Losses adds losses of agents' persistent state. One instance of the fleet is drained first, and must never start
+	// again.
 	Losses bool
-	// Words plays operators' changes of what the fleet should be in place of jobs, with faults between these and
-	// the nodes.
+	// Words replaces jobs by operators' changes of the desired state, with faults between operators and nodes.
 	Words bool
 }
 
-// PlayFaults plays a seed's schedule on a fleet of its own and judges it by what the
-// processes wrote down.
+// PlayFaults runs the fault schedule of a seed on a new fleet and checks the records and logs of the processes.
 func PlayFaults(ctx context.Context, opt Options, seed uint64, c Campaign) (FaultRun, error) {
 	opt.Seed = seed
 	run := FaultRun{Seed: seed}
-	var words *wordPlay
+	var words *stateObserver
 	if c.Words {
-		opt.Fleet, opt.Boxes, opt.Rate = opt.Council.Lease, wordBoxes, 0 // nodes that are killed take clients' requests along
-		words = watchWords(&opt)
+		opt.DesiredStateWait, opt.Boxes, opt.Rate = opt.Council.Lease, desiredStateBoxes, 0 // no clients: their requests fail when a node is killed
+		words = newStateObserver(&opt)
 		run.Schedule = faults.DrawWords(seed, opt.Agents, opt.Instances, opt.Boxes, c.Faults, opt.Council.Lease)
 	} else {
 		run.Schedule = faults.Draw(seed, opt.Agents, c.Faults, opt.Council.Lease, c.Losses)
@@ -104,95 +102,95 @@
 		return run, err
 	}
 	defer l.Close()
-	p := &faultPlayer{lab: l, run: &run, most: c.Most, orders: make([]faults.Orders, opt.Agents), killed: make([]int, opt.Agents), lost: make([]int, opt.Agents), old: make([]bool, opt.Agents), words: words}
-	if err := p.whole(ctx); err != nil {
+	p := &faultRunner{lab: l, run: &run, maxUnavailable: c.Most, orders: make([]faults.Orders, opt.Agents), powerCuts: make([]int, opt.Agents), stateLosses: make([]int, opt.Agents), restoredOld: make([]bool, opt.Agents), observer: words}
+	if err := p.waitForCouncil(ctx); err != nil {
 		return run, err
 	}
 	if words != nil {
-		words.begin(l)
-		defer words.end()
-		if err := words.counted(ctx); err != nil {
+		words.start(l)
+		defer words.close()
+		if err := words.waitForServerCount(ctx); err != nil {
 			return run, err
 		}
 	}
 	if c.Losses {
-		if err := p.drain(ctx); err != nil {
+		if err := p.drainLast(ctx); err != nil {
 			return run, err
 		}
 	}
 	for i, f := range run.Schedule {
-		if err := p.play(ctx, i, f); err != nil {
+		if err := p.inject(ctx, i, f); err != nil {
 			return run, fmt.Errorf("lab: fault %d, %v: %w", i, f, err)
 		}
 	}
 	last := time.Now()
-	for _, h := range p.heals { // the rest of what was to pass by itself
+	for _, h := range p.pendingHeals { // faults that have not ended yet
 		if h.at.After(last) {
 			last = h.at
 		}
 	}
-	if err := p.until(ctx, last); err != nil {
+	if err := p.runUntil(ctx, last); err != nil {
 		return run, err
 	}
-	if err := p.heal(); err != nil {
+	if err := p.healAll(); err != nil {
 		return run, err
 	}
 	if words != nil {
-		return run, p.judgeWords(ctx)
+		return run, p.checkDesiredState(ctx)
 	}
-	return run, p.judge(ctx)
+	return run, p.checkJobs(ctx)
 }
 
-// faultPlayer plays one schedule.
-type faultPlayer struct {
-	lab    *Lab
-	run    *FaultRun
-	most   int
-	orders []faults.Orders
-	killed []int // how often each agent's instances were
-	lost   []int // how often each agent's memory was taken away in part
-	old    []bool
-	jobs   []string
-	heals  []heal    // by time
-	words  *wordPlay // nil: none of the fleet's
+// faultRunner runs one schedule.
+type faultRunner struct {
+	lab            *Lab
+	run            *FaultRun
+	maxUnavailable int
+	orders         []faults.Orders
+	powerCuts      []int // by agent: power cuts
+	stateLosses    []int // by agent: losses of state other than the copy or the council store
+	restoredOld    []bool
+	jobs           []string
+	pendingHeals   []heal         // faults that end later
+	observer       *stateObserver // nil if the schedule has no changes of the desired state
 }
 
-// heal ends a fault.
+// heal is the end of a fault.
 type heal struct {
 	at time.Time
 	do func() error
 }
 
-// whole waits for the council.
-func (p *faultPlayer) whole(ctx context.Context) error {
-	limit, cancel := context.WithTimeout(ctx, startWithin)
+// waitForCouncil waits until all voters are leader or follower.
+func (p *faultRunner) waitForCouncil(ctx context.Context) error {
+	limit, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		voters, _ := p.lab.Fleet.Voters(limit)
-		votes := 0
+		voting := 0
 		for _, s := range voters {
 			if s.State == duty.Leader || s.State == duty.Follower {
-				votes++
+				voting++
 			}
 		}
-		if votes == p.lab.opt.Council.Voters {
+		if voting == p.lab.opt.Council.Voters {
 			return nil
 		}
 		select {
 		case <-limit.Done():
-			return fmt.Errorf("lab: %d of %d voters: %w", votes, p.lab.opt.Council.Voters, limit.Err())
-		case <-time.After(pollEvery):
+			return fmt.Errorf("lab: only %d of %d voters are leader or follower: %w", voting, p.lab.opt.Council.Voters, limit.Err())
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// drain keeps all disks as they are and then drains the last instance, until the council knows.
-func (p *faultPlayer) drain(ctx context.Context) error {
+// drainLast takes a snapshot of all agents' state, drains the last instance and waits until the council knows.
+func (p *faultRunner) drainLast(ctx context.Context) error {
 	l := p.lab
-	limit, cancel := context.WithTimeout(ctx, startWithin)
+	limit, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for n := range p.orders {
-		if err := l.KeepState(n); err != nil {
+		if err := l.SnapshotState(n); err != nil {
 			return err
 		}
 	}
@@ -208,17 +206,17 @@
 		}
 		select {
 		case <-limit.Done():
-			return fmt.Errorf("lab: the council does not hear of a drain: %w", limit.Err())
-		case <-time.After(pollEvery):
+			return fmt.Errorf("lab: council has not recorded the drain: %w", limit.Err())
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// until plays on to a time, ending the faults that end before it.
-func (p *faultPlayer) until(ctx context.Context, at time.Time) error {
+// runUntil waits until a time and ends the faults that end before it.
+func (p *faultRunner) runUntil(ctx context.Context, at time.Time) error {
 	for {
 		next, due := at, -1
-		for i, h := range p.heals {
+		for i, h := range p.pendingHeals {
 			if !h.at.After(next) {
 				next, due = h.at, i
 			}
@@ -231,57 +229,57 @@
 		if due < 0 {
 			return nil
 		}
-		h := p.heals[due]
-		p.heals = slices.Delete(p.heals, due, due+1)
+		h := p.pendingHeals[due]
+		p.pendingHeals = slices.Delete(p.pendingHeals, due, due+1)
 		if err := h.do(); err != nil {
 			return err
 		}
 	}
 }
 
-func (p *faultPlayer) after(d time.Duration, do func() error) {
-	p.heals = append(p.heals, heal{time.Now().Add(d), do})
+func (p *faultRunner) scheduleHeal(d time.Duration, do func() error) {
+	p.pendingHeals = append(p.pendingHeals, heal{time.Now().Add(d), do})
 }
 
-// order changes an agent's orders.
-func (p *faultPlayer) order(n int, change func(o *faults.Orders)) error {
+// changeOrders changes the orders of an agent.
+func (p *faultRunner) changeOrders(n int, change func(o *faults.Orders)) error {
 	change(&p.orders[n])
-	return p.lab.Order(agentName(n), p.orders[n])
+	return p.lab.SetOrders(agentName(n), p.orders[n])
 }
 
-// start starts an agent that does not run.
-func (p *faultPlayer) start(n int) error {
-	p.lab.reap(n) // one that could not begin on its disk has ended
+// startAgent starts an agent unless it is running.
+func (p *faultRunner) startAgent(n int) error {
+	p.lab.reapAgent(n) // an agent whose disk failed at its start has exited
 	if p.lab.agents[n] != nil {
 		return nil
 	}
 	return p.lab.StartAgent(n, false)
 }
 
-func (p *faultPlayer) play(ctx context.Context, i int, f faults.Fault) error {
-	if err := p.until(ctx, time.Now().Add(f.After)); err != nil {
+func (p *faultRunner) inject(ctx context.Context, i int, f faults.Fault) error {
+	if err := p.runUntil(ctx, time.Now().Add(f.After)); err != nil {
 		return err
 	}
 	l := p.lab
-	if p.words != nil {
-		if heal, mine := p.words.play(ctx, f); heal != nil {
-			p.after(f.For, heal)
+	if p.observer != nil {
+		if heal, mine := p.observer.inject(ctx, f); heal != nil {
+			p.scheduleHeal(f.For, heal)
 			return nil
 		} else if mine {
 			return nil
 		}
 	}
-	way := l.Relay(agentName(f.Agent), agentName(f.Other))
-	pass := func() error { way.Set(faults.Pass, faults.Pass); return nil }
+	relay := l.Relay(agentName(f.Agent), agentName(f.Other))
+	restoreRelay := func() error { relay.Set(faults.Pass, faults.Pass); return nil }
 	switch f.Kind {
 	case faults.Kill:
 		l.KillAgent(f.Agent)
-		p.after(f.For, func() error { return p.start(f.Agent) })
+		p.scheduleHeal(f.For, func() error { return p.startAgent(f.Agent) })
 	case faults.Stop:
 		if err := l.SignalAgent(f.Agent, syscall.SIGSTOP); err != nil {
-			return nil // it is down already
+			return nil // the agent is down
 		}
-		p.after(f.For, func() error { p.cont(f.Agent); return nil })
+		p.scheduleHeal(f.For, func() error { p.resumeAgent(f.Agent); return nil })
 	case faults.KillAt, faults.StopAt:
 		signal := syscall.SIGKILL
 		if f.Kind == faults.StopAt {
@@ -289,72 +287,72 @@
 		}
 		once := filepath.Join(l.opt.Dir, fmt.Sprint("once", i))
 		for n := range p.orders {
-			if err := p.order(n, func(o *faults.Orders) { o.At, o.Signal, o.Once = f.Step, signal, once }); err != nil {
+			if err := p.changeOrders(n, func(o *faults.Orders) { o.At, o.Signal, o.Once = f.Step, signal, once }); err != nil {
 				return err
 			}
 		}
-		p.after(f.For, func() error {
+		p.scheduleHeal(f.For, func() error {
 			for n := range p.orders {
-				if err := p.order(n, func(o *faults.Orders) { o.At, o.Signal = "", 0 }); err != nil {
+				if err := p.changeOrders(n, func(o *faults.Orders) { o.At, o.Signal = "", 0 }); err != nil {
 					return err
 				}
 			}
-			return p.revive(once)
+			return p.reviveAtStep(once)
 		})
 	case faults.CutOff:
-		l.Apart(true, agentName(f.Agent))
-		p.after(f.For, func() error { l.Apart(false, agentName(f.Agent)); return nil })
+		l.Isolate(true, agentName(f.Agent))
+		p.scheduleHeal(f.For, func() error { l.Isolate(false, agentName(f.Agent)); return nil })
 	case faults.CutWay:
 		if f.Back {
-			way.Set(faults.Pass, faults.Cut)
+			relay.Set(faults.Pass, faults.Cut)
 		} else {
-			way.Set(faults.Cut, faults.Pass)
+			relay.Set(faults.Cut, faults.Pass)
 		}
-		p.after(f.For, pass)
+		p.scheduleHeal(f.For, restoreRelay)
 	case faults.HoldWay:
-		way.HoldOnly("/run/")
-		p.after(f.For, pass)
+		relay.HoldOnly("/run/")
+		p.scheduleHeal(f.For, restoreRelay)
 	case faults.HoldWord:
-		way.HoldOnly("/fleet")
-		p.after(f.For, pass)
+		relay.HoldOnly("/fleet")
+		p.scheduleHeal(f.For, restoreRelay)
 	case faults.ResetWay:
-		way.Set(faults.Reset, faults.Reset)
-		p.after(f.For, pass)
+		relay.Set(faults.Reset, faults.Reset)
+		p.scheduleHeal(f.For, restoreRelay)
 	case faults.DelayAll:
-		p.delay(f.For / 10)
-		p.after(f.For, func() error { p.delay(0); return nil })
+		p.delayRelays(f.For / 10)
+		p.scheduleHeal(f.For, func() error { p.delayRelays(0); return nil })
 	case faults.DiskFails:
-		if err := p.order(f.Agent, func(o *faults.Orders) { o.Disk = "write: input/output error" }); err != nil {
+		if err := p.changeOrders(f.Agent, func(o *faults.Orders) { o.Disk = "write: input/output error" }); err != nil {
 			return err
 		}
-		p.after(f.For, func() error { return p.order(f.Agent, func(o *faults.Orders) { o.Disk = "" }) })
+		p.scheduleHeal(f.For, func() error { return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Disk = "" }) })
 	case faults.DiskSlow:
-		if err := p.order(f.Agent, func(o *faults.Orders) { o.Slow = f.For / 4 }); err != nil {
+		if err := p.changeOrders(f.Agent, func(o *faults.Orders) { o.Slow = f.For / 4 }); err != nil {
 			return err
 		}
-		p.after(f.For, func() error { return p.order(f.Agent, func(o *faults.Orders) { o.Slow = 0 }) })
+		p.scheduleHeal(f.For, func() error { return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Slow = 0 }) })
 	case faults.ClockRate:
-		return p.order(f.Agent, func(o *faults.Orders) { o.Rate = f.Rate })
+		return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Rate = f.Rate })
 	case faults.ClockJump:
-		return p.order(f.Agent, func(o *faults.Orders) { o.Jump += f.Jump })
+		return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Jump += f.Jump })
 	case faults.Lose, faults.PowerCut:
 		if f.Kind == faults.PowerCut {
 			l.KillMachine(f.Agent)
-			p.killed[f.Agent]++
+			p.powerCuts[f.Agent]++
 		} else {
 			l.KillAgent(f.Agent)
 		}
-		p.run.Lost++
-		p.old[f.Agent] = p.old[f.Agent] || f.What == faults.OldMemory
+		p.run.StateLosses++
+		p.restoredOld[f.Agent] = p.restoredOld[f.Agent] || f.What == faults.OldMemory
 		if f.What != faults.Nothing && f.What != faults.Copy && f.What != faults.Store {
-			p.lost[f.Agent]++
+			p.stateLosses[f.Agent]++
 		}
-		if err := l.Lose(f.Agent, f.What); err != nil {
+		if err := l.LoseState(f.Agent, f.What); err != nil {
 			return err
 		}
-		p.after(f.For, func() error { return p.start(f.Agent) })
+		p.scheduleHeal(f.For, func() error { return p.startAgent(f.Agent) })
 	case faults.Submit:
-		p.submit(ctx, f)
+		p.submitRollout(ctx, f)
 	case faults.Cancel, faults.Pause:
 		if len(p.jobs) == 0 {
 			return nil
@@ -362,168 +360,169 @@
 		id, to := p.jobs[len(p.jobs)-1], duty.Cancelled
 		if f.Kind == faults.Pause {
 			to = duty.Paused
-			p.after(f.For, func() error { p.turn(ctx, id, duty.Active); return nil })
+			p.scheduleHeal(f.For, func() error { p.setJobState(ctx, id, duty.Active); return nil })
 		}
-		p.turn(ctx, id, to)
+		p.setJobState(ctx, id, to)
 	}
 	return nil
 }
 
-// turn says an operator's word; without a council nobody hears it.
-func (p *faultPlayer) turn(ctx context.Context, id, to string) {
-	limit, cancel := context.WithTimeout(ctx, askWithin)
+// setJobState changes the state of a job as an operator does. It has no effect while the council is unavailable.
+func (p *faultRunner) setJobState(ctx context.Context, id, to string) {
+	limit, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	_, _ = p.lab.Fleet.Do(limit, duty.Command{Turn: &duty.Turn{Job: id, To: to, By: "campaign"}})
 }
 
-// submit hands in a rollout of all; one of which no answer comes may be a job or not.
-func (p *faultPlayer) submit(ctx context.Context, f faults.Fault) {
+// submitRollout submits a restart of all instances. If no answer arrives, the job may exist or not.
+func (p *faultRunner) submitRollout(ctx context.Context, f faults.Fault) {
 	id := protocol.NewID(time.Now(), p.run.Seed<<8|uint64(len(p.jobs)))
-	limit, cancel := context.WithTimeout(ctx, askWithin)
+	limit, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	o := group.Order{ID: id, Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: p.most}, Select: group.Selector{Names: []string{"all"}}}
+	o := group.Order{ID: id, Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: p.maxUnavailable}, Select: group.Selector{Names: []string{"all"}}}
 	if _, _, err := p.lab.Fleet.Submit(limit, o); err == nil {
 		p.jobs = append(p.jobs, id)
 	}
 }
 
-func (p *faultPlayer) delay(d time.Duration) {
+func (p *faultRunner) delayRelays(d time.Duration) {
 	for _, r := range p.lab.relays {
 		r.Delay(d)
 	}
 }
 
-func (p *faultPlayer) cont(n int) {
-	_ = p.lab.SignalAgent(n, syscall.SIGCONT) // it may have been killed meanwhile
+func (p *faultRunner) resumeAgent(n int) {
+	_ = p.lab.SignalAgent(n, syscall.SIGCONT) // fails if the agent was killed meanwhile
 }
 
-// revive brings back whoever came to a step and did there what it was ordered.
-func (p *faultPlayer) revive(once string) error {
+// reviveAtStep resumes or restarts the agent that reached the step at which it had orders to stop or die. The agent
+// has written its process ID to the file named once.
+func (p *faultRunner) reviveAtStep(once string) error {
 	text, err := os.ReadFile(once)
 	if err != nil {
-		return nil // nobody came to it
+		return nil // no agent reached the step
 	}
 	pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
 	if err != nil {
-		return nil // killed while it wrote: heal finds it
+		return nil // killed while writing the file; healAll restarts it
 	}
 	for n := range p.orders {
 		if p.lab.AgentPid(n) == pid {
-			p.lab.reap(n)
-			p.cont(n)
-			return p.start(n)
+			p.lab.reapAgent(n)
+			p.resumeAgent(n)
+			return p.startAgent(n)
 		}
 	}
 	return nil
 }
 
-// heal ends every fault; clocks keep the rate that they have.
-func (p *faultPlayer) heal() error {
+// healAll ends all faults, except that clocks keep their rate and offset.
+func (p *faultRunner) healAll() error {
 	for _, r := range p.lab.relays {
 		r.Set(faults.Pass, faults.Pass)
 		r.Delay(0)
 	}
-	if p.words != nil {
-		p.words.heal()
+	if p.observer != nil {
+		p.observer.resumeNodes()
 	}
 	for n := range p.orders {
-		if err := p.order(n, func(o *faults.Orders) { *o = faults.Orders{Rate: o.Rate, Jump: o.Jump} }); err != nil {
+		if err := p.changeOrders(n, func(o *faults.Orders) { *o = faults.Orders{Rate: o.Rate, Jump: o.Jump} }); err != nil {
 			return err
 		}
-		p.lab.reap(n)
-		p.cont(n)
-		if err := p.start(n); err != nil {
+		p.lab.reapAgent(n)
+		p.resumeAgent(n)
+		if err := p.startAgent(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// judge waits until all jobs are over, and then reads what was written.
-func (p *faultPlayer) judge(ctx context.Context) error {
+// checkJobs waits until all jobs have ended, and then checks the records and logs.
+func (p *faultRunner) checkJobs(ctx context.Context) error {
 	began := time.Now()
-	within := healWithin + time.Duration(len(p.jobs))*jobWithin
+	within := recoveryTimeout + time.Duration(len(p.jobs))*jobTimeout
 	limit, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	var jobs []*duty.Job
 	failed := func(format string, args ...any) { p.run.Failed = append(p.run.Failed, fmt.Sprintf(format, args...)) }
-	open := ""
+	missing := ""
 	for {
 		v, err := p.lab.Fleet.View(limit)
 		if ctx.Err() != nil {
-			return ctx.Err() // interrupted, which says nothing of the fleet
+			return ctx.Err() // interrupted: no violation of the fleet
 		}
 		if limit.Err() != nil {
-			failed("not at rest %v after the last fault: %s", within, open)
+			failed("not settled %v after the last fault: %s", within, missing)
 			break
 		}
-		open = ""
+		missing = ""
 		if err != nil || !v.Current {
-			open = fmt.Sprintf("the council has no current word: %v", err)
+			missing = fmt.Sprintf("no current answer from the council: %v", err)
 		}
 		for _, j := range v.Jobs {
 			if j.State == duty.Paused && j.Intents() == 0 {
-				p.turn(ctx, j.ID, duty.Active) // its own resume was not heard
+				p.setJobState(ctx, j.ID, duty.Active) // the scheduled resume was lost
 			}
 			if j.Open() || j.State == duty.Paused {
-				open = fmt.Sprintf("job %s is %s: %s %+v", j.ID, j.State, v.Says[j.ID], j.Steps)
+				missing = fmt.Sprintf("job %s is %s: %s %+v", j.ID, j.State, v.Says[j.ID], j.Steps)
 			}
 		}
-		if open == "" {
+		if missing == "" {
 			jobs = v.Jobs
 			if len(v.Duties) > 0 {
-				p.run.Changes = int(v.Duties[0].Token&(1<<protocol.EpochShift-1)) - 1
+				p.run.OwnerChanges = int(v.Duties[0].Token&(1<<protocol.EpochShift-1)) - 1
 			}
 			break
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	p.run.Rest, p.run.Jobs = time.Since(began), len(jobs)
-	known := map[string]bool{}
+	knownJobs := map[string]bool{}
 	for _, j := range jobs {
-		known[j.ID] = true
+		knownJobs[j.ID] = true
 	}
 	for _, id := range p.jobs {
-		if !known[id] && len(jobs) > 0 {
-			failed("job %s was acknowledged and is lost", id)
+		if !knownJobs[id] && len(jobs) > 0 {
+			failed("job %s was acknowledged, but the council does not have it", id)
 		}
 	}
 	if p.run.Drained != "" {
-		if open := p.again(limit); open != "" {
-			failed("%v after the last fault: %s", within, open)
+		if missing := p.waitForRecovery(limit); missing != "" {
+			failed("%v after the last fault: %s", within, missing)
 		}
 	}
 	files := p.lab.Files()
 	files.Cuts, files.PutBack = map[string]int{}, map[string]bool{}
-	for n := range p.killed {
-		files.Cuts[agentName(n)], files.PutBack[agentName(n)] = p.killed[n], p.old[n]
+	for n := range p.powerCuts {
+		files.Cuts[agentName(n)], files.PutBack[agentName(n)] = p.powerCuts[n], p.restoredOld[n]
 	}
 	verdict, err := faults.Check(files)
 	if err != nil {
 		return err
 	}
 	p.run.Failed = append(p.run.Failed, verdict.Broken...)
-	p.run.Effects, p.run.Fenced, p.run.Away = verdict.Effects, verdict.Fenced, verdict.Away
+	p.run.Effects, p.run.Fenced, p.run.MaxDown = verdict.Effects, verdict.Fenced, verdict.Away
 	if p.run.Drained != "" {
-		p.run.Away-- // the drained one, all the time
+		p.run.MaxDown-- // the drained instance is always down
 	}
-	if p.run.Away > p.most {
-		failed("%d instances were away at once, at most %d may be", p.run.Away, p.most)
+	if p.run.MaxDown > p.maxUnavailable {
+		failed("%d instances were unavailable at once, want at most %d", p.run.MaxDown, p.maxUnavailable)
 	}
 	for key, starts := range verdict.Starts {
-		done, unsure := 0, 0
+		done, failures := 0, 0
 		for _, j := range jobs {
 			switch step, _ := j.Step(key); step.Phase {
 			case duty.Done:
 				done++
 			case duty.Failed:
-				unsure++
+				failures++
 			}
 		}
-		// An agent that lost its memory in mid-order may have been told by an operator to try again.
-		cuts, lost := p.troubles(key)
-		if starts < 1+done || starts > 1+done+unsure+cuts+lost {
-			failed("%s was started %d times: %d jobs say that they restarted it, %d that they failed to, its machine had %d power cuts and lost its memory %d times", key, starts, done, unsure, cuts, lost)
+		// If an agent lost its state during an order, an operator may have had the order repeated.
+		cuts, lost := p.troublesOf(key)
+		if starts < 1+done || starts > 1+done+failures+cuts+lost {
+			failed("%s was started %d times: %d jobs restarted it, %d failed to, its machine had %d power cuts and lost its state %d times", key, starts, done, failures, cuts, lost)
 		}
 	}
 	if p.run.Drained != "" {
@@ -550,20 +549,20 @@
 	return nil
 }
 
-// judgeWords waits until every node has confirmed the latest version, and then reads what was written.
-func (p *faultPlayer) judgeWords(ctx context.Context) error {
+// checkDesiredState waits until all nodes have confirmed the latest version, and then checks logs and observations.
+func (p *faultRunner) checkDesiredState(ctx context.Context) error {
 	began := time.Now()
-	limit, cancel := context.WithTimeout(ctx, healWithin)
+	limit, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	state, open := p.words.rest(limit)
+	state, missing := p.observer.waitForConvergence(limit)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	p.run.Rest = time.Since(began)
-	if open != "" {
-		p.run.Failed = append(p.run.Failed, fmt.Sprintf("not at rest %v after the last fault: %s", healWithin, open))
+	if missing != "" {
+		p.run.Failed = append(p.run.Failed, fmt.Sprintf("not settled %v after the last fault: %s", recoveryTimeout, missing))
 	}
-	p.words.end()
+	p.observer.close()
 	if state == nil {
 		return nil
 	}
@@ -571,39 +570,39 @@
 	if err != nil {
 		return err
 	}
-	broken, lives, err := p.words.judge(state)
+	broken, lives, err := p.observer.check(state)
 	if err != nil {
 		return err
 	}
 	p.run.Failed = append(append(p.run.Failed, verdict.Broken...), broken...)
-	p.run.Versions, p.run.Lives = len(state.History), lives
+	p.run.Versions, p.run.NodeProcesses = len(state.History), lives
 	return nil
 }
 
-// troubles tells how often an instance was killed with its machine, and how often its agent lost
-// what it knew of orders.
-func (p *faultPlayer) troubles(key string) (cuts, lost int) {
+// troublesOf returns how often the machine of an instance had a power cut, and how often its agent lost its record or
+// had an old one put back.
+func (p *faultRunner) troublesOf(key string) (cuts, lost int) {
 	agent, _, _ := strings.Cut(key, "/")
-	for n := range p.killed {
+	for n := range p.powerCuts {
 		if agentName(n) == agent {
-			return p.killed[n], p.lost[n]
+			return p.powerCuts[n], p.stateLosses[n]
 		}
 	}
 	return 0, 0
 }
 
-// again waits until nothing is held or forgotten, all but the drained instance are up and the
-// council is whole; it tells what is not.
-func (p *faultPlayer) again(ctx context.Context) string {
+// waitForRecovery waits until all agents have recovered their state and hold no instance, all instances but the drained
+// one are up, and all voters are leader or follower. It returns what is missing when ctx ends, "" otherwise.
+func (p *faultRunner) waitForRecovery(ctx context.Context) string {
 	for {
-		open := ""
+		missing := ""
 		all, silent := p.lab.Fleet.Recoveries(ctx)
 		if len(silent) > 0 {
-			open = fmt.Sprintf("%d agents are silent", len(silent))
+			missing = fmt.Sprintf("%d agents did not answer", len(silent))
 		}
 		for _, r := range all {
 			if r.Forgetful || len(r.Held) > 0 {
-				open = fmt.Sprintf("%s: forgetful %v, holds %+v", r.Agent, r.Forgetful, r.Held)
+				missing = fmt.Sprintf("agent %s: state lost %v, held instances %+v", r.Agent, r.Forgetful, r.Held)
 			}
 		}
 		for _, r := range p.lab.Fleet.List(ctx).Rows {
@@ -612,22 +611,22 @@
 				want = protocol.StateDown
 			}
 			if r.State != want {
-				open = fmt.Sprintf("%s is %s: %s", r.Name, r.State, r.Message)
+				missing = fmt.Sprintf("%s is %s: %s", r.Name, r.State, r.Message)
 			}
 		}
 		voters, _ := p.lab.Fleet.Voters(ctx)
 		for _, s := range voters {
 			if s.State != duty.Leader && s.State != duty.Follower {
-				open = fmt.Sprintf("voter %s is %s: %s", s.Agent, s.State, s.Why)
+				missing = fmt.Sprintf("voter %s is %s: %s", s.Agent, s.State, s.Why)
 			}
 		}
-		if open == "" {
+		if missing == "" {
 			return ""
 		}
 		select {
 		case <-ctx.Done():
-			return open
-		case <-time.After(pollEvery):
+			return missing
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/standin/lab/fleet.go
+++ b/internal/standin/lab/fleet.go
@@ -18,17 +18,16 @@
 	"otterstep/internal/standin"
 )
 
-// Instance is a real node.
+// Instance is a node process that an agent supervises.
 type Instance struct {
 	Name, Agent, Addr string
-	Config, Control   string // files
-	Door              string // the operators', if there are any
+	Config, Control   string // paths of the configuration and of the control socket
+	OperatorAddr      string // of the operator API; empty if it is disabled
 	RunFile, LogFile  string
 }
 
-// fleet writes the configurations of instances and agents, and starts the agents,
-// which start the instances.
-func (l *Lab) fleet() error {
+// startFleet writes the configurations of instances and agents and starts the agents, which start the instances.
+func (l *Lab) startFleet() error {
 	var shared *standin.Outlet
 	perAgent := make([][]object, l.opt.Agents)
 	for i := range l.opt.Instances {
@@ -47,7 +46,7 @@
 			l.outlets = append(l.outlets, outlet)
 		}
 		n := i % l.opt.Agents
-		instance, def, err := l.instance(i, n, outlet.Addr())
+		instance, def, err := l.writeInstance(i, n, outlet.Addr())
 		if err != nil {
 			return err
 		}
@@ -63,7 +62,7 @@
 		socket := filepath.Join(l.opt.Dir, name+".sock")
 		file := filepath.Join(l.opt.Dir, name+".toml")
 		conf := object{
-			"name": name, "state": l.state(n), "socket": socket, "instance": defs,
+			"name": name, "state": l.stateDir(n), "socket": socket, "instance": defs,
 			"restart": object{"first": "200ms", "most": "5s"},
 		}
 		if l.opt.Pace > 0 {
@@ -71,11 +70,11 @@
 		}
 		if l.opt.Council != nil {
 			var err error
-			if conf["council"], err = l.council(n); err != nil {
+			if conf["council"], err = l.councilConfig(n); err != nil {
 				return err
 			}
 		}
-		if l.opt.Fleet > 0 {
+		if l.opt.DesiredStateWait > 0 {
 			programs := []object{}
 			for name, command := range l.opt.Programs {
 				programs = append(programs, object{"name": name, "command": command})
@@ -102,7 +101,7 @@
 
 func agentName(n int) string { return fmt.Sprintf("m%d", n+1) }
 
-func (l *Lab) state(agent int) string { return filepath.Join(l.opt.Dir, agentName(agent)+".state") }
+func (l *Lab) stateDir(agent int) string { return filepath.Join(l.opt.Dir, agentName(agent)+".state") }
 
 func writeTOML(path string, v object) error {
 	text, err := toml.Marshal(v)
@@ -115,29 +114,29 @@
 	return nil
 }
 
-// instance writes an instance's files and gives its definition for its agent.
-func (l *Lab) instance(index, agent int, discovery string) (Instance, object, error) {
-	kept, err := keepPort()
+// writeInstance writes an instance's configuration files and returns its definition for the agent's configuration.
+func (l *Lab) writeInstance(index, agent int, discovery string) (Instance, object, error) {
+	port, err := reservePort()
 	if err != nil {
 		return Instance{}, nil, err
 	}
-	l.ports = append(l.ports, kept)
-	addr := kept.addr
+	l.ports = append(l.ports, port)
+	addr := port.addr
 	name := fmt.Sprintf("n%d", index+1)
-	at := func(ending string) string { return filepath.Join(l.opt.Dir, name+ending) }
+	pathOf := func(suffix string) string { return filepath.Join(l.opt.Dir, name+suffix) }
 	i := Instance{
-		Name: name, Agent: agentName(agent), Addr: addr, Config: at(".json"), Control: at(".sock"),
-		RunFile: filepath.Join(l.state(agent), name+".run"), LogFile: filepath.Join(l.state(agent), name+".log"),
+		Name: name, Agent: agentName(agent), Addr: addr, Config: pathOf(".json"), Control: pathOf(".sock"),
+		RunFile: filepath.Join(l.stateDir(agent), name+".run"), LogFile: filepath.Join(l.stateDir(agent), name+".log"),
 	}
-	config := l.config(name, addr, discovery, index)
-	if l.opt.Doors {
-		door, err := keepPort()
+	config := l.nodeConfig(name, addr, discovery, index)
+	if l.opt.OperatorPorts {
+		operatorPort, err := reservePort()
 		if err != nil {
 			return Instance{}, nil, err
 		}
-		l.ports = append(l.ports, door)
-		i.Door = door.addr
-		config["operator"] = i.Door
+		l.ports = append(l.ports, operatorPort)
+		i.OperatorAddr = operatorPort.addr
+		config["operator"] = i.OperatorAddr
 	}
 	text, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
@@ -146,33 +145,33 @@
 	if err := os.WriteFile(i.Config, text, 0o600); err != nil {
 		return i, nil, fmt.Errorf("lab: %w", err)
 	}
-	own := object{"control": object{"socket": i.Control}, "drain": object{"tell_up": true}}
-	if l.opt.Keep {
-		own["kept"] = object{"file": at(".kept"), "every": "1s"}
+	operatorConfig := object{"control": object{"socket": i.Control}, "drain": object{"tell_up": true}}
+	if l.opt.SaveState {
+		operatorConfig["kept"] = object{"file": pathOf(".kept"), "every": "1s"}
 	}
-	if l.opt.Fleet > 0 {
-		own["fleet"] = object{"wait": l.opt.Fleet.String()}
+	if l.opt.DesiredStateWait > 0 {
+		operatorConfig["fleet"] = object{"wait": l.opt.DesiredStateWait.String()}
 	}
-	if err := writeTOML(at(".toml"), own); err != nil {
+	if err := writeTOML(pathOf(".toml"), operatorConfig); err != nil {
 		return i, nil, err
 	}
 	return i, object{
 		"name": name, "group": "lab", "labels": map[string]string{"zone": l.opt.Zones[index%len(l.opt.Zones)]}, "program": l.opt.Node, "config": i.Config,
-		"operator": at(".toml"), "control": i.Control, "env": l.opt.NodeEnv,
+		"operator": pathOf(".toml"), "control": i.Control, "env": l.opt.NodeEnv,
 	}, nil
 }
 
-// killInstances ends what the agents have started, whichever of them still live.
+// killInstances kills all instances, whether or not their agents still run.
 func (l *Lab) killInstances() {
 	for n := range l.opt.Agents {
-		if err := proc.KillAll(l.state(n)); err != nil {
-			l.opt.Log.Error("an instance may be left", "err", err)
+		if err := proc.KillAll(l.stateDir(n)); err != nil {
+			l.opt.Log.Error("cannot kill all instances; some may still run", "err", err)
 		}
 	}
 }
 
-// startGuard starts the process that ends the instances should this one die: they
-// are not its children, and outlive their agents as they are meant to.
+// startGuard starts the process that kills the instances if this one dies. Instances are no children of this process,
+// and by design they outlive their agents.
 func (l *Lab) startGuard() error {
 	if len(l.opt.Guard) == 0 {
 		return nil
@@ -195,7 +194,7 @@
 	cmd  *exec.Cmd
 }
 
-// Close sends the guard home and waits for it.
+// Close tells the guard that the lab has closed and waits until the guard exits.
 func (g guard) Close() error {
 	_, err := io.WriteString(g.pipe, guardDone)
 	return errors.Join(err, g.pipe.Close(), g.cmd.Wait())
@@ -203,14 +202,14 @@
 
 const (
 	guardDone = "done\n"
-	// guardPasses is how often a guard looks for instances: an agent that dies may
-	// have been starting one.
-	guardPasses = 10
-	guardEvery  = 200 * time.Millisecond
+	// guardSweeps is how many times a guard looks for instances to kill: an agent that has just died may have been
+	// starting one.
+	guardSweeps   = 10
+	guardInterval = 200 * time.Millisecond
 )
 
-// Guard waits until its lab, at the other end of in, has closed or died, and in the
-// latter case ends the instances in the lab's folder.
+// Guard waits until the lab at the other end of in has closed or died. If it died, Guard kills the instances whose
+// agents have their state in dir, the lab's directory.
 func Guard(in io.Reader, dir string) error {
 	text, err := io.ReadAll(io.LimitReader(in, int64(len(guardDone))))
 	if err == nil && string(text) == guardDone {
@@ -221,18 +220,17 @@
 		return err
 	}
 	var errs []error
-	for range guardPasses {
+	for range guardSweeps {
 		errs = errs[:0]
 		for _, s := range states {
 			errs = append(errs, proc.KillAll(s))
 		}
-		time.Sleep(guardEvery)
+		time.Sleep(guardInterval)
 	}
 	return errors.Join(errs...)
 }
 
-// Next words what a newcomer may type while the lab is up, with the folder of the
-// programs.
+// Next returns example commands to try while the lab is up; bin is the directory of the programs.
 func (l *Lab) Next(bin string) string {
 	var b strings.Builder
 	ctl := filepath.Join(bin, "otterctl") + " --fleet " + l.FleetFile
--- a/internal/standin/lab/herd_test.go
+++ b/internal/standin/lab/herd_test.go
@@ -10,33 +10,35 @@
 	"otterstep/internal/standin"
 )
 
-// readyWithin is how soon nine in ten of restarted processes have to be ready.
-const readyWithin = 10 * time.Second
+// readyTimeout is the time in which nine in ten of the restarted processes have to be ready.
+const readyTimeout = 10 * time.Second
 
-// Thirty processes are killed at once and started again while discovery is away, or overbooked: nine in ten are ready
-// within 10 s, they serve meanwhile, and as before once discovery is back. Real time, as processes start in it.
+// Thirty processes are killed at once and restarted while discovery is down or overloaded. Nine in ten are ready within
+// 10 s, they serve meanwhile, and serve as before once discovery is back. The test runs in real time, as it starts
+// processes.
 //
-// It is played without -short and alone: thirty processes that start take the machine's time from whoever has a lease.
+// It is skipped with -short and does not run in parallel: thirty starting processes would delay the renewal of leases
+// in other tests.
 func TestThirtyProcessesAreReadyInTime(t *testing.T) {
-	further(t)
-	for name, trouble := range map[string]func(w *owned){
-		"discovery away":       func(w *owned) { w.Discovery.Down(true) },
-		"discovery overbooked": func(w *owned) { w.Discovery.Overbook(3) },
+	skipIfShort(t)
+	for name, fault := range map[string]func(w *testFleet){
+		"discovery away":       func(w *testFleet) { w.Discovery.Down(true) },
+		"discovery overbooked": func(w *testFleet) { w.Discovery.Overbook(3) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := returnLab(t, func(o *Options) {
+			w := restartLab(t, func(o *Options) {
 				o.Instances, o.Rate, o.Asked = 30, 40, name != "discovery away"
 			})
-			w.serves(0.8)
-			trouble(w)
-			w.down()
+			w.waitForServedShare(0.8)
+			fault(w)
+			w.killAll()
 			began := time.Now()
-			w.up()
+			w.startAll()
 			var ready atomic.Int64
 			var all sync.WaitGroup
 			for _, i := range w.Instances {
 				all.Go(func() {
-					for time.Since(began) < readyWithin {
+					for time.Since(began) < readyTimeout {
 						resp, err := http.Get("http://" + i.Addr + "/up")
 						if err == nil {
 							resp.Body.Close()
@@ -52,36 +54,36 @@
 			all.Wait()
 			t.Logf("%d of 30 ready after %v", ready.Load(), time.Since(began))
 			if ready.Load() < 27 {
-				t.Errorf("%d of 30 processes are ready within %v, want 27", ready.Load(), readyWithin)
+				t.Errorf("%d of 30 processes were ready within %v, want at least 27", ready.Load(), readyTimeout)
 			}
-			w.serves(0.25) // boxes that nobody has confirmed get what cold ones would
+			w.waitForServedShare(0.25) // boxes that discovery has not confirmed get only the load of cold ones
 			w.Discovery.Down(false)
 			w.Discovery.Overbook(0)
-			w.serves(0.8)
-			if broke := w.broke(); len(broke) > 0 {
+			w.waitForServedShare(0.8)
+			if broke := w.violations(); len(broke) > 0 {
 				t.Errorf("%v", broke)
 			}
 		})
 	}
 }
 
-// Guards rule 4 by the sum of twenty processes: two of six boxes come back cold under load while half of the processes
-// are killed and start anew, knowing nothing of what the others send. No box gets more than the settings allow and
-// chance explains.
-// Played without -short and alone, as above.
+// Guards rule 4, the load limit of cold boxes, for the sum of twenty processes. Two of six boxes return cold under load
+// while half of the processes are killed and restarted, without knowledge of the load that the others send. No box gets
+// more than the limit plus random variation.
+// It is skipped with -short and does not run in parallel, as above.
 func TestTwentyProcessesOnColdBoxes(t *testing.T) {
-	further(t)
-	w := plainLab(t, func(o *Options) {
+	skipIfShort(t)
+	w := labWithoutCouncil(t, func(o *Options) {
 		o.Instances, o.Agents, o.Boxes, o.Rate, o.FallMultiple = 20, 2, 6, 90, 2
-		o.Shape = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 2, 1, 16 }
+		o.AdjustBox = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 2, 1, 16 }
 	})
-	w.serves(0.8)
+	w.waitForServedShare(0.8)
 	cold := w.Boxes[:2]
 	for _, b := range cold {
 		b.Crash()
 	}
 	w.KillMachine(1)
-	w.cut = w.Clients.Begun()
+	w.begunAtKill = w.Clients.Begun()
 	for _, b := range cold {
 		if err := b.Return(); err != nil {
 			t.Fatal(err)
@@ -90,14 +92,14 @@
 	if err := w.StartAgent(1, false); err != nil {
 		t.Fatal(err)
 	}
-	w.allBut()
-	w.serves(0.8)
+	w.waitUpExcept()
+	w.waitForServedShare(0.8)
 	for _, b := range cold {
 		if over := b.ColdOver(); over > 0 {
-			t.Errorf("%s got %.1f requests more than chance explains", b.UID(), over)
+			t.Errorf("%s got %.1f requests more than random variation explains", b.UID(), over)
 		}
 	}
-	if broke := w.broke(); len(broke) > 0 {
+	if broke := w.violations(); len(broke) > 0 {
 		t.Errorf("%v", broke)
 	}
 }
--- a/internal/standin/lab/history_test.go
+++ b/internal/standin/lab/history_test.go
@@ -16,30 +16,29 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// call is what a client asked of the council or of an agent.
+// call is a client's call to the council or to an agent.
 type call struct {
 	object string // "council" or an agent's name
-	what   string // acquire, renew, release or raise
+	kind   string // acquire, renew, release or raise
 	owner  string
 	token  protocol.Token
 }
 
-// answer is what it heard; without one, whether it was done is not known.
+// answer is the result of a call. Unless known is set, the call may have taken effect or not.
 type answer struct {
-	known, yes bool
-	token      protocol.Token
+	known, accepted bool
+	token           protocol.Token
 }
 
-// fenced is the council's duty, or the token at an agent.
-type fenced struct {
+// fencingState is the state of the duty at the council, or of the token at an agent.
+type fencingState struct {
 	owner string
 	token protocol.Token
 }
 
-// fencing is what the council and agents promise, whatever fails between the processes:
-// tokens go up by one, only the newest is renewed or released, and an agent that has seen a
-// token takes no lower one.
-var fencing = porcupine.NondeterministicModel{
+// fencingModel models the guarantees of the council and of agents, whatever fails between the processes: tokens
+// increase by one, only the newest is renewed or released, and an agent that has seen a token accepts no lower one.
+var fencingModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range history {
@@ -52,28 +51,28 @@
 		}
 		return all
 	},
-	Init: func() []any { return []any{fenced{}} },
+	Init: func() []any { return []any{fencingState{}} },
 	Step: func(state, input, output any) []any {
-		is, c, a := state.(fenced), input.(call), output.(answer)
-		done, able := is, false
-		switch c.what {
+		current, c, a := state.(fencingState), input.(call), output.(answer)
+		done, allowed := current, false
+		switch c.kind {
 		case "acquire":
-			done, able = fenced{c.owner, is.token + 1}, !a.known || a.token == is.token+1
+			done, allowed = fencingState{c.owner, current.token + 1}, !a.known || a.token == current.token+1
 		case "renew":
-			able = is.owner == c.owner && is.token == c.token
+			allowed = current.owner == c.owner && current.token == c.token
 		case "release":
-			done, able = fenced{"", is.token}, is.owner != "" && is.token == c.token
+			done, allowed = fencingState{"", current.token}, current.owner != "" && current.token == c.token
 		case "raise":
-			done, able = fenced{"", max(is.token, c.token)}, c.token >= is.token
+			done, allowed = fencingState{"", max(current.token, c.token)}, c.token >= current.token
 		}
 		switch {
-		case !a.known && able:
-			return []any{is, done}
-		case !a.known, !a.yes && c.what != "raise": // a lease may be over: time is not in this model
-			return []any{is}
-		case a.yes == able:
-			if !a.yes {
-				return []any{is}
+		case !a.known && allowed:
+			return []any{current, done}
+		case !a.known, !a.accepted && c.kind != "raise": // the lease may have ended: the model has no time
+			return []any{current}
+		case a.accepted == allowed:
+			if !a.accepted {
+				return []any{current}
 			}
 			return []any{done}
 		}
@@ -82,35 +81,34 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// heard turns an error into an answer.
-func heard(err error) answer {
+// toAnswer converts the error of a call to an answer.
+func toAnswer(err error) answer {
 	var refused *protocol.Error
 	switch {
 	case err == nil:
-		return answer{known: true, yes: true}
-	case errors.As(err, &refused) && refused.Code != protocol.CodeNoCouncil && refused.Code != protocol.CodeForgetful: // the latter says nothing of tokens
+		return answer{known: true, accepted: true}
+	case errors.As(err, &refused) && refused.Code != protocol.CodeNoCouncil && refused.Code != protocol.CodeForgetful: // these two do not depend on tokens
 		return answer{known: true}
 	}
 	return answer{}
 }
 
-// Four clients take, keep, lose and give back a duty through real agents, and raise their
-// tokens at each, while the leader is killed, agents are stopped and ways are cut. The history
-// of all calls fits the model.
-func TestHistoriesOfDuties(t *testing.T) {
+// Four clients acquire, renew, lose and release a duty through real agents and raise their tokens at each agent, while
+// leaders are killed or cut off. The history of all calls has to be linearizable by the model.
+func TestDutyHistoriesFitModel(t *testing.T) {
 	t.Parallel()
 	w := councilLab(t, nil)
 	began := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	note := func(client int, c call, do func(ctx context.Context) answer) answer {
+	record := func(client int, c call, do func(ctx context.Context) answer) answer {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		from := time.Since(began)
 		a := do(ctx)
 		to := time.Since(began)
 		if !a.known {
-			to = time.Hour // it may yet be done
+			to = time.Hour // it may still take effect
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -134,44 +132,44 @@
 					continue
 				}
 				want.Offer = offer.Offer
-				client++ // each call of which no answer came goes on beside the next
-				a := note(client, call{object: "council", what: "acquire", owner: name}, func(ctx context.Context) answer {
+				client++ // a new client ID, as a call without an answer is concurrent with all later ones
+				a := record(client, call{object: "council", kind: "acquire", owner: name}, func(ctx context.Context) answer {
 					got, err := w.Fleet.Do(ctx, duty.Command{Acquire: &want})
-					a := heard(err)
-					a.token, a.yes = got.Token, got.Token != 0
-					// On its way it may have been asked twice: a new offer then says nothing of the
-					// first time.
-					a.known = a.known && (a.yes || got.Left > 0)
+					a := toAnswer(err)
+					a.token, a.accepted = got.Token, got.Token != 0
+					// The request may have been sent twice. A new offer in the answer to the second one does not tell
+					// whether the first one took effect.
+					a.known = a.known && (a.accepted || got.Left > 0)
 					return a
 				})
-				if !a.yes {
+				if !a.accepted {
 					continue
 				}
 				f := duty.Fence{Duty: "history", Token: a.token}
 				for i := range 1 + rng.IntN(3) {
 					for _, k := range w.Fleet.All() {
 						client++
-						note(client, call{object: k.Name(), what: "raise", token: a.token}, func(ctx context.Context) answer {
+						record(client, call{object: k.Name(), kind: "raise", token: a.token}, func(ctx context.Context) answer {
 							_, err := k.Raise(ctx, f)
-							return heard(err)
+							return toAnswer(err)
 						})
 					}
 					client++
-					note(client, call{object: "council", what: "renew", owner: name, token: a.token}, func(ctx context.Context) answer {
+					record(client, call{object: "council", kind: "renew", owner: name, token: a.token}, func(ctx context.Context) answer {
 						v, err := w.Fleet.View(ctx)
 						if err != nil || w.Fleet.Agent(v.Leader) == nil {
 							return answer{}
 						}
-						return heard(w.Fleet.Agent(v.Leader).CouncilRenew(ctx, duty.Renewal{Fence: f}))
+						return toAnswer(w.Fleet.Agent(v.Leader).CouncilRenew(ctx, duty.Renewal{Fence: f}))
 					})
 					time.Sleep(time.Duration(rng.IntN(int(testLease)*(1+i)) / 4))
 				}
 				if rng.IntN(2) == 0 {
 					client++
-					note(client, call{object: "council", what: "release", owner: name, token: a.token}, func(ctx context.Context) answer {
+					record(client, call{object: "council", kind: "release", owner: name, token: a.token}, func(ctx context.Context) answer {
 						_, err := w.Fleet.Do(ctx, duty.Command{Release: &duty.Release{Fence: f}})
-						a := heard(err)
-						a.known = a.yes // likewise: a refusal may be of the second time
+						a := toAnswer(err)
+						a.known = a.accepted // likewise, a refusal may be the answer to a repeated request
 						return a
 					})
 				}
@@ -185,51 +183,51 @@
 			continue
 		}
 		if n%2 == 0 {
-			w.KillAgent(number(v.Leader))
-			if err := w.StartAgent(number(v.Leader), false); err != nil {
+			w.KillAgent(agentIndex(v.Leader))
+			if err := w.StartAgent(agentIndex(v.Leader), false); err != nil {
 				t.Error(err)
 			}
 		} else {
-			w.Apart(true, v.Leader)
+			w.Isolate(true, v.Leader)
 			time.Sleep(testLease / 2)
-			w.Apart(false, v.Leader)
+			w.Isolate(false, v.Leader)
 		}
 	}
 	work.Wait()
-	model := fencing.ToModel()
+	model := fencingModel.ToModel()
 	if got := porcupine.CheckOperationsTimeout(model, history, time.Minute); got != porcupine.Ok {
 		t.Errorf("%d calls: %v", len(history), got)
 	}
 	tokens := 0
 	for _, o := range history {
-		if a := o.Output.(answer); o.Input.(call).what == "acquire" && a.yes {
+		if a := o.Output.(answer); o.Input.(call).kind == "acquire" && a.accepted {
 			tokens++
 		}
 	}
 	if tokens < 4 {
-		t.Errorf("the duty was taken %d times only, in %d calls", tokens, len(history))
+		t.Errorf("the duty was acquired only %d times in %d calls", tokens, len(history))
 	}
-	// The same with one answer changed: a token given twice.
+	// The model has to reject the same history with one answer changed so that a token is granted twice.
 	given := map[protocol.Token]bool{}
 	for _, o := range history {
-		if a := o.Output.(answer); o.Input.(call).what == "acquire" && a.yes {
+		if a := o.Output.(answer); o.Input.(call).kind == "acquire" && a.accepted {
 			given[a.token] = true
 		}
 	}
 	i := slices.IndexFunc(history, func(o porcupine.Operation) bool {
 		a := o.Output.(answer)
-		// The one before is known to have been given: one whose answer was lost may not have been.
-		return o.Input.(call).what == "acquire" && a.yes && given[a.token-1]
+		// The token before must have been granted: without an answer that is unknown.
+		return o.Input.(call).kind == "acquire" && a.accepted && given[a.token-1]
 	})
 	if i < 0 {
-		t.Fatal("no two tokens in a row were answered")
+		t.Fatal("no two consecutive tokens have answers")
 	}
-	spoilt := slices.Clone(history)
-	a := spoilt[i].Output.(answer)
+	altered := slices.Clone(history)
+	a := altered[i].Output.(answer)
 	a.token--
-	spoilt[i].Output = a
-	if got := porcupine.CheckOperationsTimeout(model, spoilt, time.Minute); got != porcupine.Illegal {
-		t.Errorf("a token that was given twice: %v", got)
+	altered[i].Output = a
+	if got := porcupine.CheckOperationsTimeout(model, altered, time.Minute); got != porcupine.Illegal {
+		t.Errorf("a token granted twice: %v", got)
 	}
 	t.Logf("%d calls, %d tokens", len(history), tokens)
 }
--- a/internal/standin/lab/lab.go
+++ b/internal/standin/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab puts a whole fleet on loopback: discovery, app boxes, clients and
-// real instances of the node, run as the processes that they are in service.
+// Package lab runs a whole fleet on loopback: stand-ins for discovery, application servers (boxes) and clients, and
+// real agents and nodes as separate processes, as in production.
 package lab
 
 import (
@@ -21,59 +21,59 @@
 	"otterstep/internal/standin/faults"
 )
 
-// Options size a lab.
+// Options configure a lab.
 type Options struct {
-	Dir       string            // for configurations, logs and sockets; absolute, must exist
-	Node      []string          // the command of an instance
-	NodeEnv   map[string]string // what its environment has besides
-	Agent     []string          // the command of an agent, as far as "run"
-	AgentEnv  []string          // what its environment has besides
-	Guard     []string          // the command that calls Guard, if any
+	Dir       string            // holds configurations, logs and sockets; absolute, must exist
+	Node      []string          // command that starts an instance
+	NodeEnv   map[string]string // additional environment variables of instances
+	Agent     []string          // command that starts an agent, including its "run" subcommand
+	AgentEnv  []string          // additional environment variables of agents, as KEY=value
+	Guard     []string          // command that calls Guard; none if empty
 	Instances int
 	Agents    int // 1 if 0
 	Boxes     int
-	Rate      float64 // clients' requests a second; 0: no clients
+	Rate      float64 // client requests per second; no clients if 0
 	Classes   []standin.Class
-	Asked     bool     // discovery is one service that nodes ask, instead of lists that are pushed
-	Zones     []string // of boxes and instances, in turn; one if there are none
-	// Shape, if set, changes a box's options before it starts.
-	Shape func(i int, o *standin.BoxOptions)
-	// Council, if set, makes the agents a council, each reaching the others through relays.
+	Asked     bool     // nodes request the list from one discovery service instead of having it pushed
+	Zones     []string // assigned to boxes and instances round-robin; a single zone if empty
+	// AdjustBox, if set, changes a box's options before it starts.
+	AdjustBox func(i int, o *standin.BoxOptions)
+	// Council, if set, makes the agents a council; they connect to each other through relays.
 	Council *Council
-	// Pace is how many instances all agents together start a second, 0 for no bound; Burst how
-	// many at once.
+	// Pace limits how many instances all agents together start per second (unlimited if 0), Burst how many of them at
+	// once.
 	Pace  float64
 	Burst int
-	// Keep has each instance keep what it needs when it comes back with nobody to ask.
-	Keep bool
-	// Fleet, if set, has agents bring instances to what the council says that the fleet should be: it is how
-	// long an instance waits for that before it serves. It takes Council.
-	Fleet time.Duration
-	// Programs are further versions of the node's program, by name, for a fleet that is upgraded.
+	// SaveState has each instance save the state that it needs to restart while discovery is unavailable.
+	SaveState bool
+	// DesiredStateWait, if set, has agents apply the council's desired state to their instances. It is how long an
+	// instance waits for the desired state before it serves. It requires Council.
+	DesiredStateWait time.Duration
+	// Programs are further versions of the node program, by name, for upgrades.
 	Programs map[string][]string
-	// Doors opens each instance's operators' door.
-	Doors bool
-	// FallMultiple is how many times what a cold box can do pushes it over; 3 if 0.
-	FallMultiple float64
-	Comeback     comeback.Habits // of clients
-	// Site, if set, changes the settings that instances are told.
-	Site func(settings map[string]any)
-	Seed uint64
-	Log  *slog.Logger
+	// OperatorPorts enables the operator API of each instance.
+	OperatorPorts bool
+	// FallMultiple is the load, as a multiple of a cold box's capacity, at which the box falls over; 3 if 0.
+	FallMultiple   float64
+	ClientBehavior comeback.Habits // how clients retry
+	// AdjustSettings, if set, changes the settings in the instances' configurations.
+	AdjustSettings func(settings map[string]any)
+	Seed           uint64
+	Log            *slog.Logger
 }
 
-// Council says how a lab's agents agree on who owns the fleet's work.
+// Council configures how a lab's agents elect the owner of fleet-wide work.
 type Council struct {
-	Voters int // the first agents; 3 or 5
+	Voters int // 3 or 5; the first agents vote
 	Lease  time.Duration
-	// Orders makes each agent follow the orders in a file of its own; see Lab.Order. The
-	// command of an agent gets it as $OTTERLAB_ORDERS.
+	// Orders has each agent inject the faults that a file of its own describes; see Lab.SetOrders. The agent
+	// process gets the file's path as $OTTERLAB_ORDERS.
 	Orders bool
-	// Direct leaves the relays out.
+	// Direct connects agents without relays.
 	Direct bool
 }
 
-// Classes are those of a small booking fleet.
+// Classes returns the service classes of a small booking system.
 func Classes() []standin.Class {
 	return []standin.Class{
 		{Name: "avail-read", Effect: standin.Safe, Deadline: 1400 * time.Millisecond, Aim: 580 * time.Millisecond, Work: 60 * time.Millisecond, Share: 0.56},
@@ -85,15 +85,15 @@
 var tenants = []string{"umurage-hotels", "nyungwe-lodges", "lakeside-gisenyi"}
 
 const (
-	ledgerMost  = 200_000
-	startWithin = 20 * time.Second
-	zone        = "room1"
-	// What cold boxes get; the same figures stand in the instances' settings.
+	ledgerCapacity = 200_000
+	startTimeout   = 20 * time.Second
+	defaultZone    = "room1"
+	// Behavior of cold boxes. The instances' settings have the same values.
 	coldFrom, fallMultiple = 0.32, 3.0
 	coldFor, fallFor       = 8800 * time.Millisecond, time.Second
 )
 
-// Lab is a running fleet. Close ends all of it.
+// Lab is a running fleet. Close stops all of it.
 type Lab struct {
 	Discovery *standin.Discovery
 	Boxes     []*standin.Box
@@ -104,32 +104,31 @@
 	Fleet     *group.Fleet
 	FleetFile string
 
-	opt     Options
-	started time.Time
-	outlets []*standin.Outlet
-	ports   []port // of the instances
-	spawner *spawner
-	agents  []*process // one an agent; nil once it was killed
-	relays  map[[2]string]*faults.Relay
-	lost    map[int][]string // records that an agent has lost, in their order
-	guard   io.Closer
-	stop    context.CancelFunc
-	done    chan struct{} // the front has ended
-	load    context.CancelFunc
+	opt         Options
+	started     time.Time
+	outlets     []*standin.Outlet
+	ports       []reservedPort // one or two per instance
+	spawner     *spawner
+	agents      []*process // by agent index; nil if the agent is not running
+	relays      map[[2]string]*faults.Relay
+	lostRecords map[int][]string // by agent index: copies of records taken before each loss of state, oldest first
+	guard       io.Closer
+	stopFront   context.CancelFunc
+	frontDone   chan struct{} // closed when the front has stopped
+	stopClients context.CancelFunc
 }
 
-// New starts a fleet and returns once every instance is up. On an error nothing
-// is left running.
+// New starts a fleet and returns once every instance is up. On an error nothing is left running.
 func New(ctx context.Context, opt Options) (_ *Lab, err error) {
 	opt.Agents = max(1, opt.Agents)
 	if opt.Instances < opt.Agents || opt.Boxes < 1 {
-		return nil, errors.New("lab: at least one box and an instance for each agent are needed")
+		return nil, errors.New("lab: at least one box and one instance per agent are needed")
 	}
-	// Instances whose agent dies become this process's children, to be reaped.
+	// As a subreaper, this process becomes the parent of instances whose agent dies.
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	l, err := begin(opt)
+	l, err := startBoxes(opt)
 	if err != nil {
 		return nil, err
 	}
@@ -139,18 +138,18 @@
 		}
 	}()
 	opt = l.opt
-	if err := l.fleet(); err != nil {
+	if err := l.startFleet(); err != nil {
 		return nil, err
 	}
 	var addrs []string
 	for _, i := range l.Instances {
 		addrs = append(addrs, i.Addr)
 	}
-	return l, l.enter(ctx, addrs)
+	return l, l.startFront(ctx, addrs)
 }
 
-// begin starts discovery and boxes. On an error nothing of them is left.
-func begin(opt Options) (*Lab, error) {
+// startBoxes creates a lab with discovery and boxes. On an error nothing is left running.
+func startBoxes(opt Options) (*Lab, error) {
 	if opt.Classes == nil {
 		opt.Classes = Classes()
 	}
@@ -158,25 +157,25 @@
 		opt.FallMultiple = fallMultiple
 	}
 	if len(opt.Zones) == 0 {
-		opt.Zones = []string{zone}
+		opt.Zones = []string{defaultZone}
 	}
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
 	l := &Lab{
-		Discovery: standin.NewDiscovery(), Ledger: standin.NewLedger(ledgerMost),
-		opt: opt, started: time.Now(), spawner: newSpawner(), done: make(chan struct{}),
-		stop: func() {}, load: func() {},
+		Discovery: standin.NewDiscovery(), Ledger: standin.NewLedger(ledgerCapacity),
+		opt: opt, started: time.Now(), spawner: newSpawner(), frontDone: make(chan struct{}),
+		stopFront: func() {}, stopClients: func() {},
 	}
-	close(l.done)
+	close(l.frontDone)
 	for i := range opt.Boxes {
 		box := standin.BoxOptions{
 			UID: fmt.Sprintf("s%d", i+1), Zone: opt.Zones[i%len(opt.Zones)], Cores: 2 + i%2, Speed: 1.5 - 0.5*float64(i%2), Queue: 4,
 			Classes: opt.Classes, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: opt.FallMultiple, FallFor: fallFor,
 			Seed: opt.Seed + uint64(i),
 		}
-		if opt.Shape != nil {
-			opt.Shape(i, &box)
+		if opt.AdjustBox != nil {
+			opt.AdjustBox(i, &box)
 		}
 		b, err := standin.NewBox(box, l.Discovery, l.Ledger)
 		if err != nil {
@@ -188,69 +187,69 @@
 	return l, nil
 }
 
-// enter puts instances behind a front and has clients send to them.
-func (l *Lab) enter(ctx context.Context, addrs []string) error {
+// startFront puts instances behind a front, starts the clients and waits until all instances are up.
+func (l *Lab) startFront(ctx context.Context, addrs []string) error {
 	l.Front = standin.NewFront(addrs)
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
-	l.stop, l.done = stop, make(chan struct{})
-	done := l.done
+	l.stopFront, l.frontDone = stop, make(chan struct{})
+	done := l.frontDone
 	if l.opt.Rate > 0 {
-		l.Begin(standin.ClientOptions{Rate: l.opt.Rate, Classes: l.opt.Classes, Tenants: tenants, Keys: 400, Seed: l.opt.Seed, Most: 4096, Comeback: l.opt.Comeback})
+		l.StartClients(standin.ClientOptions{Rate: l.opt.Rate, Classes: l.opt.Classes, Tenants: tenants, Keys: 400, Seed: l.opt.Seed, Most: 4096, Comeback: l.opt.ClientBehavior})
 	}
 	go func() {
 		defer close(done)
 		l.Front.Run(background)
 	}()
-	ready, cancel := context.WithTimeout(ctx, startWithin)
+	ready, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return l.allUp(ready)
+	return l.waitForInstances(ready)
 }
 
-// Begin has clients send requests until Unload or Close; once for a lab.
-func (l *Lab) Begin(o standin.ClientOptions) {
+// StartClients starts the clients, which send requests until Unload or Close. It may be called once.
+func (l *Lab) StartClients(o standin.ClientOptions) {
 	ctx, cancel := context.WithCancel(context.Background())
-	l.load = cancel
+	l.stopClients = cancel
 	l.Clients = standin.NewClients(o, l.Front, l.Ledger)
 	go l.Clients.Run(ctx)
 }
 
-// allUp waits until the front has every instance in.
-func (l *Lab) allUp(ctx context.Context) error {
+// waitForInstances waits until the front has every instance in rotation.
+func (l *Lab) waitForInstances(ctx context.Context) error {
 	for l.Front.In() < len(l.Instances) {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("lab: %d of %d instances are up: %w%s", l.Front.In(), len(l.Instances), ctx.Err(), l.late())
+			return fmt.Errorf("lab: only %d of %d instances are up: %w%s", l.Front.In(), len(l.Instances), ctx.Err(), l.describeMissing())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// late words the instances that the front does not have in, each with the end of its log.
-func (l *Lab) late() string {
+// describeMissing lists the instances that the front does not have in rotation, each with the end of its log.
+func (l *Lab) describeMissing() string {
 	var b strings.Builder
 	out := l.Front.Out()
 	for _, i := range l.Instances {
 		if slices.Contains(out, i.Addr) {
-			fmt.Fprintf(&b, "\n%s at %s: %s", i.Name, i.Addr, lastLines(i.LogFile))
+			fmt.Fprintf(&b, "\n%s at %s: %s", i.Name, i.Addr, logTail(i.LogFile))
 		}
 	}
 	return b.String()
 }
 
-// lastLines gives the end of a log, or why there is none.
-func lastLines(path string) string {
-	const most = 500
+// logTail returns the end of a log file, or the error of reading it.
+func logTail(path string) string {
+	const maxBytes = 500
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err.Error()
 	}
-	return string(text[max(0, len(text)-most):])
+	return string(text[max(0, len(text)-maxBytes):])
 }
 
 type object = map[string]any
 
-func (l *Lab) config(name, addr, discovery string, index int) object {
+func (l *Lab) nodeConfig(name, addr, discovery string, index int) object {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	effects := map[standin.Effect]string{standin.Safe: "pure", standin.Keyed: "token", standin.Unsafe: "side_effect"}
 	var classes, accounts []object
@@ -276,8 +275,8 @@
 			"ConnIdleMs": 15000, "ConnectTimeoutMs": 250,
 		},
 	}
-	if l.opt.Site != nil {
-		l.opt.Site(settings)
+	if l.opt.AdjustSettings != nil {
+		l.opt.AdjustSettings(settings)
 	}
 	return object{
 		"name": name, "listen": addr, "discovery": discovery, "seed": fmt.Sprintf("%016x", l.opt.Seed+uint64(index)),
@@ -287,29 +286,29 @@
 	}
 }
 
-// Box finds a box by its uid.
+// Box returns the box with a uid.
 func (l *Lab) Box(uid string) (*standin.Box, error) {
 	for _, b := range l.Boxes {
 		if b.UID() == uid {
 			return b, nil
 		}
 	}
-	return nil, fmt.Errorf("lab: no box %q, there are s1 to s%d", uid, len(l.Boxes))
+	return nil, fmt.Errorf("lab: no box %q; boxes are s1 to s%d", uid, len(l.Boxes))
 }
 
-// Unload ends the clients' requests and waits for the last answers.
+// Unload stops the clients and waits for their outstanding requests.
 func (l *Lab) Unload() {
-	l.load()
+	l.stopClients()
 	if l.Clients != nil {
 		l.Clients.Wait()
 	}
 }
 
-// Close ends clients, agents, instances, boxes and discovery. No process is left.
+// Close stops clients, agents, instances, boxes and discovery. No process is left running.
 func (l *Lab) Close() {
 	l.Unload()
-	l.stop()
-	<-l.done
+	l.stopFront()
+	<-l.frontDone
 	for _, a := range l.agents {
 		if a != nil {
 			a.kill()
@@ -331,7 +330,7 @@
 	}
 	for _, p := range l.ports {
 		if err := p.Close(); err != nil {
-			l.opt.Log.Error("a port stays taken", "addr", p.addr, "err", err)
+			l.opt.Log.Error("cannot release a reserved port", "addr", p.addr, "err", err)
 		}
 	}
 	for _, b := range l.Boxes {
--- a/internal/standin/lab/lab_test.go
+++ b/internal/standin/lab/lab_test.go
@@ -27,8 +27,8 @@
 	"otterstep/internal/standin/faults"
 )
 
-// TestMain lets the test binary stand in for the programs: by its first words for
-// the launcher and the guard, else by what its environment says.
+// TestMain lets the test binary act as the programs that labs start: as the launcher or the guard by its first
+// argument, otherwise as the role in its environment.
 func TestMain(m *testing.M) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -55,8 +55,8 @@
 		op, err := operator.Load(os.Args[2])
 		must(err)
 		must(node.Run(ctx, cfg, op, node.Reloads{}, slog.New(slog.NewTextHandler(os.Stderr, nil))))
-	case role == "careless":
-		must(careless(ctx))
+	case role == "faulty-node":
+		must(faultyNode(ctx))
 	case role == "lab":
 		l, err := New(ctx, testOptions(os.Getenv("OTTERLAB_DIR")))
 		must(err)
@@ -66,10 +66,10 @@
 	default:
 		flag.Parse()
 		if f := flag.Lookup("test.parallel"); f.Value.String() == strconv.Itoa(runtime.GOMAXPROCS(0)) {
-			must(flag.Set("test.parallel", "32")) // how many fleets there are at once is room's to say
+			must(flag.Set("test.parallel", "32")) // reserveSlot limits the number of fleets at once
 		}
 		code := m.Run()
-		if dir, _ := programs(); dir != "" { // built already, or never and quickly removed
+		if dir, _ := programs(); dir != "" { // if no test has built them, this builds them now
 			os.RemoveAll(dir)
 		}
 		os.Exit(code)
@@ -91,30 +91,28 @@
 	}
 }
 
-// These tests wait for leases more than they work, and fleets that nobody asks anything of bear others beside
-// them. Those with clients are held to answers in time, so that few may run at once.
+// Slots for fleets that run at once. Tests without clients mostly wait for leases, so many can run in parallel. Tests
+// with clients check that answers are in time, so only few can.
 var (
-	quietRoom  = make(chan struct{}, max(2, runtime.GOMAXPROCS(0)))
-	loadedRoom = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/3))
+	idleSlots   = make(chan struct{}, max(2, runtime.GOMAXPROCS(0)))
+	loadedSlots = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/3))
 )
 
-// room waits until there is room for a fleet with so many requests a second; it is given back when the
-// test ends.
-func room(t *testing.T, rate float64) {
-	here := quietRoom
+// reserveSlot waits for a slot for a fleet with the given request rate, and releases it at the end of the test.
+func reserveSlot(t *testing.T, rate float64) {
+	slots := idleSlots
 	if rate > 0 {
-		here = loadedRoom
+		slots = loadedSlots
 	}
-	here <- struct{}{}
-	t.Cleanup(func() { <-here })
+	slots <- struct{}{}
+	t.Cleanup(func() { <-slots })
 }
 
-// further skips a case that goes the ways of others in some other fleet or with another fault: -short leaves it to
-// whoever has the time.
-func further(t *testing.T) {
+// skipIfShort skips, with -short, a case that covers the same code as others with a different fleet or fault.
+func skipIfShort(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("a further case: played without -short")
+		t.Skip("additional case: skipped with -short")
 	}
 }
 
@@ -124,7 +122,7 @@
 	if change != nil {
 		change(&opt)
 	}
-	room(t, opt.Rate)
+	reserveSlot(t, opt.Rate)
 	l, err := New(t.Context(), opt)
 	if err != nil {
 		t.Fatal(err)
@@ -133,16 +131,15 @@
 	return l
 }
 
-// The demo's story, shorter: a box that hangs and a rolling restart under load
-// break no rule, and everybody gets an answer.
-func TestDemoKeepsTheRules(t *testing.T) {
+// A shortened demo: neither a box that hangs nor a rolling restart under load breaks a rule, and requests are served.
+func TestDemoBreaksNoRule(t *testing.T) {
 	t.Parallel()
 	for name, asked := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := testLab(t, func(o *Options) {
-				if o.Asked = asked; !asked { // the other has the race detector in its nodes
-					built(t, o)
+				if o.Asked = asked; !asked { // the other case runs nodes with the race detector
+					useBuiltPrograms(t, o)
 				}
 			})
 			held, err := l.Demo(t.Context(), Story{Calm: time.Second, Hang: 2 * time.Second, Healed: time.Second / 2, After: time.Second / 2}, t.Output())
@@ -157,8 +154,8 @@
 	}
 }
 
-// The control socket tells what the node does, while it serves.
-func TestControlSocketTellsOfABoxThatFails(t *testing.T) {
+// The control socket reports the state of the node and of its servers while the node serves.
+func TestControlSocketReportsFailingBox(t *testing.T) {
 	t.Parallel()
 	l := testLab(t, func(o *Options) { o.Instances, o.Agents = 1, 1 })
 	l.Boxes[0].FailFast(1)
@@ -172,7 +169,7 @@
 		if failing >= 0 && i.Counts["avail-read"]["served"] > 0 {
 			s := i.Servers[failing]
 			if s.Endpoint != l.Discovery.Targets()[0].Endpoint || s.Judged == 0 || s.Breaker == "" || s.Score <= 0 {
-				t.Errorf("the server that fails: %+v", s)
+				t.Errorf("failing server: %+v", s)
 			}
 			if len(i.Servers) != 4 || i.State != "ready" || i.Name != "n1" || i.Descriptors.Open < 5 || i.Memory.Heap == 0 || i.Listen != l.Instances[0].Addr || i.Clients.Connections == 0 {
 				t.Errorf("inspection %+v", i)
@@ -180,27 +177,27 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("no failure shows: %+v", i)
+			t.Fatalf("no server is reported as failing: %+v", i)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Ten instances under three agents are restarted under load, two at a time: clients
-// that follow /up lose nothing, and no rule breaks.
-func TestRestartOfTenUnderLoad(t *testing.T) {
+// Ten instances under three agents are restarted under load, two at a time. Clients that follow /up lose no request,
+// and no rule is broken.
+func TestRollingRestartUnderLoad(t *testing.T) {
 	t.Parallel()
-	l := testLab(t, func(o *Options) { built(t, o); o.Instances, o.Agents, o.Rate = 10, 3, 80 })
+	l := testLab(t, func(o *Options) { useBuiltPrograms(t, o); o.Instances, o.Agents, o.Rate = 10, 3, 80 })
 	before := map[string]string{}
 	for _, i := range l.Instances {
 		before[i.Name] = running(t, i).Token
 	}
-	if err := l.Roll(t.Context(), 2, func(r group.Result) { t.Logf("%s/%s %s %s", r.Agent, r.Instance, r.Outcome, r.Text) }); err != nil {
+	if err := l.RestartAll(t.Context(), 2, func(r group.Result) { t.Logf("%s/%s %s %s", r.Agent, r.Instance, r.Outcome, r.Text) }); err != nil {
 		t.Fatal(err)
 	}
 	l.Unload()
 	if !l.Print(t.Output()) {
-		t.Error("a rule broke")
+		t.Error("a rule was broken")
 	}
 	if served := l.served(); served < 50 {
 		t.Errorf("%d requests were served, want 50 at least", served)
@@ -212,7 +209,7 @@
 	}
 }
 
-// served counts the requests that were served so far.
+// served returns the number of requests served so far.
 func (l *Lab) served() (n int) {
 	for _, c := range l.Ledger.Report().Counts {
 		n += c[0]
@@ -220,30 +217,30 @@
 	return n
 }
 
-// running gives an instance's process as its run file has it.
+// running returns the process of an instance according to its run file.
 func running(t *testing.T, i Instance) proc.Run {
 	t.Helper()
 	p, err := proc.Adopt(i.RunFile)
 	if err != nil || p == nil {
-		t.Fatalf("%s does not run: %v", i.Name, err)
+		t.Fatalf("%s is not running: %v", i.Name, err)
 	}
 	defer p.Release()
 	return p.Run
 }
 
-// An agent killed with -9 under load takes no instance down; the next one adopts them
-// and commands them.
+// Instances survive the SIGKILL of their agent under load. The next agent adopts them, executes commands for them and
+// restarts one that crashes.
 func TestAgentKilledUnderLoad(t *testing.T) {
 	t.Parallel()
-	l := testLab(t, func(o *Options) { built(t, o); o.Agents = 1 })
+	l := testLab(t, func(o *Options) { useBuiltPrograms(t, o); o.Agents = 1 })
 	old := map[string]proc.Run{}
 	for _, i := range l.Instances {
 		old[i.Name] = running(t, i)
 	}
 	l.agents[0].kill()
 	before := l.served()
-	waitFor(t, "further answers without an agent", func() bool { return l.served() > before+20 })
-	p, err := l.spawner.run(append(append([]string{}, l.opt.Agent...), "--config", filepath.Join(l.opt.Dir, "m1.toml")), l.opt.AgentEnv, filepath.Join(l.opt.Dir, "m1.log"))
+	waitFor(t, "more answers without an agent", func() bool { return l.served() > before+20 })
+	p, err := l.spawner.start(append(append([]string{}, l.opt.Agent...), "--config", filepath.Join(l.opt.Dir, "m1.toml")), l.opt.AgentEnv, filepath.Join(l.opt.Dir, "m1.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,10 +254,10 @@
 			t.Errorf("%s: %+v, was %+v", i.Name, now, old[i.Name])
 		}
 	}
-	if err := l.Roll(t.Context(), 1, nil); err != nil {
+	if err := l.RestartAll(t.Context(), 1, nil); err != nil {
 		t.Fatal(err)
 	}
-	// A crash is answered by a new process.
+	// The agent restarts an instance that crashes.
 	now := running(t, l.Instances[0])
 	if err := syscall.Kill(now.Pid, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
@@ -284,8 +281,8 @@
 	}
 }
 
-// A lab that is killed with -9 leaves no process behind.
-func TestKilledLabLeavesNothing(t *testing.T) {
+// When a lab is killed with SIGKILL, none of its processes is left running.
+func TestKilledLabLeavesNoProcesses(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	cmd := exec.Command(os.Args[0])
@@ -322,7 +319,7 @@
 	}
 }
 
-func TestCommandsToBoxes(t *testing.T) {
+func TestBoxCommands(t *testing.T) {
 	t.Parallel()
 	l := testLab(t, func(o *Options) { o.Rate, o.Instances, o.Agents = 0, 1, 1 })
 	ctx, stop := context.WithCancel(t.Context())
@@ -351,7 +348,7 @@
 	}
 	for _, words := range []string{"s9 hang", "s1", "s1 slow", "s1 slow x", "s1 slow -1", "s1 explode", "s1 hang 3"} {
 		if _, err := Ask(ctx, dir, strings.Fields(words)); err == nil {
-			t.Errorf("%q was taken", words)
+			t.Errorf("command %q was accepted", words)
 		}
 	}
 	stop()
--- a/internal/standin/lab/losses.go
+++ b/internal/standin/lab/losses.go
@@ -12,77 +12,78 @@
 	"otterstep/internal/standin/faults"
 )
 
-// The files of an agent's memory: the record and the council's store in its folder, and beside it
-// the copy and what the store's witness saw.
-func (l *Lab) memory(n int, what string) string {
-	switch what {
+// stateFile returns the path of a part of agent n's persistent state: the record and the council store are in its state
+// directory, the copy of the record and the witness file of the store next to it.
+func (l *Lab) stateFile(n int, kind string) string {
+	switch kind {
 	case "copy":
-		return l.state(n) + ".copy"
+		return l.stateDir(n) + ".copy"
 	case "witness":
-		return l.state(n) + ".copy.council"
+		return l.stateDir(n) + ".copy.council"
 	}
-	return filepath.Join(l.state(n), what)
+	return filepath.Join(l.stateDir(n), kind)
 }
 
-func (l *Lab) kept(n int, what string) string {
-	return filepath.Join(l.opt.Dir, agentName(n)+"."+what+".kept")
+func (l *Lab) snapshotFile(n int, kind string) string {
+	return filepath.Join(l.opt.Dir, agentName(n)+"."+kind+".kept")
 }
 
-// KeepState keeps what an agent has on its disks now, for Lose to put back. The agent is stopped
-// meanwhile, if it runs.
-func (l *Lab) KeepState(n int) error {
+// SnapshotState copies an agent's persistent state for LoseState to restore later. An agent that runs is stopped while
+// its state is copied.
+func (l *Lab) SnapshotState(n int) error {
 	if l.SignalAgent(n, syscall.SIGSTOP) == nil {
 		defer func() { _ = l.SignalAgent(n, syscall.SIGCONT) }()
 	}
 	for _, what := range []string{"record", "copy"} {
-		text, err := os.ReadFile(l.memory(n, what))
+		text, err := os.ReadFile(l.stateFile(n, what))
 		if err == nil {
-			err = os.WriteFile(l.kept(n, what), text, 0o600)
+			err = os.WriteFile(l.snapshotFile(n, what), text, 0o600)
 		}
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
 	}
-	if _, err := os.Stat(l.memory(n, "council")); errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(l.stateFile(n, "council")); errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
-	if err := os.CopyFS(l.kept(n, "council"), os.DirFS(l.memory(n, "council"))); err != nil {
+	if err := os.CopyFS(l.snapshotFile(n, "council"), os.DirFS(l.stateFile(n, "council"))); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	return nil
 }
 
-func (l *Lab) putBack(n int, what string) error {
-	text, err := os.ReadFile(l.kept(n, what))
+func (l *Lab) restoreFile(n int, kind string) error {
+	text, err := os.ReadFile(l.snapshotFile(n, kind))
 	if err == nil {
-		err = os.WriteFile(l.memory(n, what), text, 0o600)
+		err = os.WriteFile(l.stateFile(n, kind), text, 0o600)
 	}
 	return err
 }
 
-// Lose takes of an agent's memory what package faults names, as a disk that was lost or put back;
-// the agent must not run. The record of before is kept for the checker, and logs stay, as do the
-// run files, which lock running processes.
-func (l *Lab) Lose(n int, what string) error {
-	aside := filepath.Join(l.opt.Dir, fmt.Sprint(agentName(n), ".record.", len(l.lost[n])))
-	text, err := os.ReadFile(l.memory(n, "record"))
+// LoseState removes the part of an agent's persistent state that a name from package faults stands for, or restores it
+// from a snapshot, as when a disk is lost or an old one is put back. The agent must not run. The record as it was is
+// copied for the checker. Logs always stay; run files, which lock running processes, stay unless the whole state
+// directory is lost.
+func (l *Lab) LoseState(n int, kind string) error {
+	saved := filepath.Join(l.opt.Dir, fmt.Sprint(agentName(n), ".record.", len(l.lostRecords[n])))
+	text, err := os.ReadFile(l.stateFile(n, "record"))
 	if err == nil {
-		err = os.WriteFile(aside, text, 0o600)
-		if l.lost == nil {
-			l.lost = map[int][]string{}
+		err = os.WriteFile(saved, text, 0o600)
+		if l.lostRecords == nil {
+			l.lostRecords = map[int][]string{}
 		}
-		l.lost[n] = append(l.lost[n], aside)
+		l.lostRecords[n] = append(l.lostRecords[n], saved)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("lab: %w", err)
 	}
 	remove := func(names ...string) (err error) {
 		for _, name := range names {
-			err = errors.Join(err, os.RemoveAll(l.memory(n, name)))
+			err = errors.Join(err, os.RemoveAll(l.stateFile(n, name)))
 		}
 		return err
 	}
-	switch what {
+	switch kind {
 	case faults.Nothing:
 		err = nil
 	case faults.Record:
@@ -94,32 +95,32 @@
 	case faults.Store:
 		err = remove("council")
 	case faults.Folder:
-		err = l.loseFolder(n)
+		err = l.removeStateDir(n)
 	case faults.All:
-		err = errors.Join(l.loseFolder(n), remove("copy", "witness"))
+		err = errors.Join(l.removeStateDir(n), remove("copy", "witness"))
 	case faults.OldRecord:
-		err = l.putBack(n, "record")
+		err = l.restoreFile(n, "record")
 	case faults.OldMemory:
-		err = errors.Join(l.putBack(n, "record"), l.putBack(n, "copy"))
+		err = errors.Join(l.restoreFile(n, "record"), l.restoreFile(n, "copy"))
 	case faults.OldFolder:
-		err = errors.Join(l.putBack(n, "record"), remove("council"))
-		if _, none := os.Stat(l.kept(n, "council")); none == nil {
-			err = errors.Join(err, os.CopyFS(l.memory(n, "council"), os.DirFS(l.kept(n, "council"))))
+		err = errors.Join(l.restoreFile(n, "record"), remove("council"))
+		if _, none := os.Stat(l.snapshotFile(n, "council")); none == nil {
+			err = errors.Join(err, os.CopyFS(l.stateFile(n, "council"), os.DirFS(l.snapshotFile(n, "council"))))
 		}
 	default:
-		err = fmt.Errorf("nothing is called %q: %s", what, strings.Join(faults.Memories, ", "))
+		err = fmt.Errorf("unknown kind of state loss %q, want one of: %s", kind, strings.Join(faults.Memories, ", "))
 	}
 	if err != nil {
-		return fmt.Errorf("lab: lose %s: %w", what, err)
+		return fmt.Errorf("lab: remove state %q: %w", kind, err)
 	}
 	return nil
 }
 
-func (l *Lab) loseFolder(n int) error {
-	all, err := os.ReadDir(l.state(n))
+func (l *Lab) removeStateDir(n int) error {
+	all, err := os.ReadDir(l.stateDir(n))
 	for _, e := range all {
 		if !strings.HasSuffix(e.Name(), ".log") {
-			err = errors.Join(err, os.RemoveAll(filepath.Join(l.state(n), e.Name())))
+			err = errors.Join(err, os.RemoveAll(filepath.Join(l.stateDir(n), e.Name())))
 		}
 	}
 	return err
--- a/internal/standin/lab/measure.go
+++ b/internal/standin/lab/measure.go
@@ -19,15 +19,15 @@
 	"otterstep/internal/fleet/record"
 )
 
-// What may happen to an owner.
+// Faults of an owner that Takeover injects: its agent is killed, stopped or cut off from all others.
 const (
 	OwnerKilled  = "kill"
 	OwnerStopped = "stop"
 	OwnerCut     = "cut"
 )
 
-// Takeover plays one change of owners on a fleet of its own, in the middle of a rollout, and
-// gives the time from the fault to the successor's first effect.
+// Takeover starts a fleet, injects a fault into the owner during a rollout, and returns the time from the fault to the
+// first effect of the successor.
 func Takeover(ctx context.Context, opt Options, fault string) (time.Duration, error) {
 	l, err := New(ctx, opt)
 	if err != nil {
@@ -35,14 +35,14 @@
 	}
 	defer l.Close()
 	run := FaultRun{}
-	if err := (&faultPlayer{lab: l, run: &run}).whole(ctx); err != nil {
+	if err := (&faultRunner{lab: l, run: &run}).waitForCouncil(ctx); err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, healWithin)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	// What the owner's agent has counts as away once it is gone; one more may be.
-	most := (opt.Instances+opt.Agents-1)/opt.Agents + 1
-	j, _, err := l.Fleet.Submit(ctx, everyone(most))
+	// The instances of the owner's agent count as unavailable once the agent is gone; one more may be.
+	maxUnavailable := (opt.Instances+opt.Agents-1)/opt.Agents + 1
+	j, _, err := l.Fleet.Submit(ctx, restartOrder(maxUnavailable))
 	if err != nil {
 		return 0, err
 	}
@@ -55,9 +55,9 @@
 			}
 		}
 		if ctx.Err() != nil {
-			return 0, fmt.Errorf("lab: nobody owns: %w", ctx.Err())
+			return 0, fmt.Errorf("lab: no agent owns rollouts: %w", ctx.Err())
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	owner--
 	began := time.Now()
@@ -67,16 +67,16 @@
 	case OwnerStopped:
 		err = l.SignalAgent(owner, syscall.SIGSTOP)
 	case OwnerCut:
-		l.Apart(true, agentName(owner))
+		l.Isolate(true, agentName(owner))
 	default:
-		err = fmt.Errorf("lab: no fault %q: %s, %s or %s", fault, OwnerKilled, OwnerStopped, OwnerCut)
+		err = fmt.Errorf("lab: unknown fault %q, want %s, %s or %s", fault, OwnerKilled, OwnerStopped, OwnerCut)
 	}
 	if err != nil {
 		return 0, err
 	}
 	for ctx.Err() == nil {
 		for n := range opt.Agents {
-			at, err := firstEffect(filepath.Join(l.state(n), "record"), began)
+			at, err := firstEffect(filepath.Join(l.stateDir(n), "record"), began)
 			if err != nil {
 				return 0, err
 			}
@@ -84,16 +84,17 @@
 				return at.Sub(began), nil
 			}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	return 0, fmt.Errorf("lab: no effect of a successor of %s in job %s: %w", agentName(owner), j.ID, ctx.Err())
+	return 0, fmt.Errorf("lab: the successor of %s had no effect in job %s: %w", agentName(owner), j.ID, ctx.Err())
 }
 
-func everyone(most int) group.Order {
-	return group.Order{Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: most}, Select: group.Selector{Names: []string{"all"}}}
+func restartOrder(maxUnavailable int) group.Order {
+	return group.Order{Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: maxUnavailable}, Select: group.Selector{Names: []string{"all"}}}
 }
 
-// firstEffect gives when a record's first effect came under a token raised after a time.
+// firstEffect returns the time of the first effect in a record under a token that was raised after the given time, or
+// the zero time if there is none.
 func firstEffect(path string, after time.Time) (at time.Time, err error) {
 	raised := false
 	err = record.Read(record.OS{}, path, func(text json.RawMessage) error {
@@ -110,31 +111,32 @@
 	return at, err
 }
 
-// settleFor is how long clients send before a rollout is timed: instances that have just started
-// have fewer connections to end, and drain sooner.
-const settleFor = 5 * time.Second
+// warmUp is how long clients send before a rollout is timed: instances that have just started have fewer connections
+// to close and drain sooner.
+const warmUp = 5 * time.Second
 
-// Rollout times one rollout of all instances, by the council if there is one, else by the tool.
-func Rollout(ctx context.Context, opt Options, most int) (time.Duration, error) {
+// Rollout measures the duration of a rollout that restarts all instances, carried out by the council if there is one
+// and by the client otherwise. At most the given number of instances are unavailable at once.
+func Rollout(ctx context.Context, opt Options, maxUnavailable int) (time.Duration, error) {
 	l, err := New(ctx, opt)
 	if err != nil {
 		return 0, err
 	}
 	defer l.Close()
-	time.Sleep(settleFor)
+	time.Sleep(warmUp)
 	if opt.Council == nil {
 		began := time.Now()
-		r, err := l.Fleet.Give(ctx, everyone(most))
+		r, err := l.Fleet.Give(ctx, restartOrder(maxUnavailable))
 		if err == nil && (r.Stopped != "" || r.Conflict != nil) {
 			err = fmt.Errorf("lab: the rollout stopped: %s", r.Stopped)
 		}
 		return time.Since(began), err
 	}
-	if err := (&faultPlayer{lab: l}).whole(ctx); err != nil {
+	if err := (&faultRunner{lab: l}).waitForCouncil(ctx); err != nil {
 		return 0, err
 	}
 	began := time.Now()
-	j, _, err := l.Fleet.Submit(ctx, everyone(most))
+	j, _, err := l.Fleet.Submit(ctx, restartOrder(maxUnavailable))
 	if err != nil {
 		return 0, err
 	}
@@ -145,46 +147,46 @@
 	return time.Since(began), err
 }
 
-// Rest is what a fleet's agents cost while nothing happens.
+// Rest is the resource usage of agents in an idle fleet.
 type Rest struct {
 	For                  time.Duration
-	VoterCPU, AskerCPU   time.Duration // of one, on average
-	VoterByte, AskerByte float64       // read and written by one, a second
-	VoterWrites          float64       // to the council's store by one, a second
+	VoterCPU, AskerCPU   time.Duration // mean per agent
+	VoterByte, AskerByte float64       // mean bytes read and written per agent and second
+	VoterWrites          float64       // mean writes to the council store per voter and second
 }
 
-// AtRest measures a council and agents that only ask.
+// AtRest measures the resource usage of voters and of agents that do not vote, over the given time.
 func AtRest(ctx context.Context, opt Options, wait time.Duration) (Rest, error) {
 	l, err := New(ctx, opt)
 	if err != nil {
 		return Rest{}, err
 	}
 	defer l.Close()
-	if err := (&faultPlayer{lab: l}).whole(ctx); err != nil {
+	if err := (&faultRunner{lab: l}).waitForCouncil(ctx); err != nil {
 		return Rest{}, err
 	}
-	type use struct {
+	type resourceUse struct {
 		cpu           time.Duration
 		bytes, writes float64
 	}
-	look := func() (all []use, err error) {
+	measure := func() (all []resourceUse, err error) {
 		voters, silent := l.Fleet.Voters(ctx)
 		if len(silent) > 0 {
-			return nil, fmt.Errorf("lab: %d agents are silent", len(silent))
+			return nil, fmt.Errorf("lab: %d agents did not answer", len(silent))
 		}
 		for n := range opt.Agents {
-			u := use{writes: float64(voters[n].Writes)}
-			if u.cpu, err = cpuOf(l.AgentPid(n)); err == nil {
-				u.bytes, err = bytesOf(l.AgentPid(n))
+			usage := resourceUse{writes: float64(voters[n].Writes)}
+			if usage.cpu, err = cpuTime(l.AgentPid(n)); err == nil {
+				usage.bytes, err = ioBytes(l.AgentPid(n))
 			}
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, u)
+			all = append(all, usage)
 		}
 		return all, nil
 	}
-	before, err := look()
+	before, err := measure()
 	if err != nil {
 		return Rest{}, err
 	}
@@ -194,7 +196,7 @@
 		return Rest{}, ctx.Err()
 	case <-time.After(wait):
 	}
-	after, err := look()
+	after, err := measure()
 	if err != nil {
 		return Rest{}, err
 	}
@@ -214,15 +216,15 @@
 	return r, nil
 }
 
-// cpuOf gives a process's processor time, in ticks of 10 ms (proc(5), stat).
-func cpuOf(pid int) (time.Duration, error) {
+// cpuTime returns the CPU time of a process, which Linux counts in ticks of 10 ms (proc(5), stat).
+func cpuTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, fmt.Errorf("lab: %w", err)
 	}
 	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(f) < 13 {
-		return 0, errors.New("lab: a stat line that is too short")
+		return 0, errors.New("lab: /proc/PID/stat has too few fields")
 	}
 	user, err := strconv.ParseInt(f[11], 10, 64)
 	if err != nil {
@@ -235,8 +237,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond, nil
 }
 
-// bytesOf gives what a process has read and written, sockets too (proc(5), io).
-func bytesOf(pid int) (all float64, err error) {
+// ioBytes returns the number of bytes that a process has read and written, including sockets (proc(5), io).
+func ioBytes(pid int) (all float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return 0, fmt.Errorf("lab: %w", err)
--- a/internal/standin/lab/play.go
+++ b/internal/standin/lab/play.go
@@ -14,23 +14,23 @@
 	"otterstep/internal/standin"
 )
 
-// What one machine plays on real sockets.
+// Limits of experiments on real sockets, for one machine.
 const (
-	playNodes   = 32
-	playServers = 128
-	playRate    = 5000
+	maxNodes   = 32
+	maxServers = 128
+	maxRate    = 5000
 )
 
-// unplayable are faults that loopback sockets don't show without privileges, or not to
-// what they are in virtual time.
-var unplayable = []string{"mute", "cut", "node-crash", "stale"}
+// unsupportedFaults cannot be injected on loopback sockets without privileges, or behave differently there than in the
+// simulator.
+var unsupportedFaults = []string{"mute", "cut", "node-crash", "stale"}
 
-// Play plays an experiment on loopback sockets: real instances of the node as opt names
-// them, boxes and clients as the file has them, faults by the clock. What the machine or
-// the sockets can't show is an error that says so, before anything starts. Latencies of
-// the network are loopback's own.
+// Play runs an experiment in real time on loopback sockets, with node processes as configured by opt, and boxes,
+// clients and faults as configured by the experiment. If the experiment needs anything that the machine or loopback
+// sockets do not support, Play returns an error before it starts any process. Network latency is that of loopback,
+// whatever the experiment says.
 func Play(ctx context.Context, x *experiment.Experiment, opt Options, seed uint64) (experiment.Run, error) {
-	if err := playable(x); err != nil {
+	if err := checkSupported(x); err != nil {
 		return experiment.Run{}, err
 	}
 	o := x.Options
@@ -39,66 +39,66 @@
 	for i := range x.File.Fleet.Zones {
 		opt.Zones = append(opt.Zones, fmt.Sprint("z", i))
 	}
-	opt.Classes = classes(x)
+	opt.Classes = boxClasses(x)
 	rules := o.Settings.Rules
-	opt.Shape = func(i int, b *standin.BoxOptions) {
+	opt.AdjustBox = func(i int, b *standin.BoxOptions) {
 		b.Cores, b.Queue, b.Speed = o.Servers[i].Parallel, o.Servers[i].Queue, 1
 		b.ColdFrom, b.ColdFor, b.FallMultiple, b.FallFor = rules.ColdFrom, rules.ColdFor, rules.FallMultiple, rules.FallFor
 		b.Cold = x.File.Fleet.Cold
 	}
-	opt.Site = func(s map[string]any) { site(s, o) }
+	opt.AdjustSettings = func(s map[string]any) { applySettings(s, o) }
 	l, err := New(ctx, opt)
 	if err != nil {
 		return experiment.Run{}, err
 	}
 	defer l.Close()
 
-	p := &player{lab: l, experiment: x, began: time.Now(), results: sim.NewResults(x.Options.Warm)}
+	p := &experimentRun{lab: l, experiment: x, start: time.Now(), results: sim.NewResults(x.Options.Warm)}
 	load := o.Load
-	l.Begin(standin.ClientOptions{
-		Rate: load.Rate, Curve: load.Curve, Classes: opt.Classes, Tenants: names(load.Tenants), Skew: load.Skew, Keys: load.Keys,
-		Seed: seed, Most: 16384, Whole: true, Comeback: load.Habits, Ended: p.ended,
+	l.StartClients(standin.ClientOptions{
+		Rate: load.Rate, Curve: load.Curve, Classes: opt.Classes, Tenants: tenantNames(load.Tenants), Skew: load.Skew, Keys: load.Keys,
+		Seed: seed, Most: 16384, Whole: true, Comeback: load.Habits, Ended: p.recordEnd,
 	})
-	if err := p.faults(ctx); err != nil {
+	if err := p.injectFaults(ctx); err != nil {
 		return experiment.Run{}, err
 	}
 	l.Unload()
-	run := x.Judge(seed, p.finish())
+	run := x.Judge(seed, p.collectResults())
 	if void := l.Clients.Report().Void; void != "" {
 		run.Failed = append(run.Failed, "void: "+void)
 	}
 	return run, nil
 }
 
-// playable says what of an experiment can't be played here.
-func playable(x *experiment.Experiment) error {
+// checkSupported returns an error that lists everything in an experiment that real sockets do not support.
+func checkSupported(x *experiment.Experiment) error {
 	var errs []error
-	no := func(format string, args ...any) {
+	unsupported := func(format string, args ...any) {
 		errs = append(errs, fmt.Errorf("not on real sockets: "+format, args...))
 	}
 	o := x.Options
-	if o.Nodes > playNodes || len(o.Servers) > playServers || o.Load.Rate > playRate {
-		no("%d nodes, %d servers, %.0f requests a second; at most %d, %d and %d", o.Nodes, len(o.Servers), o.Load.Rate, playNodes, playServers, playRate)
+	if o.Nodes > maxNodes || len(o.Servers) > maxServers || o.Load.Rate > maxRate {
+		unsupported("%d nodes, %d servers, %.0f requests a second; at most %d, %d and %d", o.Nodes, len(o.Servers), o.Load.Rate, maxNodes, maxServers, maxRate)
 	}
 	if o.Load.Trace != nil || o.Load.Bursts || o.Load.Impatient > 0 {
-		no("load.trace, load.bursts and load.impatient")
+		unsupported("load.trace, load.bursts and load.impatient")
 	}
 	if o.Net.Loss > 0 {
-		no("network.loss")
+		unsupported("network.loss")
 	}
 	for i, f := range o.Faults {
-		if slices.Contains(unplayable, f.What) {
-			no("fault[%d]: %s", i+1, f.What)
+		if slices.Contains(unsupportedFaults, f.What) {
+			unsupported("fault[%d]: %s", i+1, f.What)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func classes(x *experiment.Experiment) []standin.Class {
+func boxClasses(x *experiment.Experiment) []standin.Class {
 	effects := map[string]standin.Effect{"safe": standin.Safe, "keyed": standin.Keyed, "unsafe": standin.Unsafe}
 	var all []standin.Class
 	for _, c := range x.File.Class {
-		// Boxes spread work that is constant in virtual time by the least there is.
+		// With a spread of 0 a box draws from 70% to 130% of the work, so a constant service time gets a negligible spread.
 		all = append(all, standin.Class{
 			Name: c.Name, Effect: effects[c.Effect], Deadline: c.Deadline.Duration, Aim: c.Aim.Duration, Window: c.Window.Duration,
 			Work: c.Service.Duration, Spread: cmp.Or(c.Spread, 0.001), Share: c.Share,
@@ -107,7 +107,7 @@
 	return all
 }
 
-func names(n int) []string {
+func tenantNames(n int) []string {
 	all := make([]string, n)
 	for i := range all {
 		all[i] = fmt.Sprint("t", i)
@@ -115,14 +115,14 @@
 	return all
 }
 
-// site puts the experiment's settings into those that instances are told.
-func site(s object, o sim.Options) {
+// applySettings overrides the settings of instances with those of the experiment.
+func applySettings(s object, o sim.Options) {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	for i, c := range s["Classes"].([]object) {
 		c["Importance"] = o.Settings.Classes[i].Worth
 	}
 	var accounts []object
-	for _, name := range names(o.Load.Tenants) {
+	for _, name := range tenantNames(o.Load.Tenants) {
 		accounts = append(accounts, object{"Name": name, "QuotaPerS": 0})
 	}
 	s["Accounts"] = accounts
@@ -135,71 +135,71 @@
 	s["Contract"] = object{"ColdFrom": r.ColdFrom, "ColdMs": ms(r.ColdFor), "FallMultiple": r.FallMultiple, "FallMs": ms(r.FallFor), "MustAskInMs": ms(r.MustAsk)}
 }
 
-// player plays one experiment.
-type player struct {
+// experimentRun is one run of an experiment.
+type experimentRun struct {
 	lab        *Lab
 	experiment *experiment.Experiment
-	began      time.Time
+	start      time.Time
 
 	mu      sync.Mutex
 	results *sim.Results
 }
 
-// ended takes the end of a client's request.
-func (p *player) ended(e standin.End) {
+// recordEnd records the end of a client request.
+func (p *experimentRun) recordEnd(e standin.End) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	began := e.Due.Sub(p.began)
+	began := e.Due.Sub(p.start)
 	p.results.Asked++
 	for range e.Tries {
 		p.results.Tried(began)
 	}
-	how := e.Outcome.String()
+	outcome := e.Outcome.String()
 	if !e.Sent {
-		how = "not sent"
+		outcome = "not sent"
 	}
-	p.results.Take(sim.End{Began: began, Took: e.Took, Aim: p.experiment.Options.Settings.Classes[e.Class].Aim, How: how})
+	p.results.Take(sim.End{Began: began, Took: e.Took, Aim: p.experiment.Options.Settings.Classes[e.Class].Aim, How: outcome})
 }
 
-// step is a fault that begins or ends.
-type step struct {
-	at    time.Duration
-	fault sim.Fault
-	on    bool
+// faultEvent is the beginning or the end of a fault; the one without a fault ends the run.
+type faultEvent struct {
+	at     time.Duration
+	fault  sim.Fault
+	begins bool
 }
 
-// faults plays them by the clock until the run is over.
-func (p *player) faults(ctx context.Context) error {
-	var steps []step
+// injectFaults starts and ends the faults at their times and returns at the end of the run.
+func (p *experimentRun) injectFaults(ctx context.Context) error {
+	var steps []faultEvent
 	for _, f := range p.experiment.Options.Faults {
-		steps = append(steps, step{f.At, f, true})
+		steps = append(steps, faultEvent{f.At, f, true})
 		if f.For > 0 {
-			steps = append(steps, step{f.At + f.For, f, false})
+			steps = append(steps, faultEvent{f.At + f.For, f, false})
 		}
 	}
-	steps = append(steps, step{at: p.experiment.Options.For})
-	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
+	steps = append(steps, faultEvent{at: p.experiment.Options.For})
+	slices.SortStableFunc(steps, func(a, b faultEvent) int { return cmp.Compare(a.at, b.at) })
 	ctx, cancel := context.WithCancel(ctx)
 	var flapping sync.WaitGroup
 	defer flapping.Wait()
 	defer cancel()
 	for _, s := range steps {
 		select {
-		case <-time.After(time.Until(p.began.Add(s.at))):
+		case <-time.After(time.Until(p.start.Add(s.at))):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if s.fault.What == "" { // the end
+		if s.fault.What == "" { // end of the run
 			return nil
 		}
-		if err := p.fault(ctx, &flapping, s.fault, s.on); err != nil {
+		if err := p.applyFault(ctx, &flapping, s.fault, s.begins); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *player) fault(ctx context.Context, flapping *sync.WaitGroup, f sim.Fault, on bool) error {
+func (p *experimentRun) applyFault(ctx context.Context, flapping *sync.WaitGroup, f sim.Fault, on bool) error {
 	if f.What == "discovery" {
 		p.lab.Discovery.Down(on)
 		return nil
@@ -228,20 +228,20 @@
 		case f.What == "drain":
 			b.Resume()
 		case f.What == "flap" && on:
-			flapping.Go(func() { flap(ctx, b, f) })
+			flapping.Go(func() { flapBox(ctx, b, f) })
 		}
 	}
 	return nil
 }
 
-// flap lists a box as gone and back for as long as the fault lasts.
-func flap(ctx context.Context, b *standin.Box, f sim.Fault) {
+// flapBox alternates a box's listed state between terminated and in service for as long as the fault lasts.
+func flapBox(ctx context.Context, b *standin.Box, f sim.Fault) {
 	end := time.After(f.For)
 	if f.For == 0 {
 		end = nil
 	}
-	turn := time.NewTicker(time.Duration(f.Amount * float64(time.Second)))
-	defer turn.Stop()
+	ticker := time.NewTicker(time.Duration(f.Amount * float64(time.Second)))
+	defer ticker.Stop()
 	defer b.List(standin.InService)
 	for state := standin.Terminated; ; {
 		b.List(state)
@@ -251,7 +251,7 @@
 			state = standin.Terminated
 		}
 		select {
-		case <-turn.C:
+		case <-ticker.C:
 		case <-end:
 			return
 		case <-ctx.Done():
@@ -260,8 +260,8 @@
 	}
 }
 
-// finish gives the results, once the last answer is in.
-func (p *player) finish() *sim.Results {
+// collectResults returns the results. It is called after the last answer.
+func (p *experimentRun) collectResults() *sim.Results {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.results
--- a/internal/standin/lab/play_test.go
+++ b/internal/standin/lab/play_test.go
@@ -21,7 +21,7 @@
 	"otterstep/internal/standin"
 )
 
-const played = `about = "A box hangs, another fails half, a third drains and one is listed by turns."
+const experimentText = `about = "A box hangs, another fails half, a third drains and one is listed by turns."
 for = "7s"
 warm = "1s"
 [fleet]
@@ -88,7 +88,7 @@
 within = 0.9
 `
 
-func loadText(t *testing.T, text string) *experiment.Experiment {
+func loadExperiment(t *testing.T, text string) *experiment.Experiment {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -101,28 +101,28 @@
 	return x
 }
 
-// The same file in virtual time and on sockets comes to the same: what is served within
-// the aim, and about how fast.
+// An experiment has similar results in the simulator and on real sockets: the share of requests served within the aim,
+// and the latencies.
 func TestSimulatedAgainstReal(t *testing.T) {
-	x := loadText(t, played)
+	x := loadExperiment(t, experimentText)
 	simulated, err := x.Play(t.Context(), 1, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	real, err := Play(t.Context(), x, testOptions(t.TempDir()), 1)
+	onSockets, err := Play(t.Context(), x, testOptions(t.TempDir()), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := real.Results
+	r := onSockets.Results
 	if len(r.Broken) > 0 || r.Ends["lost"] > 0 {
 		t.Errorf("on sockets: broken %v, %s; %v", r.Broken, r.First, r.Ends)
 	}
 	if r.Counted < 300 || r.Attempts < r.Counted {
 		t.Errorf("on sockets: %d counted, %d attempts", r.Counted, r.Attempts)
 	}
-	// Under the race detector, on two cores beside other tests, so wider than what
-	// otterlab experiment match asks for.
-	m := experiment.Matched(simulated, []experiment.Run{real})
+	// The tolerances are wider than those of otterlab experiment match, as the test runs under the race detector, on two
+	// cores and beside other tests.
+	m := experiment.Matched(simulated, []experiment.Run{onSockets})
 	if d := m.Real.Share - m.Simulated.Share; d < -0.05 || d > 0.05 {
 		t.Errorf("within the aim: %.4f simulated, %.4f on sockets", m.Simulated.Share, m.Real.Share)
 	}
@@ -134,16 +134,15 @@
 	}
 }
 
-// careless is a node with faults planted: it goes by the first list that it got, whatever
-// it hears later, sends each request to the first server there, unsafe ones twice, and
-// answers keyed ones twice.
-func careless(ctx context.Context) error {
+// faultyNode is a node with defects: it keeps the first list of servers that it received and ignores later ones, sends
+// all requests to the first server of it, unsafe ones twice, and answers keyed ones twice.
+func faultyNode(ctx context.Context) error {
 	cfg, err := node.LoadConfig(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
 		return err
 	}
 	var list struct{ Targets []standin.Target }
-	hear := func() error {
+	fetchList := func() error {
 		resp, err := http.Get("http://" + cfg.Discovery + "/discovery/hosts")
 		if err != nil {
 			return err
@@ -154,7 +153,7 @@
 		}
 		return json.NewDecoder(resp.Body).Decode(&list)
 	}
-	if err := hear(); err != nil {
+	if err := fetchList(); err != nil {
 		return err
 	}
 	forward := &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) {
@@ -191,14 +190,14 @@
 		one := answer.Result()
 		one.ContentLength = int64(answer.Body.Len())
 		if one.Write(&text) == nil {
-			_, _ = conn.Write(bytes.Repeat(text.Bytes(), 2)) // a client that has gone gets none
+			_, _ = conn.Write(bytes.Repeat(text.Bytes(), 2)) // fails if the client has disconnected
 		}
 	})}
 	go s.ListenAndServe()
 	for every := time.NewTicker(100 * time.Millisecond); ; {
 		select {
 		case <-every.C:
-			if err := hear(); err != nil {
+			if err := fetchList(); err != nil {
 				return err
 			}
 		case <-ctx.Done():
@@ -207,48 +206,48 @@
 	}
 }
 
-// Faults of a node are seen on sockets as they are in virtual time.
-func TestLedgerSeesACarelessNode(t *testing.T) {
+// Checks the checker: it has to detect the defects of a node on real sockets as in the simulator.
+func TestCheckerDetectsFaultyNode(t *testing.T) {
 	t.Parallel()
-	calm, _, _ := strings.Cut(strings.Replace(played, "for = \"7s\"", "for = \"4s\"", 1), "[[fault]]")
+	withoutFaults, _, _ := strings.Cut(strings.Replace(experimentText, "for = \"7s\"", "for = \"4s\"", 1), "[[fault]]")
 	for name, c := range map[string]struct {
 		text string
 		want []ledger.Breach
 	}{
 		"drain": {
-			strings.Replace(calm, "rate = 80.0", "rate = 40.0", 1) + "[[fault]]\nat = \"1500ms\"\nwhat = \"drain\"\nservers = [0]\n",
+			strings.Replace(withoutFaults, "rate = 80.0", "rate = 40.0", 1) + "[[fault]]\nat = \"1500ms\"\nwhat = \"drain\"\nservers = [0]\n",
 			[]ledger.Breach{ledger.RanTwice, ledger.AfterDrain, ledger.SecondAnswer},
 		},
 		"cold": {
-			strings.NewReplacer("rate = 80.0", "rate = 150.0", "zones = 2", "zones = 2\ncold = true").Replace(calm),
+			strings.NewReplacer("rate = 80.0", "rate = 150.0", "zones = 2", "zones = 2\ncold = true").Replace(withoutFaults),
 			[]ledger.Breach{ledger.PushedOver},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			opt := testOptions(t.TempDir())
-			room(t, opt.Rate)
-			opt.NodeEnv = map[string]string{"OTTERLAB_ROLE": "careless"}
-			r, err := Play(t.Context(), loadText(t, c.text), opt, 1)
+			reserveSlot(t, opt.Rate)
+			opt.NodeEnv = map[string]string{"OTTERLAB_ROLE": "faulty-node"}
+			r, err := Play(t.Context(), loadExperiment(t, c.text), opt, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, b := range c.want {
 				if r.Results.Broken[b] == 0 || len(r.Failed) == 0 {
-					t.Errorf("not seen: %s; %v", b, r.Results.Broken)
+					t.Errorf("not detected: %s; %v", b, r.Results.Broken)
 				}
 			}
 		})
 	}
 }
 
-// What sockets can't show is said before anything starts.
-func TestUnplayable(t *testing.T) {
-	text := strings.Replace(played, "what = \"hang\"", "what = \"mute\"", 1)
+// An experiment that needs features that real sockets do not support is rejected before any process starts.
+func TestUnsupportedExperimentIsRejected(t *testing.T) {
+	text := strings.Replace(experimentText, "what = \"hang\"", "what = \"mute\"", 1)
 	text = strings.Replace(text, "rate = 80.0", "rate = 80000.0\nbursts = true", 1)
-	_, err := Play(t.Context(), loadText(t, text), Options{}, 1)
+	_, err := Play(t.Context(), loadExperiment(t, text), Options{}, 1)
 	if err == nil {
-		t.Fatal("played")
+		t.Fatal("the experiment was accepted")
 	}
 	for _, want := range []string{"fault[1]: mute", "80000 requests a second", "load.bursts"} {
 		if !strings.Contains(err.Error(), want) {
--- a/internal/standin/lab/ports.go
+++ b/internal/standin/lab/ports.go
@@ -8,38 +8,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// port is an address on loopback that is kept for one instance, through all its restarts.
-// A socket is bound to it that never listens. Linux lets another one that has SO_REUSEADDR,
-// as Go's listeners have, bind to the same address and listen there, but gives the port to
-// nobody who asks for any free one, and to no connection that goes out (ip(7), socket(7)).
-// A port that was merely found free is lost now and then to whatever else on the machine
-// asks for one while the instance is still starting, or is being restarted.
-type port struct {
+// reservedPort is a loopback address that stays reserved for one instance through all its restarts. A socket is bound
+// to it that never listens. Linux lets another socket with SO_REUSEADDR, which Go sets on listeners, bind to the same
+// address and listen there, but does not assign the port to sockets that ask for any free one, nor to outgoing
+// connections (ip(7), socket(7)). A port that is merely free when it is picked may be taken by another process on the
+// machine while the instance starts or restarts.
+type reservedPort struct {
 	addr string
 	fd   int
 }
 
-func keepPort() (_ port, err error) {
+func reservePort() (_ reservedPort, err error) {
 	defer func() {
 		if err != nil {
-			err = fmt.Errorf("lab: a port for an instance: %w", err)
+			err = fmt.Errorf("lab: cannot reserve a port for an instance: %w", err)
 		}
 	}()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return port{}, err
+		return reservedPort{}, err
 	}
 	loopback := &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}
 	if err := errors.Join(unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1), unix.Bind(fd, loopback)); err != nil {
-		return port{}, errors.Join(err, unix.Close(fd))
+		return reservedPort{}, errors.Join(err, unix.Close(fd))
 	}
 	at, err := unix.Getsockname(fd)
 	if err != nil {
-		return port{}, errors.Join(err, unix.Close(fd))
+		return reservedPort{}, errors.Join(err, unix.Close(fd))
 	}
-	at4 := at.(*unix.SockaddrInet4) // as it was bound
-	return port{(&net.TCPAddr{IP: at4.Addr[:], Port: at4.Port}).String(), fd}, nil
+	at4 := at.(*unix.SockaddrInet4) // the socket is AF_INET
+	return reservedPort{(&net.TCPAddr{IP: at4.Addr[:], Port: at4.Port}).String(), fd}, nil
 }
 
-// Close gives the port back.
-func (p port) Close() error { return unix.Close(p.fd) }
+// Close releases the port.
+func (p reservedPort) Close() error { return unix.Close(p.fd) }
--- a/internal/standin/lab/ports_test.go
+++ b/internal/standin/lab/ports_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// A port that is kept goes to whoever listens at its very address, as an instance does, and
-// is given to nobody who asks for any: so many ask that each free one must come up.
-func TestKeptPortIsGivenToNobody(t *testing.T) {
-	kept, err := keepPort()
+// A reserved port can be listened on by its address, as an instance does, and is never assigned to a socket that asks
+// for any free port. The number of attempts exceeds the number of ephemeral ports.
+func TestReservedPortIsNotReassigned(t *testing.T) {
+	kept, err := reservePort()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	for range 2 { // at a restart too
+	for range 2 { // again, as after a restart
 		l, err := net.Listen("tcp", kept.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if l.Addr().String() == kept.addr {
-			t.Fatal("the port was given away")
+			t.Fatal("the reserved port was assigned to another socket")
 		}
 		l.Close()
 	}
--- a/internal/standin/lab/relearn.go
+++ b/internal/standin/lab/relearn.go
@@ -11,27 +11,27 @@
 	"otterstep/internal/fleet/duty"
 )
 
-// Relearning is what it costs agents to learn again what is desired.
+// Relearning is the cost of agents recovering their desired state from the council.
 type Relearning struct {
-	All                      time.Duration   // until the last had asked, was told and had reported
-	Each                     []time.Duration // sorted
-	Told, ToldMost, Reported int             // bytes, as JSON
+	All                      time.Duration   // until the last agent had its state and had reported it
+	Each                     []time.Duration // per agent, sorted
+	Told, ToldMost, Reported int             // bytes of JSON: from the council in total, in the largest answer, and reported by agents
 }
 
-// Relearn has a council know of some agents and their instances; then all of them ask at once,
-// as after a loss of all records, and report what they were told. The agents are played here,
-// the council is of processes.
+// Relearn registers agents with their instances at a council. Then all of the agents request their desired state at
+// once, as after a loss of all records, and report it back. The council consists of real agent processes; this
+// function makes the requests of the other agents.
 func Relearn(ctx context.Context, opt Options, agents, instances int) (r Relearning, err error) {
 	l, err := New(ctx, opt)
 	if err != nil {
 		return r, err
 	}
 	defer l.Close()
-	if err := (&faultPlayer{lab: l}).whole(ctx); err != nil {
+	if err := (&faultRunner{lab: l}).waitForCouncil(ctx); err != nil {
 		return r, err
 	}
 	var mu sync.Mutex
-	round := func(do func(agent string, n int) error) error {
+	forEachAgent := func(do func(agent string, n int) error) error {
 		var work sync.WaitGroup
 		errs := make([]error, agents)
 		for n := range agents {
@@ -49,7 +49,7 @@
 		a, err := l.Fleet.Do(ctx, duty.Command{Report: &duty.Report{Agent: agent, Folder: folder, Starts: 1, Asks: known == nil, Instances: known}})
 		return a.Told, err
 	}
-	err = round(func(agent string, n int) error {
+	err = forEachAgent(func(agent string, n int) error {
 		known := map[string]duty.Desired{}
 		for i := n; i < instances; i += agents {
 			known[fmt.Sprintf("instance-%04d", i+1)] = duty.Desired{Up: i%10 > 0, Generation: uint64(i%7 + 1), Group: "booking"}
@@ -61,13 +61,13 @@
 		return r, err
 	}
 	began := time.Now()
-	err = round(func(agent string, n int) error {
+	err = forEachAgent(func(agent string, n int) error {
 		told, err := report(agent, "after", nil)
 		if err != nil {
 			return err
 		}
 		if want := (instances - n + agents - 1) / agents; !told.Known || len(told.Instances) != want {
-			return fmt.Errorf("%s is told of %d instances, want %d", agent, len(told.Instances), want)
+			return fmt.Errorf("agent %s got %d instances from the council, want %d", agent, len(told.Instances), want)
 		}
 		if _, err := report(agent, "after", told.Instances); err != nil {
 			return err
--- a/internal/standin/lab/remote.go
+++ b/internal/standin/lab/remote.go
@@ -15,12 +15,12 @@
 	"otterstep/internal/control"
 )
 
-// remoteSocket is where a lab takes commands to its boxes.
-const remoteSocket = "lab.sock"
+// commandSocket is the socket, in the lab's directory, on which a lab accepts commands for its boxes.
+const commandSocket = "lab.sock"
 
-// Serve takes commands on a socket in the lab's folder until ctx ends.
+// Serve accepts commands on a socket in the lab's directory until ctx ends.
 func (l *Lab) Serve(ctx context.Context) error {
-	listener, err := control.Listen(filepath.Join(l.opt.Dir, remoteSocket))
+	listener, err := control.Listen(filepath.Join(l.opt.Dir, commandSocket))
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// Command carries out a command to a box: its uid, a word, and a number for some.
+// Command executes a box command: the box's uid, the name of the command and, for slow and fail, a number.
 func (l *Lab) Command(words []string) error {
-	usage := fmt.Errorf("lab: want BOX and one of hang, slow TIMES, fail SHARE, heal, drain, leave, crash, return")
+	usage := fmt.Errorf("lab: usage: BOX followed by one of hang, slow TIMES, fail SHARE, heal, drain, leave, crash, return")
 	if len(words) < 2 {
 		return usage
 	}
@@ -62,13 +62,13 @@
 		return err
 	}
 	number := 0.0
-	wants := words[1] == "slow" || words[1] == "fail"
-	if wants != (len(words) == 3) {
+	wantsNumber := words[1] == "slow" || words[1] == "fail"
+	if wantsNumber != (len(words) == 3) {
 		return usage
 	}
-	if wants {
+	if wantsNumber {
 		if number, err = strconv.ParseFloat(words[2], 64); err != nil || !(number >= 0 && number <= 1000) {
-			return fmt.Errorf("lab: %q is no number from 0 to 1000", words[2])
+			return fmt.Errorf("lab: %q is not a number from 0 to 1000", words[2])
 		}
 	}
 	switch words[1] {
@@ -94,11 +94,10 @@
 	return nil
 }
 
-// Ask has the lab in a folder carry out a command to a box, or tell its status if
-// there are no words.
+// Ask sends a box command to the lab that runs in a directory. Without words it returns the lab's status.
 func Ask(ctx context.Context, dir string, words []string) (string, error) {
 	t := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, "unix", filepath.Join(dir, remoteSocket))
+		return new(net.Dialer).DialContext(ctx, "unix", filepath.Join(dir, commandSocket))
 	}}
 	method, url := http.MethodGet, "http://lab/status"
 	if len(words) > 0 {
@@ -110,7 +109,7 @@
 	}
 	resp, err := t.RoundTrip(req)
 	if err != nil {
-		return "", fmt.Errorf("no lab answers in %s: %w", dir, err)
+		return "", fmt.Errorf("no lab is running in %s: %w", dir, err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
--- a/internal/standin/lab/return_test.go
+++ b/internal/standin/lab/return_test.go
@@ -25,27 +25,26 @@
 	"otterstep/internal/standin/mutant"
 )
 
-// keptEvery is how often instances of a lab write what they keep.
-const keptEvery = time.Second
+// saveInterval is the interval at which instances of a lab save their state.
+const saveInterval = time.Second
 
-func (w *owned) keptFile(i Instance) string { return filepath.Join(w.opt.Dir, i.Name+".kept") }
+func (w *testFleet) savedFile(i Instance) string { return filepath.Join(w.opt.Dir, i.Name+".kept") }
 
-// returnLab is a fleet of twelve nodes before six small boxes in two zones, whose nodes keep what they know.
-// The boxes bear a little more than what is asked for when they are warm, and fall over at half as much
-// again as they can do while they are cold.
-func returnLab(t *testing.T, change func(*Options)) *owned {
-	w := plainLab(t, func(o *Options) {
-		o.Instances, o.Agents, o.Boxes, o.Rate, o.Keep, o.Doors = 12, 3, 6, 60, true, true
+// restartLab starts a fleet of twelve nodes that save their state, with six small boxes in two zones. The capacity of
+// warm boxes is slightly above the request rate. Cold boxes fall over at 1.5 times their capacity.
+func restartLab(t *testing.T, change func(*Options)) *testFleet {
+	w := labWithoutCouncil(t, func(o *Options) {
+		o.Instances, o.Agents, o.Boxes, o.Rate, o.SaveState, o.OperatorPorts = 12, 3, 6, 60, true, true
 		o.FallMultiple, o.Zones = 1.5, []string{"room1", "room2"}
-		o.Shape = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 2, 0.5, 8 }
+		o.AdjustBox = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 2, 0.5, 8 }
 		if change != nil {
 			change(o)
 		}
 	})
-	w.until("all instances keep the list", func() bool {
+	w.waitUntil("all instances have saved the list", func() bool {
 		for _, i := range w.Instances {
-			text, err := os.ReadFile(w.keptFile(i) + ".a")
-			if w.opt.Keep && (err != nil || strings.Count(string(text), `"endpoint"`) < len(w.Boxes)) {
+			text, err := os.ReadFile(w.savedFile(i) + ".a")
+			if w.opt.SaveState && (err != nil || strings.Count(string(text), `"endpoint"`) < len(w.Boxes)) {
 				return false
 			}
 		}
@@ -54,9 +53,9 @@
 	return w
 }
 
-// down kills all nodes and agents.
-func (w *owned) down() {
-	defer func() { w.cut = w.Clients.Begun() }()
+// killAll kills all nodes and agents.
+func (w *testFleet) killAll() {
+	defer func() { w.begunAtKill = w.Clients.Begun() }()
 	var all sync.WaitGroup
 	for n := range w.opt.Agents {
 		all.Go(func() { w.KillMachine(n) })
@@ -64,8 +63,8 @@
 	all.Wait()
 }
 
-// up starts all agents, and they the nodes.
-func (w *owned) up() {
+// startAll starts all agents, which start the nodes.
+func (w *testFleet) startAll() {
 	w.t.Helper()
 	for n := range w.opt.Agents {
 		if err := w.StartAgent(n, false); err != nil {
@@ -74,12 +73,12 @@
 	}
 }
 
-// powerCut kills all nodes, agents and boxes, with discovery gone. Boxes come back cold, agents at once
-// behind them.
-func (w *owned) powerCut(meanwhile func()) {
+// powerCut takes discovery down and kills all nodes, agents and boxes. After meanwhile has run, it returns the boxes,
+// which are cold, and starts the agents.
+func (w *testFleet) powerCut(meanwhile func()) {
 	w.t.Helper()
 	w.Discovery.Down(true)
-	w.down()
+	w.killAll()
 	for _, b := range w.Boxes {
 		b.Crash()
 	}
@@ -89,27 +88,27 @@
 			w.t.Fatal(err)
 		}
 	}
-	w.up()
+	w.startAll()
 }
 
-// rekeep changes what an instance that is down has kept.
-func (w *owned) rekeep(i Instance, change func(*kept.View)) {
+// editSavedState changes the saved state of an instance that is not running.
+func (w *testFleet) editSavedState(i Instance, change func(*kept.View)) {
 	w.t.Helper()
-	s, v, said := kept.Open(record.OS{}, w.keptFile(i), i.Name)
+	s, v, problems := kept.Open(record.OS{}, w.savedFile(i), i.Name)
 	defer s.Close()
 	if v == nil {
-		w.t.Fatalf("%s keeps nothing: %v", i.Name, said)
+		w.t.Fatalf("%s has no saved state: %v", i.Name, problems)
 	}
 	change(v)
-	for range 2 { // both generations
+	for range 2 { // both generations of the file
 		if err := s.Save(*v); err != nil {
 			w.t.Fatal(err)
 		}
 	}
 }
 
-// aged makes what was kept so much older; it was kept before the machine's latest start then.
-func aged(by time.Duration) func(*kept.View) {
+// withAge makes saved state older by the given time, and makes it look saved before the machine's last boot.
+func withAge(by time.Duration) func(*kept.View) {
 	return func(v *kept.View) {
 		v.Saved.Wall, v.Confirmed.Wall = v.Saved.Wall.Add(-by), v.Confirmed.Wall.Add(-by)
 		v.Saved.Boot, v.Confirmed.Boot = "another", "another"
@@ -118,22 +117,22 @@
 
 var requestID = regexp.MustCompile(`[0-9a-f]{8}([0-9a-f]{8})`)
 
-// broke gives the ledger's words on broken rules. Requests that the latest kill itself has taken along are
-// left out: they got no answer, and their clients, who saw a connection end, may have sent them again.
-func (w *owned) broke() (all []string) {
-	for _, word := range w.Ledger.Report().Words {
-		if id := requestID.FindStringSubmatch(word); id != nil {
-			if n, err := strconv.ParseInt(id[1], 16, 64); err == nil && int(n) <= w.cut {
+// violations returns descriptions of the rule violations, without those of requests that had begun when all processes
+// were last killed: these got no answer, and clients may have sent them again when their connections ended.
+func (w *testFleet) violations() (all []string) {
+	for _, violation := range w.Ledger.Report().Words {
+		if id := requestID.FindStringSubmatch(violation); id != nil {
+			if n, err := strconv.ParseInt(id[1], 16, 64); err == nil && int(n) <= w.begunAtKill {
 				continue
 			}
 		}
-		all = append(all, word)
+		all = append(all, violation)
 	}
 	return all
 }
 
-// serves waits until the fleet serves a share of what is asked for, over a second.
-func (w *owned) serves(share float64) {
+// waitForServedShare waits until the fleet serves the given share of the request rate over one second.
+func (w *testFleet) waitForServedShare(share float64) {
 	w.t.Helper()
 	best := 0
 	for end := time.Now().Add(45 * time.Second); time.Now().Before(end); {
@@ -148,47 +147,47 @@
 	for _, b := range w.Boxes {
 		boxes = append(boxes, b.UID()+" "+b.State())
 	}
-	w.t.Fatalf("the fleet serves %d a second at best, of %v that are asked for: %v, %v", best, w.opt.Rate, boxes, w.broke())
+	w.t.Fatalf("the fleet serves at most %d requests per second of %v: %v, %v", best, w.opt.Rate, boxes, w.violations())
 }
 
-// returns is a case of nodes that come back together.
-type returns struct {
-	change    func(o *Options)
-	meanwhile func(w *owned) // everything is down
-	behind    func(w *owned) // all have been started, discovery is away
-	share     float64        // of what is asked for that is served in the end; 0.9 if 0
-	least     int            // served while discovery is away
+// restartCase is a case of a restart of all nodes at once.
+type restartCase struct {
+	change     func(o *Options)
+	meanwhile  func(w *testFleet) // runs while all processes are down
+	afterStart func(w *testFleet) // runs after the start of all agents, while discovery is down
+	minShare   float64            // of the request rate that has to be served in the end; 0.9 if 0
+	minServed  int                // requests that have to be served while discovery is down
 }
 
-var manyReturns = map[string]returns{
-	// Whatever some of the files are, their nodes start, say so and go by the rest; a server that is drained
-	// meanwhile gets nothing once its node is told.
+var restartCases = map[string]restartCase{
+	// Nodes start whatever the condition of their files, log what is wrong, and use what is valid. A server that is
+	// drained meanwhile gets no requests from a node that knows.
 	"files of all ages": {
-		least: 30,
-		meanwhile: func(w *owned) {
-			spoil := func(n int, do func(path string) error) {
+		minServed: 30,
+		meanwhile: func(w *testFleet) {
+			damage := func(n int, do func(path string) error) {
 				for _, suffix := range []string{".a", ".b"} {
-					if err := do(w.keptFile(w.Instances[n]) + suffix); err != nil && !errors.Is(err, os.ErrNotExist) {
+					if err := do(w.savedFile(w.Instances[n]) + suffix); err != nil && !errors.Is(err, os.ErrNotExist) {
 						w.t.Fatal(err)
 					}
 				}
 			}
-			spoil(0, func(path string) error { return os.Truncate(path, 100) })
-			spoil(1, func(path string) error { // another node's
-				text, err := os.ReadFile(w.keptFile(w.Instances[2]) + ".a")
+			damage(0, func(path string) error { return os.Truncate(path, 100) })
+			damage(1, func(path string) error { // the file of another node
+				text, err := os.ReadFile(w.savedFile(w.Instances[2]) + ".a")
 				return errors.Join(err, os.WriteFile(path, text, 0o600))
 			})
-			spoil(3, func(path string) error { return errors.Join(os.RemoveAll(path), os.Mkdir(path, 0o700)) })
-			w.rekeep(w.Instances[5], aged(time.Hour))
-			w.rekeep(w.Instances[6], aged(21*24*time.Hour))
-			w.rekeep(w.Instances[7], aged(-24*time.Hour)) // the wall clock went back by a day
-			w.rekeep(w.Instances[8], aged(40*24*time.Hour))
+			damage(3, func(path string) error { return errors.Join(os.RemoveAll(path), os.Mkdir(path, 0o700)) })
+			w.editSavedState(w.Instances[5], withAge(time.Hour))
+			w.editSavedState(w.Instances[6], withAge(21*24*time.Hour))
+			w.editSavedState(w.Instances[7], withAge(-24*time.Hour)) // saved in the future: the wall clock was set back by a day
+			w.editSavedState(w.Instances[8], withAge(40*24*time.Hour))
 		},
-		behind: func(w *owned) {
+		afterStart: func(w *testFleet) {
 			for n, want := range map[int]string{
 				0: "can't be used", 1: "not of", 3: "directory", 4: "used=6", 5: "age=1h", 6: "age=504h", 7: "age_known=false", 8: "used=0",
 			} {
-				w.until(w.Instances[n].Name+" says "+want, func() bool {
+				w.waitUntil(w.Instances[n].Name+" logs "+want, func() bool {
 					text, err := os.ReadFile(w.Instances[n].LogFile)
 					return err == nil && strings.Contains(string(text), want)
 				})
@@ -197,17 +196,17 @@
 		},
 	},
 	"a zone cut off": {
-		least: 15,
-		behind: func(w *owned) {
+		minServed: 15,
+		afterStart: func(w *testFleet) {
 			for n := 1; n < len(w.Boxes); n += 2 {
 				w.Boxes[n].Hang(true)
 			}
 		},
 	},
-	// Their nodes know them as fast ones, under other names.
+	// In the nodes' saved state, faster servers with other names have these addresses.
 	"others at the same addresses": {
-		least: 15,
-		behind: func(w *owned) {
+		minServed: 15,
+		afterStart: func(w *testFleet) {
 			for n := 0; n < len(w.Boxes); n += 2 {
 				b, err := w.Boxes[n].Replace(fmt.Sprint("t", n), 1.5)
 				if err != nil {
@@ -217,39 +216,40 @@
 			}
 		},
 	},
-	"clients that come back": {
-		least:  30,
-		change: func(o *Options) { o.Comeback = comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3} },
+	"clients that retry": {
+		minServed: 30,
+		change:    func(o *Options) { o.ClientBehavior = comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3} },
 	},
-	// Servers would be pushed over by less than this: see TestReturnsSeeNodesThatBelieveTheirList.
-	"more than boxes can do, from clients that come back": {
-		least: 30,
-		share: 0.4,
+	// A lower rate would suffice to make servers fall over: see TestCheckerDetectsTrustInSavedState.
+	"overload by clients that retry": {
+		minServed: 30,
+		minShare:  0.4,
 		change: func(o *Options) {
-			o.Rate, o.Comeback, o.FallMultiple = 110, comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3}, 1.2
-			o.Shape = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 1, 1, 1 }
+			o.Rate, o.ClientBehavior, o.FallMultiple = 110, comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3}, 1.2
+			o.AdjustBox = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 1, 1, 1 }
 		},
 	},
-	// A second mass kill at each second of the first ten.
-	"killed again and again": {
-		least: 15,
-		behind: func(w *owned) {
+	// All processes are killed again ten times, after 1 s, 2 s and so on up to 10 s.
+	"killed repeatedly": {
+		minServed: 15,
+		afterStart: func(w *testFleet) {
 			for after := range 10 {
 				time.Sleep(time.Duration(after+1) * time.Second)
-				w.down()
-				w.up()
+				w.killAll()
+				w.startAll()
 			}
 		},
 	},
 	"two minutes without discovery": {
-		least:  60 * 60, // half of what is asked for
-		behind: func(*owned) { time.Sleep(2 * time.Minute) },
+		minServed:  60 * 60, // half of the requests
+		afterStart: func(*testFleet) { time.Sleep(2 * time.Minute) },
 	},
 }
 
-// play has all come back together while discovery is away, then overbooked, and judges.
-func (c returns) play(t *testing.T, node string) (*owned, int) {
-	w := returnLab(t, func(o *Options) {
+// run restarts all processes at once while discovery is down, and then brings discovery back overloaded. It returns the
+// number of requests served while discovery was down.
+func (c restartCase) run(t *testing.T, node string) (*testFleet, int) {
+	w := restartLab(t, func(o *Options) {
 		if node != "" {
 			o.Node = []string{node}
 		}
@@ -263,12 +263,12 @@
 		}
 	})
 	was := w.served()
-	if c.behind != nil {
-		c.behind(w)
+	if c.afterStart != nil {
+		c.afterStart(w)
 	}
-	w.until("they serve without discovery", func() bool { return w.served() >= was+c.least || len(w.broke()) > 0 })
+	w.waitUntil("nodes serve without discovery", func() bool { return w.served() >= was+c.minServed || len(w.violations()) > 0 })
 	time.Sleep(2 * time.Second)
-	away := w.served() - was
+	servedWithoutDiscovery := w.served() - was
 	for _, b := range w.Boxes {
 		if b.State() == "hanging" {
 			b.Heal()
@@ -276,34 +276,35 @@
 	}
 	w.Discovery.Overbook(10)
 	w.Discovery.Down(false)
-	return w, away
+	return w, servedWithoutDiscovery
 }
 
-// All of a fleet of twelve and its cold boxes come back while discovery is away: with what was kept the nodes
-// serve long before discovery does, push nobody over, and serve nine in ten behind its return, although it
-// answers one call in ten. No rule is broken by then.
+// A fleet of twelve nodes and its boxes, which are cold, restart while discovery is down. With their saved state nodes
+// serve before discovery is back and overload no box. They serve nine in ten requests once discovery is back, although
+// it answers only one request in ten. No rule is broken.
 func TestNodesComeBackTogether(t *testing.T) {
 	t.Parallel()
-	for name, c := range manyReturns {
+	for name, c := range restartCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if name != "others at the same addresses" {
-				further(t)
+				skipIfShort(t)
 			}
-			w, away := c.play(t, "")
-			w.serves(cmp.Or(c.share, 0.9))
-			w.allBut()
-			if broke := w.broke(); len(broke) > 0 {
+			w, servedWithoutDiscovery := c.run(t, "")
+			w.waitForServedShare(cmp.Or(c.minShare, 0.9))
+			w.waitUpExcept()
+			if broke := w.violations(); len(broke) > 0 {
 				t.Errorf("%v", broke)
 			}
-			t.Logf("served %d while discovery was away", away)
+			t.Logf("served %d requests while discovery was down", servedWithoutDiscovery)
 		})
 	}
 }
 
-// A build whose module takes what was kept at its word is seen to push boxes over in the same test.
-func TestReturnsSeeNodesThatBelieveTheirList(t *testing.T) {
-	further(t)
+// Checks the checker: it has to detect a balancer that trusts its saved state without limiting the load of servers that
+// may be cold.
+func TestCheckerDetectsTrustInSavedState(t *testing.T) {
+	skipIfShort(t)
 	dir := t.TempDir()
 	bin, err := mutant.Build(dir, "cmd/otterstep", mutant.Change{
 		File: "policy/policy.go", Old: "if s.Doubted && b.set.Rules.ColdFor > 0 {", New: "if s.Doubted && false {",
@@ -312,33 +313,33 @@
 		t.Fatal(err)
 	}
 	t.Parallel()
-	c := manyReturns["more than boxes can do, from clients that come back"]
-	w, _ := c.play(t, bin)
-	w.until("somebody is pushed over", func() bool { return len(w.broke()) > 0 })
-	if !slices.ContainsFunc(w.broke(), func(word string) bool { return strings.Contains(word, "pushed over") }) {
-		t.Errorf("nobody is pushed over: %v", w.broke())
+	c := restartCases["overload by clients that retry"]
+	w, _ := c.run(t, bin)
+	w.waitUntil("a box is pushed over", func() bool { return len(w.violations()) > 0 })
+	if !slices.ContainsFunc(w.violations(), func(word string) bool { return strings.Contains(word, "pushed over") }) {
+		t.Errorf("no box was pushed over: %v", w.violations())
 	}
 }
 
-// Without the kept list nothing is served until discovery is back.
-func TestNodesWithoutKeptListsWait(t *testing.T) {
+// Without saved state nothing is served until discovery is back.
+func TestNodesWithoutSavedStateWait(t *testing.T) {
 	t.Parallel()
-	w := returnLab(t, func(o *Options) { o.Keep, o.Instances = false, 6 })
+	w := restartLab(t, func(o *Options) { o.SaveState, o.Instances = false, 6 })
 	w.powerCut(func() {})
-	w.allBut()
+	w.waitUpExcept()
 	was := w.served()
 	time.Sleep(2 * time.Second)
 	if now := w.served(); now != was {
-		t.Errorf("%d were served by nodes that know no server", now-was)
+		t.Errorf("%d requests were served by nodes that know no server", now-was)
 	}
 	w.Discovery.Down(false)
-	w.until("they serve with discovery", func() bool { return w.served() > was+100 })
+	w.waitUntil("nodes serve with discovery", func() bool { return w.served() > was+100 })
 }
 
-// tell calls an instance's door.
-func (w *owned) tell(i Instance, path string) {
+// callOperator sends a request to an instance's operator API.
+func (w *testFleet) callOperator(i Instance, path string) {
 	w.t.Helper()
-	r, err := http.NewRequestWithContext(w.ctx(2*time.Second), http.MethodPost, "http://"+i.Door+path, nil)
+	r, err := http.NewRequestWithContext(w.ctx(2*time.Second), http.MethodPost, "http://"+i.OperatorAddr+path, nil)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -352,21 +353,21 @@
 	}
 }
 
-// A ban told at the moment of the kill holds when all come back without discovery; and nodes that are
-// killed in their first second, again and again, neither write their file nor make it any younger.
+// A cordon acknowledged just before all processes are killed is in effect when they restart without discovery. Nodes
+// that are killed repeatedly in their first second do not write their saved state, so that it does not look newer.
 func TestBansAndCrashLoops(t *testing.T) {
-	further(t)
+	skipIfShort(t)
 	t.Parallel()
-	w := returnLab(t, func(o *Options) { o.Instances, o.Rate = 3, 30 })
+	w := restartLab(t, func(o *Options) { o.Instances, o.Rate = 3, 30 })
 	for _, i := range w.Instances {
-		w.tell(i, "/admin/cordon/s1")
+		w.callOperator(i, "/admin/cordon/s1")
 	}
-	w.down() // SIGKILL, right behind the last yes
+	w.killAll() // SIGKILL right after the last acknowledgement
 	w.Discovery.Down(true)
 	files := func() (all []string) {
 		for _, i := range w.Instances {
 			for _, suffix := range []string{".a", ".b"} {
-				text, err := os.ReadFile(w.keptFile(i) + suffix)
+				text, err := os.ReadFile(w.savedFile(i) + suffix)
 				if err != nil {
 					w.t.Fatal(err)
 				}
@@ -377,29 +378,29 @@
 	}
 	before := files()
 	for range 5 {
-		w.up()
+		w.startAll()
 		time.Sleep(700 * time.Millisecond)
-		w.down()
+		w.killAll()
 	}
 	if !slices.Equal(files(), before) {
-		t.Error("a crash loop wrote to the files")
+		t.Error("a crash loop changed the saved state")
 	}
-	w.up()
+	w.startAll()
 	was := w.served()
-	w.until("they serve without discovery", func() bool { return w.served() > was+30 })
+	w.waitUntil("nodes serve without discovery", func() bool { return w.served() > was+30 })
 	for _, i := range w.Instances {
 		inspection, err := control.Inspect(context.Background(), i.Control)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(inspection.Servers) != len(w.Boxes)-1 || inspection.Return == nil || !inspection.Return.Used || inspection.Return.Heard {
-			t.Errorf("%s goes by %d servers, %+v", i.Name, len(inspection.Servers), inspection.Return)
+			t.Errorf("%s uses %d servers, %+v", i.Name, len(inspection.Servers), inspection.Return)
 		}
 	}
-	// An operator has one go back to nothing, and another one's file stay as it is; the ban holds at both.
+	// An operator has n1 discard its saved state and n2 freeze its own. The cordon stays in effect at both.
 	tool := func(args ...string) string {
 		t.Helper()
-		out, code := ctlRun(append(append([]string{"kept"}, args...), "--fleet", w.FleetFile)...)
+		out, code := runCtl(append(append([]string{"kept"}, args...), "--fleet", w.FleetFile)...)
 		if code != cli.OK {
 			t.Errorf("%v: exit code %d\n%s", args, code, out)
 		}
@@ -412,27 +413,27 @@
 	}
 	w.Discovery.Down(false)
 	was = w.served()
-	w.until("they serve with discovery", func() bool { return w.served() > was+30 })
-	time.Sleep(2 * keptEvery)
-	w.down()
+	w.waitUntil("nodes serve with discovery", func() bool { return w.served() > was+30 })
+	time.Sleep(2 * saveInterval)
+	w.killAll()
 	for n, servers := range []int{len(w.Boxes), len(w.Boxes), len(w.Boxes)} {
-		w.rekeep(w.Instances[n], func(v *kept.View) {
+		w.editSavedState(w.Instances[n], func(v *kept.View) {
 			if len(v.Servers) != servers || len(v.Hand) != 1 || v.Held != (n == 1) || v.Rev == 0 {
-				t.Errorf("n%d keeps %d servers, %+v by hand, held %v, rev %d", n+1, len(v.Servers), v.Hand, v.Held, v.Rev)
+				t.Errorf("saved state of n%d: %d servers, manual cordons %+v, frozen %v, revision %d", n+1, len(v.Servers), v.Hand, v.Held, v.Rev)
 			}
 			if n == 1 && !strings.Contains(before[2], v.Confirmed.Wall.Format("2006-01-02T15:04:05.999999999")) && !strings.Contains(before[3], v.Confirmed.Wall.Format("2006-01-02T15:04:05.999999999")) {
-				t.Errorf("n2's was held, and is of %v", v.Confirmed.Wall)
+				t.Errorf("the saved state of n2 was frozen, but was confirmed at %v", v.Confirmed.Wall)
 			}
 		})
 	}
-	if broke := w.broke(); len(broke) > 0 {
+	if broke := w.violations(); len(broke) > 0 {
 		t.Errorf("%v", broke)
 	}
 }
 
-// Many who ask one node at once while it goes by its list are refused, and called back at different times. A
-// build that calls them back together is seen.
-func TestRefusalsOnTheWayBackAreSpread(t *testing.T) {
+// When many requests at once reach a node that uses its saved list of servers, those that are refused get Retry-After
+// values that are spread. The test has to detect a build without the spread.
+func TestRetryAfterIsSpreadDuringRecovery(t *testing.T) {
 	bin, err := mutant.Build(t.TempDir(), "cmd/otterstep", mutant.Change{
 		File: "policy/comeback.go", Old: "return wait/2 + time.Duration(b.rng.Float64()*float64(most-wait/2))", New: "return most",
 	})
@@ -443,34 +444,34 @@
 	for name, program := range map[string]string{"as it is": "", "without spread": bin} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := returnLab(t, func(o *Options) {
+			w := restartLab(t, func(o *Options) {
 				if o.Instances, o.Rate = 3, 20; program != "" {
 					o.Node = []string{program}
 				}
 			})
 			w.powerCut(func() {})
 			was := w.served()
-			w.until("they serve without discovery", func() bool { return w.served() > was+5 })
-			after := w.refusals(w.Instances[0], 150)
+			w.waitUntil("nodes serve without discovery", func() bool { return w.served() > was+5 })
+			after := w.retryAfters(w.Instances[0], 150)
 			if len(after) < 50 {
 				t.Fatalf("%d of 150 were refused", len(after))
 			}
 			slices.Sort(after)
-			apart := after[len(after)*9/10] - after[len(after)/10]
-			if spread := apart >= 50*time.Millisecond; spread != (program == "") {
-				t.Errorf("eight in ten of %d are called back within %v", len(after), apart)
+			interdecile := after[len(after)*9/10] - after[len(after)/10]
+			if spread := interdecile >= 50*time.Millisecond; spread != (program == "") {
+				t.Errorf("eight in ten of %d Retry-After values are within %v", len(after), interdecile)
 			}
 		})
 	}
 }
 
-// refusals asks an instance many times at once, and gives when those that it refused may come again.
-func (w *owned) refusals(i Instance, times int) (all []time.Duration) {
+// retryAfters sends many requests at once to an instance and returns the Retry-After values of those that were refused.
+func (w *testFleet) retryAfters(i Instance, times int) (all []time.Duration) {
 	w.t.Helper()
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	var mu sync.Mutex
 	for n := range times {
-		asking.Go(func() {
+		requests.Go(func() {
 			r, err := http.NewRequestWithContext(w.ctx(5*time.Second), http.MethodGet, "http://"+i.Addr+"/avail-read/k1", nil)
 			if err != nil {
 				w.t.Error(err)
@@ -492,6 +493,6 @@
 			}
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 	return all
 }
--- a/internal/standin/lab/returnplot.go
+++ b/internal/standin/lab/returnplot.go
@@ -8,23 +8,23 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg" // the format
+	_ "gonum.org/v1/plot/vg/vgsvg" // registers the SVG format
 )
 
-// Colours that also differ in brightness (Okabe and Ito's set).
+// returnColors differ in brightness too (Okabe and Ito's palette).
 var returnColors = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff},
 	color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff}, color.RGBA{0x33, 0x33, 0x33, 0xff},
 }
 
-// Named is a fleet's return with what a plot calls it.
+// Named is a Return with its name in the legend of a plot.
 type Named struct {
 	Name string
 	Return
 	Dashed bool
 }
 
-// PlotReturns draws the share of the service of before over time, as an SVG file.
+// PlotReturns plots the share of instances that serve over time and writes it to an SVG file.
 func PlotReturns(path string, all []Named) error {
 	var series []Series
 	for _, r := range all {
@@ -34,10 +34,10 @@
 		}
 		series = append(series, s)
 	}
-	return Axes{"Service of before, after all processes were killed", "seconds since the last agent's start", "share"}.Plot(path, series)
+	return Axes{"Share of instances serving, after all processes were killed", "seconds since the last agent's start", "share"}.Plot(path, series)
 }
 
-// Series is a line of a plot; X and Y are as long.
+// Series is a line of a plot. X and Y have the same length.
 type Series struct {
 	Name   string
 	X, Y   []float64
@@ -45,10 +45,10 @@
 	Dashed bool
 }
 
-// Axes says what a plot shows.
+// Axes has the title of a plot and the labels of its axes.
 type Axes struct{ Title, X, Y string }
 
-// Plot draws steps from the origin on, as an SVG file.
+// Plot plots the series as step functions and writes the plot to an SVG file.
 func (a Axes) Plot(path string, all []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = a.Title, a.X, a.Y
--- a/internal/standin/lab/spawn.go
+++ b/internal/standin/lab/spawn.go
@@ -9,21 +9,20 @@
 
 var ownSession = &syscall.SysProcAttr{Setsid: true}
 
-// process is a child of the lab's.
+// process is a child process of the lab.
 type process struct {
 	cmd   *exec.Cmd
 	ended chan struct{}
 }
 
-// kill ends it at once.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
-	_ = p.cmd.Process.Kill() // fails only for one that has ended
+	_ = p.cmd.Process.Kill() // fails only if the process has ended
 	<-p.ended
 }
 
-// spawner starts children that the kernel kills when this process dies, however it
-// dies. The kernel goes by the thread that started a child, so one thread starts
-// them all and lives as long as the lab.
+// spawner starts child processes that the kernel kills when this process dies for any reason. Pdeathsig is sent when
+// the thread that started the child exits, so a single thread starts all of them and lives as long as the lab.
 type spawner struct {
 	starts chan func()
 	ended  chan struct{}
@@ -42,9 +41,8 @@
 	return s
 }
 
-// run starts a command; its output goes to the end of a file. Files become its descriptors
-// from 3 on.
-func (s *spawner) run(argv, env []string, logFile string, files ...*os.File) (*process, error) {
+// start starts a command and appends its output to logFile. The child inherits files as descriptors 3 and up.
+func (s *spawner) start(argv, env []string, logFile string, files ...*os.File) (*process, error) {
 	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -62,7 +60,7 @@
 	p := &process{cmd, make(chan struct{})}
 	go func() {
 		defer close(p.ended)
-		_ = cmd.Wait() // it is killed in the end
+		_ = cmd.Wait() // children are killed, so an error is expected
 	}()
 	return p, nil
 }
--- a/internal/standin/lab/upgradefleet_test.go
+++ b/internal/standin/lab/upgradefleet_test.go
@@ -12,15 +12,15 @@
 	"otterstep/internal/standin/faults"
 )
 
-// serveWith waits until all instances serve with a program, and nothing is under way any more.
-func (w *worded) serveWith(program string) {
+// waitForProgram waits until all instances serve with a program and the upgrade has ended.
+func (w *desiredStateFleet) waitForProgram(program string) {
 	w.t.Helper()
-	w.until("all serve with "+program, func() bool {
-		v, err := w.Fleet.Desired(w.ctx(askWithin))
+	w.waitUntil("all instances serve with "+program, func() bool {
+		v, err := w.Fleet.Desired(w.ctx(requestTimeout))
 		if err != nil || !v.Current || !v.State.Programs["lab"].Whole || v.State.Program("lab") != program {
 			return false
 		}
-		rows := w.Fleet.List(w.ctx(askWithin)).Rows
+		rows := w.Fleet.List(w.ctx(requestTimeout)).Rows
 		for _, r := range rows {
 			if r.Program != program || r.State != "up" {
 				return false
@@ -30,32 +30,32 @@
 	})
 }
 
-// history gives the notes of all changes.
-func (w *worded) history() (notes []string) {
+// historyNotes returns the author and note of each change.
+func (w *desiredStateFleet) historyNotes() (notes []string) {
 	for _, e := range w.desired().History {
 		notes = append(notes, e.By+": "+e.Note)
 	}
 	return notes
 }
 
-// The whole fleet goes to a new version under load, a trial first and zone after zone, with the owners killed in the
-// middle; versions that do not start, that are slow only under load and whose agent dies in the trial are taken back.
-func TestFleetGoesToANewVersion(t *testing.T) {
+// A fleet under load is upgraded to a new version, first in a trial and then zone by zone, with the owner killed in the
+// middle. A version that does not start and one that is slow only under load are rolled back.
+func TestFleetUpgrade(t *testing.T) {
 	slow := "/bin/false"
 	if !testing.Short() {
-		slow = changedNode(t, SlowUnderLoad)
+		slow = buildChangedNode(t, SlowUnderLoad)
 	}
 	t.Parallel()
-	w := wordLab(t, func(o *Options) {
+	w := desiredStateLab(t, func(o *Options) {
 		o.Rate, o.Zones = 30, []string{"room1", "room2"}
 		o.Programs = map[string][]string{"v2": o.Node, "broken": {"/bin/false"}, "slow": {slow}}
 	})
 	apply := func(program string) string {
-		return w.tool(cli.OK, "apply", "--detach", "-f", w.file(fmt.Sprintf("[budgets]\naway = 1\nzone = 1\nstarts = 5.0\ntrial = \"4s\"\n[[group]]\nname = \"lab\"\nprogram = %q\n", program)))
+		return w.runTool(cli.OK, "apply", "--detach", "-f", w.writeDesired(fmt.Sprintf("[budgets]\naway = 1\nzone = 1\nstarts = 5.0\ntrial = \"4s\"\n[[group]]\nname = \"lab\"\nprogram = %q\n", program)))
 	}
 	apply("v2")
-	w.until("a zone is on its way", func() bool {
-		v, err := w.Fleet.View(w.ctx(askWithin))
+	w.waitUntil("the upgrade of a zone has begun", func() bool {
+		v, err := w.Fleet.View(w.ctx(requestTimeout))
 		if err != nil || !v.Current {
 			return false
 		}
@@ -66,16 +66,16 @@
 		}
 		return false
 	})
-	owner, _ := w.ownerIs()
+	owner, _ := w.currentOwner()
 	if owner != "" {
-		w.KillAgent(number(owner))
-		if err := w.StartAgent(number(owner), false); err != nil {
+		w.KillAgent(agentIndex(owner))
+		if err := w.StartAgent(agentIndex(owner), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.serveWith("v2")
+	w.waitForProgram("v2")
 	stages := map[string]int{}
-	v, err := w.Fleet.View(w.ctx(askWithin))
+	v, err := w.Fleet.View(w.ctx(requestTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 			t.Error(broken)
 		}
 		if verdict.Away > 1 {
-			t.Errorf("%d were away at once", verdict.Away)
+			t.Errorf("%d instances were unavailable at once, want at most 1", verdict.Away)
 		}
 		n := 0
 		for _, s := range verdict.Starts {
@@ -110,54 +110,55 @@
 	}
 
 	apply("broken")
-	w.until("the broken one is taken back", func() bool { return w.desired().Program("lab") == "v2" })
-	w.serveWith("v2")
-	if notes := w.history(); !strings.Contains(notes[len(notes)-1], "fleet: taken back: trial: ") {
+	w.waitUntil("the broken version is rolled back", func() bool { return w.desired().Program("lab") == "v2" })
+	w.waitForProgram("v2")
+	if notes := w.historyNotes(); !strings.Contains(notes[len(notes)-1], "fleet: taken back: trial: ") {
 		t.Errorf("%q", notes)
 	}
 	if testing.Short() {
 		return
 	}
 	apply("slow")
-	w.until("the slow one is taken back", func() bool { return w.desired().Program("lab") == "v2" })
-	w.serveWith("v2")
-	if notes := w.history(); !strings.Contains(notes[len(notes)-1], "of its answers are") || !strings.Contains(notes[len(notes)-1], "answers harmed") {
+	w.waitUntil("the slow version is rolled back", func() bool { return w.desired().Program("lab") == "v2" })
+	w.waitForProgram("v2")
+	if notes := w.historyNotes(); !strings.Contains(notes[len(notes)-1], "of its answers are") || !strings.Contains(notes[len(notes)-1], "answers harmed") {
 		t.Errorf("%q", notes)
 	}
 	starts()
 	w.Unload()
 	if held := w.Print(os.Stderr); !held {
-		t.Error("a rule broke")
+		t.Error("a rule was broken")
 	}
 }
 
-// The agent of a trial's instance dies with it: nothing further begins until it is back, and then all goes on.
-func TestAgentDiesInATrial(t *testing.T) {
+// The agent of the instance under trial and that instance die. No further job begins until the agent is back, and then
+// the upgrade continues.
+func TestAgentKilledDuringTrial(t *testing.T) {
 	t.Parallel()
-	w := wordLab(t, func(o *Options) {
+	w := desiredStateLab(t, func(o *Options) {
 		o.Agents, o.Instances, o.Council.Voters = 4, 4, 3
 		o.Programs = map[string][]string{"v2": o.Node}
 	})
 	for n := range 3 { // m4 does not vote
 		w.Relay(agentName(n), "m4").Delay(0)
 	}
-	w.tool(cli.OK, "apply", "--detach", "-f", w.file("[budgets]\ntrial = \"2s\"\n[[group]]\nname = \"lab\"\nprogram = \"v2\"\n"))
+	w.runTool(cli.OK, "apply", "--detach", "-f", w.writeDesired("[budgets]\ntrial = \"2s\"\n[[group]]\nname = \"lab\"\nprogram = \"v2\"\n"))
 	trial := ""
-	w.until("the trial is under way", func() bool {
-		v, err := w.Fleet.View(w.ctx(askWithin))
+	w.waitUntil("the trial has begun", func() bool {
+		v, err := w.Fleet.View(w.ctx(requestTimeout))
 		if err == nil && len(v.Jobs) > 0 && v.Jobs[0].Intents() > 0 {
 			trial = v.Jobs[0].Targets[0].Agent
 		}
 		return trial != ""
 	})
-	w.KillMachine(number(trial))
+	w.KillMachine(agentIndex(trial))
 	time.Sleep(testLease)
-	v, err := w.Fleet.View(w.ctx(askWithin))
+	v, err := w.Fleet.View(w.ctx(requestTimeout))
 	if err != nil || len(v.Jobs) != 1 {
-		t.Errorf("%d jobs while the trial's agent is away, %v", len(v.Jobs), err)
+		t.Errorf("%d jobs while the trial's agent is down, %v", len(v.Jobs), err)
 	}
-	if err := w.StartAgent(number(trial), false); err != nil {
+	if err := w.StartAgent(agentIndex(trial), false); err != nil {
 		t.Fatal(err)
 	}
-	w.serveWith("v2")
+	w.waitForProgram("v2")
 }
--- a/internal/standin/lab/wordplay.go
+++ b/internal/standin/lab/wordplay.go
@@ -20,32 +20,33 @@
 )
 
 const (
-	probeEvery   = 40 * time.Millisecond  // of each node, so that it has something to send
-	sampleEvery  = 200 * time.Millisecond // of what operators are told
-	arrivalsMost = 500_000
-	claimsMost   = 100_000
-	wordBoxes    = 8 // of which two may be out
+	probeInterval     = 40 * time.Millisecond  // per node, so that each node always has requests to send
+	sampleInterval    = 200 * time.Millisecond // of the status shown to operators
+	maxArrivals       = 500_000
+	maxClaims         = 100_000
+	desiredStateBoxes = 8 // the default budget lets two of them be banned
 )
 
-// wordPlay watches what becomes of the fleet's word.
-type wordPlay struct {
-	lab  *Lab
-	stop context.CancelFunc
-	work sync.WaitGroup
+// stateObserver changes the desired state of a fleet and records what boxes, nodes and operators see of the changes.
+type stateObserver struct {
+	lab        *Lab
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	arrivals []faults.Arrival
-	claims   []faults.Claim
-	agreed   map[uint64]time.Time
-	changes  int
-	stopped  []*proc.Process // nodes
+	mu          sync.Mutex
+	arrivals    []faults.Arrival
+	claims      []faults.Claim
+	agreedAt    map[uint64]time.Time
+	changeCount int
+	stopped     []*proc.Process // node processes under SIGSTOP
 }
 
-// watchWords prepares a fleet's options for it; begin is called with the fleet.
-func watchWords(opt *Options) *wordPlay {
-	w := &wordPlay{agreed: map[uint64]time.Time{}, stop: func() {}}
-	shape := opt.Shape
-	opt.Shape = func(i int, o *standin.BoxOptions) {
+// newStateObserver returns an observer and changes the fleet's options so that boxes report arriving requests to it.
+// The observer's start is called once the fleet runs.
+func newStateObserver(opt *Options) *stateObserver {
+	w := &stateObserver{agreedAt: map[uint64]time.Time{}, stop: func() {}}
+	shape := opt.AdjustBox
+	opt.AdjustBox = func(i int, o *standin.BoxOptions) {
 		if shape != nil {
 			shape(i, o)
 		}
@@ -54,7 +55,7 @@
 			node, _, _ := strings.Cut(id, ".")
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if len(w.arrivals) < arrivalsMost {
+			if len(w.arrivals) < maxArrivals {
 				w.arrivals = append(w.arrivals, faults.Arrival{Node: node, Box: box, At: at})
 			}
 		}
@@ -62,20 +63,20 @@
 	return w
 }
 
-// begin has each node be asked something, and looks at what operators are told, until end.
-func (w *wordPlay) begin(l *Lab) {
+// start sends requests to each node and samples the status shown to operators until close.
+func (w *stateObserver) start(l *Lab) {
 	w.lab = l
 	ctx, stop := context.WithCancel(context.Background())
 	w.stop = stop
 	for _, i := range l.Instances {
-		w.work.Go(func() { w.probe(ctx, i) })
+		w.goroutines.Go(func() { w.probe(ctx, i) })
 	}
-	w.work.Go(func() { w.sample(ctx) })
+	w.goroutines.Go(func() { w.sample(ctx) })
 }
 
-// counted waits until the council knows how many boxes there are.
-func (w *wordPlay) counted(ctx context.Context) error {
-	limit, cancel := context.WithTimeout(ctx, startWithin)
+// waitForServerCount waits until the council knows the number of boxes.
+func (w *stateObserver) waitForServerCount(ctx context.Context) error {
+	limit, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		if v, err := w.lab.Fleet.Desired(limit); err == nil && v.Current && v.State.Servers == len(w.lab.Boxes) {
@@ -83,22 +84,22 @@
 		}
 		select {
 		case <-limit.Done():
-			return fmt.Errorf("lab: the council does not know the boxes: %w", limit.Err())
-		case <-time.After(pollEvery):
+			return fmt.Errorf("lab: council does not know the number of boxes: %w", limit.Err())
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (w *wordPlay) end() {
+func (w *stateObserver) close() {
 	w.stop()
-	w.work.Wait()
+	w.goroutines.Wait()
 }
 
-// probe asks a node for something safe again and again; what it answers does not matter here.
-func (w *wordPlay) probe(ctx context.Context, i Instance) {
+// probe sends safe requests to a node until ctx ends and ignores the answers.
+func (w *stateObserver) probe(ctx context.Context, i Instance) {
 	client := http.Client{Transport: &http.Transport{}, Timeout: 1500 * time.Millisecond}
 	defer client.CloseIdleConnections()
-	every := time.NewTicker(probeEvery)
+	every := time.NewTicker(probeInterval)
 	defer every.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -121,9 +122,9 @@
 	}
 }
 
-// sample looks at what otterctl status would say until ctx ends.
-func (w *wordPlay) sample(ctx context.Context) {
-	every := time.NewTicker(sampleEvery)
+// sample records what otterctl status would show, at intervals until ctx ends.
+func (w *stateObserver) sample(ctx context.Context) {
+	every := time.NewTicker(sampleInterval)
 	defer every.Stop()
 	for {
 		select {
@@ -135,38 +136,38 @@
 	}
 }
 
-// sampleOnce records as claims the versions that otterctl status shows now.
-func (w *wordPlay) sampleOnce(ctx context.Context) {
-	asked := time.Now()
-	_, told := w.lab.Fleet.Standing(ctx, 0)
-	answer := time.Now()
+// sampleOnce records, as claims, the versions that otterctl status shows now.
+func (w *stateObserver) sampleOnce(ctx context.Context) {
+	requestedAt := time.Now()
+	_, byAgent := w.lab.Fleet.Standing(ctx, 0)
+	answeredAt := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for agent, f := range told {
+	for agent, f := range byAgent {
 		for _, t := range f.Instances {
-			if t.Runs && t.Version > 0 && len(w.claims) < claimsMost {
-				w.claims = append(w.claims, faults.Claim{Node: agent + "/" + t.Instance, Version: uint64(t.Version), Asked: asked, Answer: answer})
+			if t.Runs && t.Version > 0 && len(w.claims) < maxClaims {
+				w.claims = append(w.claims, faults.Claim{Node: agent + "/" + t.Instance, Version: uint64(t.Version), Asked: requestedAt, Answer: answeredAt})
 			}
 		}
 	}
 }
 
-// change makes an operator's change of what is there now; one that is refused, or of which no answer comes, is
-// the operator's to repeat.
-func (w *wordPlay) change(ctx context.Context, make func(s *desired.State) *desired.Change) {
-	limit, cancel := context.WithTimeout(ctx, askWithin)
+// submitChange submits a change of the current desired state as an operator does. It does not retry if the change is
+// refused or no answer arrives.
+func (w *stateObserver) submitChange(ctx context.Context, newChange func(s *desired.State) *desired.Change) {
+	limit, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	v, err := w.lab.Fleet.Desired(limit)
 	if err != nil || !v.Current {
 		return
 	}
-	c := make(v.State)
+	c := newChange(v.State)
 	if c == nil {
 		return
 	}
 	w.mu.Lock()
-	w.changes++
-	c.ID = protocol.NewID(time.Now(), uint64(w.changes))
+	w.changeCount++
+	c.ID = protocol.NewID(time.Now(), uint64(w.changeCount))
 	w.mu.Unlock()
 	c.Saw, c.At, c.By = v.State.Document.Version, time.Now(), "campaign"
 	version, err := w.lab.Fleet.Change(limit, *c)
@@ -175,19 +176,19 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, known := w.agreed[uint64(version)]; !known {
-		w.agreed[uint64(version)] = time.Now()
+	if _, known := w.agreedAt[uint64(version)]; !known {
+		w.agreedAt[uint64(version)] = time.Now()
 	}
 }
 
-func banOf(server string, last time.Duration) func(*desired.State) *desired.Change {
+func banChange(server string, duration time.Duration) func(*desired.State) *desired.Change {
 	return func(*desired.State) *desired.Change {
-		return &desired.Change{Set: &desired.Part{Bans: map[string]*desired.Ban{server: {Server: server, Reason: "drawn", For: last}}}}
+		return &desired.Change{Set: &desired.Part{Bans: map[string]*desired.Ban{server: {Server: server, Reason: "drawn", For: duration}}}}
 	}
 }
 
-// lift ends one of the bans that there are.
-func lift(n int) func(*desired.State) *desired.Change {
+// unbanChange removes the n-th of the current bans, modulo their number.
+func unbanChange(n int) func(*desired.State) *desired.Change {
 	return func(s *desired.State) *desired.Change {
 		all := slices.Sorted(maps.Keys(s.Document.Bans))
 		if len(all) == 0 {
@@ -197,34 +198,34 @@
 	}
 }
 
-func undoLatest(s *desired.State) *desired.Change {
+func undoChange(s *desired.State) *desired.Change {
 	if len(s.History) == 0 {
 		return nil
 	}
 	return &desired.Change{Undo: s.History[len(s.History)-1].Version}
 }
 
-// play plays one fault of those that only this knows; false if it is none.
-func (w *wordPlay) play(ctx context.Context, f faults.Fault) (heal func() error, mine bool) {
+// inject injects a fault of the desired state or of a node. It returns false for all other faults.
+func (w *stateObserver) inject(ctx context.Context, f faults.Fault) (heal func() error, handled bool) {
 	server := fmt.Sprint("s", f.Box+1)
 	switch f.Kind {
 	case faults.Ban:
-		w.change(ctx, banOf(server, f.For))
+		w.submitChange(ctx, banChange(server, f.For))
 	case faults.Unban:
-		w.change(ctx, lift(f.Box))
+		w.submitChange(ctx, unbanChange(f.Box))
 	case faults.Undo:
-		w.change(ctx, undoLatest)
+		w.submitChange(ctx, undoChange)
 	case faults.NodeKill:
-		if p := w.node(f.Node); p != nil {
-			_ = p.Signal(syscall.SIGKILL) // it may have ended by itself
+		if p := w.nodeProcess(f.Node); p != nil {
+			_ = p.Signal(syscall.SIGKILL) // fails if the process has ended
 			p.Release()
 		}
 	case faults.NodeStop:
-		p := w.node(f.Node)
+		p := w.nodeProcess(f.Node)
 		if p == nil {
 			break
 		}
-		_ = p.Signal(syscall.SIGSTOP) // likewise
+		_ = p.Signal(syscall.SIGSTOP) // fails if the process has ended
 		w.stopped = append(w.stopped, p)
 		return func() error { _ = p.Signal(syscall.SIGCONT); return nil }, true
 	default:
@@ -233,8 +234,8 @@
 	return nil, true
 }
 
-// node gives a node's process; nil if none runs.
-func (w *wordPlay) node(n int) *proc.Process {
+// nodeProcess returns the process of a node, nil if it is not running.
+func (w *stateObserver) nodeProcess(n int) *proc.Process {
 	p, err := proc.Adopt(w.lab.Instances[n].RunFile)
 	if err != nil {
 		return nil
@@ -242,65 +243,66 @@
 	return p
 }
 
-// heal wakes all nodes.
-func (w *wordPlay) heal() {
+// resumeNodes sends SIGCONT to all stopped nodes.
+func (w *stateObserver) resumeNodes() {
 	for _, p := range w.stopped {
-		_ = p.Signal(syscall.SIGCONT) // it may be gone
+		_ = p.Signal(syscall.SIGCONT) // fails if the process has ended
 		p.Release()
 	}
 	w.stopped = nil
 }
 
-// rest waits until all nodes have confirmed the latest version and nothing more changes by itself; it tells
-// what is not so.
-func (w *wordPlay) rest(ctx context.Context) (state *desired.State, open string) {
+// waitForConvergence waits until all nodes have confirmed the latest version and no ban is left to expire. It returns
+// the state, and what is missing when ctx ends.
+func (w *stateObserver) waitForConvergence(ctx context.Context) (state *desired.State, missing string) {
 	for {
 		v, err := w.lab.Fleet.Desired(ctx)
 		switch {
 		case err != nil || !v.Current:
-			open = fmt.Sprintf("the council has no current word: %v", err)
+			missing = fmt.Sprintf("no current answer from the council: %v", err)
 		default:
-			state, open = v.State, ""
+			state, missing = v.State, ""
 			for id, b := range v.State.Document.Bans {
 				if b.For > 0 {
-					open = fmt.Sprintf("the ban of %s lasts on", id)
+					missing = fmt.Sprintf("the ban of %s has not expired", id)
 				}
 			}
 			if st, _ := w.lab.Fleet.Standing(ctx, v.State.Document.Version); len(st.Waiting) > 0 {
-				open = fmt.Sprintf("%+v", st)
+				missing = fmt.Sprintf("%+v", st)
 			}
 		}
-		if open == "" {
+		if missing == "" {
 			return state, ""
 		}
 		select {
 		case <-ctx.Done():
-			return state, open
-		case <-time.After(pollEvery):
+			return state, missing
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// judge judges by what was written down. The history has every version, as there are fewer than it keeps.
-func (w *wordPlay) judge(state *desired.State) ([]string, int, error) {
+// check checks logs and observations against the state's history. The history has to have every version; if some were
+// dropped from it, that is reported as a violation.
+func (w *stateObserver) check(state *desired.State) ([]string, int, error) {
 	words := faults.Words{Logs: w.lab.Files().Logs, Out: map[uint64][]string{}}
 	w.mu.Lock()
-	words.Arrivals, words.Claims, words.Agreed = w.arrivals, w.claims, w.agreed
+	words.Arrivals, words.Claims, words.Agreed = w.arrivals, w.claims, w.agreedAt
 	w.mu.Unlock()
-	out := map[string]bool{}
+	banned := map[string]bool{}
 	for _, e := range state.History {
 		for id, b := range e.Is.Bans {
-			out[id] = b != nil
+			banned[id] = b != nil
 		}
-		for id, is := range out {
-			if is {
+		for id, isBanned := range banned {
+			if isBanned {
 				words.Out[uint64(e.Version)] = append(words.Out[uint64(e.Version)], id)
 			}
 		}
 	}
 	broken, lives, err := faults.CheckWords(words)
 	if state.Floor > 0 {
-		broken = append(broken, "more changes than are remembered: the judge can't tell")
+		broken = append(broken, "the history does not reach back to the first change: cannot check")
 	}
 	return broken, lives, err
 }
