--- a/internal/fleet/desired/desired_test.go
+++ b/internal/fleet/desired/desired_test.go
@@ -29,24 +29,24 @@
 	return fmt.Sprint(err)
 }
 
-// plain is a fleet's document as a table of words, with every version of it kept.
-type plain struct {
-	versions []map[string]string // by version; a key that is missing stands as it does by itself
-	touched  []map[string]bool   // the keys that each version changed
-	ids      map[string]bool
+// referenceModel is a reference model: the document as a table of strings, with every version kept.
+type referenceModel struct {
+	versions    []map[string]string // by version; a missing key has its default
+	changedKeys []map[string]bool   // the keys that each version changed
+	ids         map[string]bool
 }
 
-// Against a plain model: whoever changes a key that somebody else has changed since he looked is refused, nobody
-// else is, undo brings back what stood there, and each version holds what its changes add up to.
-func TestChangesAgainstAPlainModel(t *testing.T) {
+// Compares State with a reference model: a change is refused exactly if another one has altered one of its keys
+// since the version it is based on, undo restores the earlier values, and each version is the sum of its changes.
+func TestChangesAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		s.Note(40, nil, nil)
-		m := plain{versions: []map[string]string{{}}, touched: []map[string]bool{{}}, ids: map[string]bool{}}
+		m := referenceModel{versions: []map[string]string{{}}, changedKeys: []map[string]bool{{}}, ids: map[string]bool{}}
 		latest := func() int { return len(m.versions) - 1 }
 		overlaps := func(since int, keys map[string]bool) bool {
 			for v := since + 1; v <= latest(); v++ {
-				for key := range m.touched[v] {
+				for key := range m.changedKeys[v] {
 					if keys[key] {
 						return true
 					}
@@ -61,10 +61,10 @@
 			if undo := rapid.IntRange(0, 4).Draw(t, "undo") == 0 && latest() > 0; undo {
 				back := rapid.IntRange(max(1, latest()-3), latest()).Draw(t, "back")
 				c.Undo = Version(back)
-				for key := range m.touched[back] {
+				for key := range m.changedKeys[back] {
 					want[key] = m.versions[back-1][key]
 				}
-				if overlaps(back, m.touched[back]) {
+				if overlaps(back, m.changedKeys[back]) {
 					since = back
 				}
 			} else {
@@ -72,16 +72,16 @@
 				for _, server := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 2, rapid.ID[string]).Draw(t, "servers") {
 					if rapid.Bool().Draw(t, "out") {
 						b := &Ban{Server: server, Reason: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "reason")}
-						put(&p.Bans, server, b)
+						putCopy(&p.Bans, server, b)
 						want["ban "+server] = b.Reason
 					} else {
-						put[Ban](&p.Bans, server, nil)
+						putCopy[Ban](&p.Bans, server, nil)
 						want["ban "+server] = ""
 					}
 				}
 				if rapid.Bool().Draw(t, "group") {
 					g := &Group{Program: rapid.SampledFrom([]string{"", "v1", "v2"}).Draw(t, "program")}
-					put(&p.Groups, "g", g)
+					putCopy(&p.Groups, "g", g)
 					want["group g"] = g.Program
 				}
 				c.Set = &p
@@ -93,7 +93,7 @@
 			}
 			conflicts := overlaps(since, keys)
 			if c.Undo != 0 {
-				conflicts = conflicts || overlaps(int(c.Undo), m.touched[c.Undo])
+				conflicts = conflicts || overlaps(int(c.Undo), m.changedKeys[c.Undo])
 			}
 			err := s.Apply(c)
 			switch {
@@ -104,12 +104,12 @@
 			case !conflicts && len(want) > 0:
 				next := maps.Clone(m.versions[latest()])
 				maps.Copy(next, want)
-				m.versions, m.touched = append(m.versions, next), append(m.touched, keys)
+				m.versions, m.changedKeys = append(m.versions, next), append(m.changedKeys, keys)
 			}
-			if rapid.Bool().Draw(t, "again") { // its answer was lost
+			if rapid.Bool().Draw(t, "again") { // repeated, as its answer was lost
 				before := s.Clone()
 				if err2 := s.Apply(c); !reflect.DeepEqual(before, s.Clone()) {
-					t.Fatalf("the same change again changes something: %v, %v", err, err2)
+					t.Fatalf("a repeated change alters the state: %v, %v", err, err2)
 				}
 			}
 			if int(s.Document.Version) != latest() {
@@ -133,13 +133,12 @@
 			}
 			read := New()
 			if err := json.Unmarshal(text, read); err != nil || !reflect.DeepEqual(read.Word(), s.Word()) {
-				t.Fatalf("read again: %+v, %v, want %+v", read.Word(), err, s.Word())
+				t.Fatalf("after encoding and decoding: %+v, %v, want %+v", read.Word(), err, s.Word())
 			}
 		}
 	})
 }
 
-// A conflict shows both sides.
 func TestConflictShowsBothSides(t *testing.T) {
 	s := New()
 	s.Note(8, nil, nil)
@@ -161,7 +160,8 @@
 	}
 }
 
-// Too many at once are refused with what would remain; so is a ban while nobody knows how many there are.
+// A ban that exceeds the allowed share is refused with the number that would remain, and any ban while the number
+// of servers is not known.
 func TestShareOfServersOut(t *testing.T) {
 	s := New()
 	out := func(n int, server string) error {
@@ -179,55 +179,55 @@
 	if err := out(5, "s3"); code(err) != protocol.CodeConflict || !strings.Contains(err.Error(), "3 of 8 servers would be out and 5 would remain; at most 2") {
 		t.Error(err)
 	}
-	// One in another's place is no more than there were.
+	// Replacing one ban by another does not raise the number.
 	swap := Part{Bans: map[string]*Ban{"s1": nil, "s3": {Server: "s3", Reason: "x"}}}
 	if err := s.Apply(Change{ID: id(6), Saw: s.Document.Version, Set: &swap}); err != nil {
 		t.Error(err)
 	}
-	s.Note(4, nil, nil) // fewer servers than there were: what is out stays so, and can be lifted
+	s.Note(4, nil, nil) // with fewer servers than before, existing bans stay and can be lifted
 	if err := s.Apply(Change{ID: id(7), Saw: s.Document.Version, Set: &Part{Bans: map[string]*Ban{"s2": nil}}}); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	s := New()
 	s.Note(10_000, nil, nil)
-	for n := range HistoryMost + 10 {
+	for n := range MaxHistory + 10 {
 		p := Part{Bans: map[string]*Ban{"s": {Server: "s", Reason: fmt.Sprint(n)}}}
 		if err := s.Apply(Change{ID: id(n + 1), Saw: s.Document.Version, Set: &p}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(s.History) != HistoryMost {
-		t.Errorf("%d changes are remembered", len(s.History))
+	if len(s.History) != MaxHistory {
+		t.Errorf("%d changes in the history, want %d", len(s.History), MaxHistory)
 	}
 	if _, ok := s.Diff(3); ok {
-		t.Error("tells what it has forgotten")
+		t.Error("Diff succeeds for a version before the history's start")
 	}
 	if err := s.Apply(Change{ID: id(1000), Saw: 3, Set: &Part{Bans: map[string]*Ban{"t": {Server: "t", Reason: "x"}}}}); code(err) != protocol.CodeConflict {
-		t.Errorf("seen long ago: %v", err)
+		t.Errorf("based on a version before the history's start: %v", err)
 	}
 	many := Part{}
 	for n := range cordon.BansMost + 1 {
-		put(&many.Bans, fmt.Sprint("s", n), &Ban{Server: fmt.Sprint("s", n), Reason: "x"})
+		putCopy(&many.Bans, fmt.Sprint("s", n), &Ban{Server: fmt.Sprint("s", n), Reason: "x"})
 	}
 	before := s.Clone()
 	if err := s.Apply(Change{ID: id(1001), Saw: s.Document.Version, Set: &many}); code(err) != protocol.CodeConflict || !reflect.DeepEqual(before, s.Clone()) {
 		t.Errorf("too many bans: %v", err)
 	}
 	groups := Part{}
-	for n := range GroupsMost + 1 {
-		put(&groups.Groups, fmt.Sprint("g", n), &Group{Program: "v1"})
+	for n := range MaxGroups + 1 {
+		putCopy(&groups.Groups, fmt.Sprint("g", n), &Group{Program: "v1"})
 	}
 	if err := s.Apply(Change{ID: id(1002), Saw: s.Document.Version, Set: &groups}); code(err) != protocol.CodeConflict {
 		t.Errorf("too many groups: %v", err)
 	}
 }
 
-// A ban ends once, by the owner's count, and not if it was begun anew meanwhile; a recovery's epoch leaves all
-// versions of before behind.
-func TestEndsAndEpochs(t *testing.T) {
+// A ban ends once, by the owner's count, and not if it was replaced meanwhile; a recovery's epoch is above all
+// earlier versions.
+func TestBanExpiryAndEpochs(t *testing.T) {
 	s := New()
 	s.Note(8, nil, nil)
 	begin := func(n int, reason string) Version {
@@ -235,7 +235,7 @@
 		if err := s.Apply(Change{ID: id(n), Saw: s.Document.Version, By: "ada", Set: &p}); err != nil {
 			t.Fatal(err)
 		}
-		return s.Since["s1"]
+		return s.BanSince["s1"]
 	}
 	first := begin(1, "x")
 	s.Note(0, map[string]time.Duration{"s1": time.Second, "s2": time.Second}, nil)
@@ -244,13 +244,13 @@
 	}
 	second := begin(2, "y")
 	if left := s.Document.Bans["s1"].Left; left != time.Minute {
-		t.Errorf("begun anew: %v left", left)
+		t.Errorf("after a new ban: %v left", left)
 	}
 	for n, c := range []struct {
 		since Version
 		out   bool
 	}{{first, true}, {second, false}, {second, false}} {
-		if err := s.Apply(Change{ID: id(10 + n), By: "fleet", End: &End{Server: "s1", Since: c.since}}); err != nil || (s.Document.Bans["s1"] != nil) != c.out {
+		if err := s.Apply(Change{ID: id(10 + n), By: "fleet", End: &BanExpiry{Server: "s1", Since: c.since}}); err != nil || (s.Document.Bans["s1"] != nil) != c.out {
 			t.Errorf("ended since %v: %v, %v", c.since, s.Document.Bans["s1"], err)
 		}
 	}
@@ -261,22 +261,22 @@
 	}
 	p := Part{Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "z"}}}
 	if err := s.Apply(Change{ID: id(20), Saw: before, Set: &p}); code(err) != protocol.CodeConflict {
-		t.Errorf("seen before the recovery: %v", err)
+		t.Errorf("based on a version before the recovery: %v", err)
 	}
 }
 
-func TestBadParts(t *testing.T) {
+func TestInvalidPatches(t *testing.T) {
 	for want, p := range map[string]Part{
-		"reason: 1 to 200":       {Bans: map[string]*Ban{"s1": {Server: "s1"}}},
-		"for: -1s":               {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", For: -time.Second}}},
-		"for: 1ms":               {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", For: time.Millisecond}}},
-		"under the name of":      {Bans: map[string]*Ban{"s1": {Server: "s2", Reason: "x"}}},
-		`server ""`:              {Bans: map[string]*Ban{"": nil}},
-		`group: "a b"`:           {Groups: map[string]*Group{"a b": nil}},
-		`program: "../x"`:        {Groups: map[string]*Group{"g": {Program: "../x"}}},
-		"away: 0":                {Budgets: &Budgets{}},
-		"zone: -1":               {Budgets: &Budgets{Away: 1, Zone: -1}},
-		"out_share: 1.5, 0 to 1": {Budgets: &Budgets{Away: 1, Out: 1.5}},
+		"reason: must have 1 to 200 bytes": {Bans: map[string]*Ban{"s1": {Server: "s1"}}},
+		"for: -1s":                         {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", For: -time.Second}}},
+		"for: 1ms":                         {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", For: time.Millisecond}}},
+		"under the key":                    {Bans: map[string]*Ban{"s1": {Server: "s2", Reason: "x"}}},
+		`server ""`:                        {Bans: map[string]*Ban{"": nil}},
+		`group: "a b"`:                     {Groups: map[string]*Group{"a b": nil}},
+		`program: "../x"`:                  {Groups: map[string]*Group{"g": {Program: "../x"}}},
+		"away: 0":                          {Budgets: &Budgets{}},
+		"zone: -1":                         {Budgets: &Budgets{Away: 1, Zone: -1}},
+		"out_share: 1.5, must be 0 to 1":   {Budgets: &Budgets{Away: 1, Out: 1.5}},
 	} {
 		s := New()
 		if err := s.Apply(Change{ID: id(1), Set: &p}); code(err) != protocol.CodeUsage || !strings.Contains(err.Error(), want) {
--- a/internal/fleet/reconcile/reconcile.go
+++ b/internal/fleet/reconcile/reconcile.go
@@ -152,13 +152,13 @@
 )
 
 // Count gives the bans that are over, and what is left of others if that is to be written down now.
-func (c *Countdown) Count(now time.Duration, s *desired.State) (over []desired.End, left map[string]time.Duration) {
+func (c *Countdown) Count(now time.Duration, s *desired.State) (over []desired.BanExpiry, left map[string]time.Duration) {
 	if c.began == nil {
 		c.began, c.last = map[string]counted{}, now
 	}
 	c.passed += max(0, now-c.last)
 	c.last = now
-	maps.DeleteFunc(c.began, func(id string, b counted) bool { return s.Since[id] != b.since })
+	maps.DeleteFunc(c.began, func(id string, b counted) bool { return s.BanSince[id] != b.since })
 	least := time.Duration(0)
 	for _, id := range slices.Sorted(maps.Keys(s.Document.Bans)) {
 		b := s.Document.Bans[id]
@@ -166,12 +166,12 @@
 			continue
 		}
 		if _, known := c.began[id]; !known {
-			c.began[id] = counted{s.Since[id], b.Left, c.passed}
+			c.began[id] = counted{s.BanSince[id], b.Left, c.passed}
 		}
 		is := c.began[id]
 		rest := is.left - (c.passed - is.at)
 		if rest <= 0 {
-			over = append(over, desired.End{Server: id, Since: is.since})
+			over = append(over, desired.BanExpiry{Server: id, Since: is.since})
 			continue
 		}
 		if left == nil {
--- a/internal/fleet/reconcile/upgrade.go
+++ b/internal/fleet/reconcile/upgrade.go
@@ -148,7 +148,7 @@
 		if c.By == duty.Fleet || c.Version == 0 {
 			c.says("STOPPED on the way to %s, %s: job %s: %s; otterctl jobs resume goes on", words(c.want), j.Stage, j.ID, why)
 		} else {
-			c.plan.Back = append(c.plan.Back, Back{c.group, c.Was, j.Stage + ": " + why})
+			c.plan.Back = append(c.plan.Back, Back{c.group, c.Previous, j.Stage + ": " + why})
 		}
 		return true
 	}
@@ -203,7 +203,7 @@
 	c.plan.Judge[c.group] = c.sides
 	switch v, why := verdict(c.group); v {
 	case Bad:
-		c.plan.Back = append(c.plan.Back, Back{c.group, c.Was, why})
+		c.plan.Back = append(c.plan.Back, Back{c.group, c.Previous, why})
 	case Pending:
 		c.says("the trial of %s: %s", words(c.want), why)
 	default:
