--- a/internal/fleet/recovery/recovery.go
+++ b/internal/fleet/recovery/recovery.go
@@ -1,6 +1,6 @@
-// Package recovery decides what an agent may do with an instance when its memory may be gone:
-// from what is known, who says so and how long it has waited, to follow a word, to ask, or to
-// hold. It does no I/O and has no clock.
+// Package recovery decides what an agent may do with an instance when the agent's own record may
+// be lost: given the known claims about the desired state, their sources and the time waited, to
+// follow a claim, to wait for the council, or to hold. It does no I/O and has no clock.
 package recovery
 
 import (
@@ -8,41 +8,43 @@
 	"time"
 )
 
-// Memory is what became of an agent's own record.
+// Memory is the condition of an agent's own record.
 type Memory int
 
-// The kinds of memory.
+// The conditions of a record.
 const (
-	Whole Memory = iota // record and its copy agree that it is the latest
-	Older               // the record is from before what the copy has seen: a disk that was put back
-	Lost                // it is gone or damaged, and there was one
-	Blank               // there is nothing: a first start, or everything is gone
+	Whole Memory = iota // record and copy agree that it is the latest
+	Older               // the record is older than its copy, as after restoring a disk from a backup
+	Lost                // a record existed and is missing or damaged
+	Blank               // neither record nor copy exists: a first start, or both were lost
 )
 
 func (m Memory) String() string {
 	return [...]string{"whole", "older than its copy", "lost", "blank"}[m]
 }
 
-// Council is what the fleet's council says.
+// Council is whether the fleet's council has answered.
 type Council int
 
-// What it may say.
+// The states of the council's answer.
 const (
-	None     Council = iota // there is none
+	None     Council = iota // the fleet has no council
 	Silent                  // it has not answered yet
-	Answered                // its words are among those known
+	Answered                // its claims are among those known
 )
 
-// Confirm is how long an agent with a whole memory waits for the council's word before it
-// goes by its own: both copies may be of yesterday, and only others can know.
-const Confirm = 3 * time.Second
+// ConfirmTimeout is how long an agent whose record is intact waits for the council before it follows
+// its own record: record and copy may both have been restored from a backup, and only others
+// can detect that.
+const ConfirmTimeout = 3 * time.Second
 
-// Word is what somebody says is desired of an instance. The higher generation is the newer.
+// Word is the desired state of an instance according to one source. The higher generation is
+// the newer.
 type Word struct {
 	Source     string
 	Up         bool
 	Generation uint64
-	Program    string // see protocol.Instance; it goes with the word
+	Program    string // see protocol.Instance
 }
 
 func (w Word) String() string {
@@ -56,64 +58,65 @@
 	return fmt.Sprintf("%s says %s at generation %d", w.Source, is, w.Generation)
 }
 
-// Facts are what is known of one instance.
+// Facts are the inputs of a decision on one instance.
 type Facts struct {
 	Memory  Memory
-	First   bool // the operator says that the fleet starts for the first time
+	First   bool // the operator declares the fleet's first start
 	Council Council
-	Known   bool   // the council has heard of this agent before
-	Words   []Word // all that survive and can be had, the agent's own too
+	Known   bool   // the council has a record of this agent
+	Words   []Word // all that are available, including the agent's own
 	Runs    bool
-	Elapsed time.Duration // since the agent began
-	// StartAfter is the group's policy for what is unknown: start it after so long; 0 holds.
+	Elapsed time.Duration // since the agent started
+	// StartAfter is the group's policy for an unknown desired state: start the instance after
+	// this time; 0 holds it.
 	StartAfter time.Duration
 }
 
-// Do is what may be done.
-type Do int
+// Action is what an agent may do with an instance.
+type Action int
 
-// What may be done.
+// The actions.
 const (
-	Follow Do = iota // act by the verdict's word
-	Ask              // wait for the council, until a time if there is one
-	Hold             // nothing, until somebody decides
+	Follow       Action = iota // apply the decision's claim
+	AwaitCouncil               // wait for the council, until the decision's Until if that is set
+	Hold                       // do nothing until an operator decides
 )
 
-// Verdict is what may be done, and why.
+// Verdict is the action with its reason.
 type Verdict struct {
-	Do    Do
+	Do    Action
 	Word  Word          // Follow
-	Until time.Duration // Ask, Hold: since the agent began, when it is decided anew by itself; 0: never
+	Until time.Duration // AwaitCouncil, Hold: since the agent started, when to decide again; 0: never
 	Why   string
 }
 
-// Decide gives the verdict on an instance.
+// Decide decides on an instance.
 func Decide(f Facts) Verdict {
-	newest, known, other := latest(f.Words)
-	if other != nil && !(f.Council == Silent && f.Elapsed < Confirm) {
-		return Verdict{Do: Hold, Why: fmt.Sprintf("%v, and %v: recovery decide says which", newest, *other)}
+	newest, known, conflicting := newestClaim(f.Words)
+	if conflicting != nil && !(f.Council == Silent && f.Elapsed < ConfirmTimeout) {
+		return Verdict{Do: Hold, Why: fmt.Sprintf("%v, but %v: choose one with otterctl recovery decide", newest, *conflicting)}
 	}
 	switch {
-	case f.Memory == Whole && f.Council == Silent && f.Elapsed < Confirm:
-		return Verdict{Do: Ask, Until: Confirm, Why: "asks the council whether it knows better"}
+	case f.Memory == Whole && f.Council == Silent && f.Elapsed < ConfirmTimeout:
+		return Verdict{Do: AwaitCouncil, Until: ConfirmTimeout, Why: "waiting for the council to confirm the agent's record"}
 	case f.Memory == Whole && known:
 		return Verdict{Do: Follow, Word: newest, Why: newest.String()}
 	case f.Memory == Whole:
-		return Verdict{Do: Follow, Word: Word{Source: "the agent's file", Up: true}, Why: "it is new in the agent's file"}
+		return Verdict{Do: Follow, Word: Word{Source: "the agent's file", Up: true}, Why: "the instance is new in the agent's configuration file"}
 	case f.Memory == Blank && f.First && !(f.Council == Answered && f.Known):
-		return Verdict{Do: Follow, Word: Word{Source: "the operator", Up: true}, Why: "the operator says that this is the first start"}
+		return Verdict{Do: Follow, Word: Word{Source: "the operator", Up: true}, Why: "the operator declares the first start"}
 	case f.Memory == Blank && f.Council == Answered && !f.Known:
-		return Verdict{Do: Follow, Word: Word{Source: "the council", Up: true}, Why: "the council has never heard of this agent"}
+		return Verdict{Do: Follow, Word: Word{Source: "the council", Up: true}, Why: "the council has no record of this agent"}
 	case f.Council == Silent:
-		return unknown(f, newest, known, Ask, "the memory is "+f.Memory.String()+", and the council does not answer yet")
+		return applyGroupPolicy(f, newest, known, AwaitCouncil, "the agent's record is "+f.Memory.String()+", and the council has not answered yet")
 	case known:
 		return Verdict{Do: Follow, Word: newest, Why: newest.String()}
 	}
-	return unknown(f, newest, known, Hold, "the memory is "+f.Memory.String()+", and nobody knows what is desired")
+	return applyGroupPolicy(f, newest, known, Hold, "the agent's record is "+f.Memory.String()+", and nobody knows the desired state")
 }
 
-// unknown goes by the group's policy. No policy starts what a surviving word calls down.
-func unknown(f Facts, newest Word, known bool, do Do, why string) Verdict {
+// applyGroupPolicy applies the group's policy. No policy starts an instance whose newest claim is down.
+func applyGroupPolicy(f Facts, newest Word, known bool, do Action, why string) Verdict {
 	switch {
 	case known && !newest.Up:
 		return Verdict{Do: do, Why: why + "; " + newest.String()}
@@ -125,15 +128,16 @@
 	return Verdict{Do: Follow, Word: Word{Source: "the group's policy", Up: true, Generation: newest.Generation}, Why: fmt.Sprintf("%s for %v: started by the group's policy", why, f.StartAfter)}
 }
 
-// latest gives the word of the highest generation, and another of the same that differs.
-func latest(words []Word) (newest Word, known bool, other *Word) {
+// newestClaim returns the claim of the highest generation, and another one of that generation that
+// contradicts it.
+func newestClaim(words []Word) (newest Word, known bool, conflicting *Word) {
 	for _, w := range words {
 		switch {
 		case !known || w.Generation > newest.Generation:
-			newest, known, other = w, true, nil
+			newest, known, conflicting = w, true, nil
 		case w.Generation == newest.Generation && (w.Up != newest.Up || w.Program != newest.Program):
-			other = &w
+			conflicting = &w
 		}
 	}
-	return newest, known, other
+	return newest, known, conflicting
 }
