--- a/internal/fleet/reconcile/reconcile.go
+++ b/internal/fleet/reconcile/reconcile.go
@@ -1,6 +1,6 @@
-// Package reconcile decides the next steps from what a fleet should be and what was seen of it. It does no
-// I/O and has no clock. It goes by levels, not by edges: it can be ended anywhere and begun anew, and what it
-// decides follows from what it is given alone.
+// Package reconcile derives the next steps from the desired state of a fleet and its observed state. It does no
+// I/O and has no clock. It is level-triggered, not edge-triggered: it can be stopped and restarted at any point,
+// as its decisions depend on its inputs alone.
 package reconcile
 
 import (
@@ -14,40 +14,41 @@
 )
 
 const (
-	// Fresh is how old a look at an agent may be for anything to be decided by it.
-	Fresh = 3 * time.Second
-	// LookEvery is how often each agent is looked at when there is nothing to tell it.
-	LookEvery = time.Second
-	// AgainAfter is how long an agent that did not answer is left alone, so that one that hangs costs little.
-	AgainAfter = 500 * time.Millisecond
+	// MaxStatusAge bounds the age of an agent's status on which a decision may be based.
+	MaxStatusAge = 3 * time.Second
+	// PollInterval is the interval between status requests to an agent that is up to date.
+	PollInterval = time.Second
+	// RetryDelay is the delay before calling an agent again that did not answer, so that one that hangs costs
+	// little.
+	RetryDelay = 500 * time.Millisecond
 )
 
-// Seen is what is known of an agent: its last answer, and when it was last asked for one. Times are on the
-// owner's clock.
+// Seen is the status of an agent: its last answer and the time of the last call. Times are on the owner's clock.
 type Seen struct {
-	At    time.Duration // of the question behind Fleet
+	At    time.Duration // when the call that Fleet answers was sent
 	Known bool          // it has answered this owner
 	Fleet protocol.Fleet
 	Asked time.Duration
-	Tried bool // Asked means something
+	Tried bool // Asked is set
 	Err   string
 }
 
-// Fresh tells whether anything may be decided by it.
-func (s Seen) Fresh(now time.Duration) bool { return s.Known && now >= s.At && now-s.At < Fresh }
+// Fresh reports whether the status is recent enough for decisions.
+func (s Seen) Fresh(now time.Duration) bool { return s.Known && now >= s.At && now-s.At < MaxStatusAge }
 
-// passed tells whether so much time has passed since it was asked; also if the clock was set back since.
-func (s Seen) passed(now, d time.Duration) bool { return now < s.Asked || now-s.Asked >= d }
+// elapsed reports whether d has elapsed since the last call, or the clock was set back since then.
+func (s Seen) elapsed(now, d time.Duration) bool { return now < s.Asked || now-s.Asked >= d }
 
-// Step is a call to one agent.
-type Step struct {
+// Call is a call to one agent.
+type Call struct {
 	Agent string
-	Tell  bool // bring the word; else look only
+	Tell  bool // send the desired state; otherwise only request the status
 }
 
-// Next gives the agents to call now, in the order of their names: those that lack the latest version at once,
-// and those that were not asked since something happened, all others every LookEvery. busy are those under a call.
-func Next(now, since time.Duration, latest desired.Version, agents []string, seen map[string]Seen, busy map[string]bool) (steps []Step) {
+// Next returns the calls to make now, in the order of the agents' names: at once to agents that lack the latest
+// version and to those not asked since the time since of the last event, to all others every PollInterval. Agents
+// in busy have a call in progress.
+func Next(now, since time.Duration, latest desired.Version, agents []string, seen map[string]Seen, busy map[string]bool) (steps []Call) {
 	for _, name := range slices.Sorted(slices.Values(agents)) {
 		s := seen[name]
 		behind := s.Known && s.Fleet.Version < latest
@@ -57,37 +58,38 @@
 		case !s.Tried:
 			due = true
 		case s.Err != "":
-			due = s.passed(now, AgainAfter)
+			due = s.elapsed(now, RetryDelay)
 		case behind, s.Asked < since:
 			due = true
 		default:
-			due = s.passed(now, LookEvery)
+			due = s.elapsed(now, PollInterval)
 		}
 		if due {
-			// Of one that this owner has never seen the version is not known: it is told, and says so if it has it.
-			steps = append(steps, Step{name, behind || !s.Known})
+			// The version of an agent that has not answered this owner is unknown: it is sent the desired
+			// state, and answers with its version if it has it already.
+			steps = append(steps, Call{name, behind || !s.Known})
 		}
 	}
 	return steps
 }
 
-// Standing is how far a version has come, over a whole fleet.
+// Standing is the progress of a version over the whole fleet.
 type Standing struct {
 	Latest    desired.Version `json:"latest"`
 	Confirmed int             `json:"confirmed"` // instances
 	Waiting   []Waiting       `json:"waiting"`
 }
 
-// Waiting is an instance, or a whole agent, that has not confirmed the latest version, and why.
+// Waiting is an instance, or a whole agent, that has not confirmed the latest version, with the reason.
 type Waiting struct {
 	Agent    string          `json:"agent"`
-	Instance string          `json:"instance,omitempty"` // "": all of the agent's
-	Version  desired.Version `json:"version"`            // the latest that it confirmed, as far as it is known
+	Instance string          `json:"instance,omitempty"` // "": all instances of the agent
+	Version  desired.Version `json:"version"`            // the latest that it is known to have confirmed
 	Why      string          `json:"why"`
 }
 
-// Stands tells how far a version has come by what is known, and by no more than that: an agent that was not
-// seen just now has confirmed nothing.
+// Stands returns the progress of a version as far as it is known: an agent without a fresh status counts as not
+// having confirmed anything.
 func Stands(now time.Duration, latest desired.Version, agents []string, seen map[string]Seen) Standing {
 	st := Standing{Latest: latest, Waiting: []Waiting{}}
 	for _, name := range slices.Sorted(slices.Values(agents)) {
@@ -114,77 +116,77 @@
 	return st
 }
 
-// Servers is how many servers the fleet has: the most that any instance lists, as one that has just come up
-// lists fewer. 0: nobody has told just now.
-func Servers(now time.Duration, seen map[string]Seen) (most int) {
+// Servers returns the number of servers in the fleet: the maximum that any instance lists, since one that has
+// just started lists fewer. 0 means that no fresh status is available.
+func Servers(now time.Duration, seen map[string]Seen) (maxListed int) {
 	for _, s := range seen {
 		if !s.Fresh(now) {
 			continue
 		}
 		for _, t := range s.Fleet.Instances {
-			most = max(most, t.Listed)
+			maxListed = max(maxListed, t.Listed)
 		}
 	}
-	return most
+	return maxListed
 }
 
-// Countdown counts what is left of bans that have an end, on the clock of whoever owns the duty. Each owner
-// counts on from what was written down last, so that a ban lasts at least as long as it was meant to, and
-// longer by what was not written at each change of owners.
+// Countdown measures the remaining time of bans that expire, on the clock of the duty's owner. Each owner
+// continues from the remaining time that was saved last, so that a ban lasts at least its duration, and longer
+// by the time that was not saved at each change of owners.
 type Countdown struct {
-	began  map[string]counted
-	last   time.Duration // on the clock
-	passed time.Duration // counted since the first call; a clock that is set back adds nothing
-	noted  time.Duration // of passed
+	bans    map[string]timedBan
+	last    time.Duration // on the clock
+	elapsed time.Duration // since the first call; a clock that is set back adds nothing
+	savedAt time.Duration // value of elapsed at the last save
 }
 
-type counted struct {
-	since desired.Version
-	left  time.Duration
-	at    time.Duration // of passed
+type timedBan struct {
+	since     desired.Version
+	remaining time.Duration
+	startedAt time.Duration // value of elapsed when the count began
 }
 
-// noteShare is the share of what is left of a ban that may pass without being written down, noteLeast the
-// least that is worth it.
+// The remaining times are saved once 1/saveFraction of the shortest one has elapsed since the last save, but at
+// most every minSaveInterval.
 const (
-	noteShare = 8
-	noteLeast = 10 * time.Second
+	saveFraction    = 8
+	minSaveInterval = 10 * time.Second
 )
 
-// Count gives the bans that are over, and what is left of others if that is to be written down now.
-func (c *Countdown) Count(now time.Duration, s *desired.State) (over []desired.BanExpiry, left map[string]time.Duration) {
-	if c.began == nil {
-		c.began, c.last = map[string]counted{}, now
+// Count returns the expired bans, and the remaining times of the others if they are to be saved now.
+func (c *Countdown) Count(now time.Duration, s *desired.State) (expired []desired.BanExpiry, toSave map[string]time.Duration) {
+	if c.bans == nil {
+		c.bans, c.last = map[string]timedBan{}, now
 	}
-	c.passed += max(0, now-c.last)
+	c.elapsed += max(0, now-c.last)
 	c.last = now
-	maps.DeleteFunc(c.began, func(id string, b counted) bool { return s.BanSince[id] != b.since })
-	least := time.Duration(0)
+	maps.DeleteFunc(c.bans, func(id string, b timedBan) bool { return s.BanSince[id] != b.since })
+	shortest := time.Duration(0)
 	for _, id := range slices.Sorted(maps.Keys(s.Document.Bans)) {
 		b := s.Document.Bans[id]
 		if b.For == 0 {
 			continue
 		}
-		if _, known := c.began[id]; !known {
-			c.began[id] = counted{s.BanSince[id], b.Left, c.passed}
+		if _, known := c.bans[id]; !known {
+			c.bans[id] = timedBan{s.BanSince[id], b.Left, c.elapsed}
 		}
-		is := c.began[id]
-		rest := is.left - (c.passed - is.at)
-		if rest <= 0 {
-			over = append(over, desired.BanExpiry{Server: id, Since: is.since})
+		ban := c.bans[id]
+		remaining := ban.remaining - (c.elapsed - ban.startedAt)
+		if remaining <= 0 {
+			expired = append(expired, desired.BanExpiry{Server: id, Since: ban.since})
 			continue
 		}
-		if left == nil {
-			left = map[string]time.Duration{}
+		if toSave == nil {
+			toSave = map[string]time.Duration{}
 		}
-		left[id] = rest
-		if least == 0 || rest < least {
-			least = rest
+		toSave[id] = remaining
+		if shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	if len(left) == 0 || c.passed-c.noted < max(noteLeast, least/noteShare) {
-		return over, nil
+	if len(toSave) == 0 || c.elapsed-c.savedAt < max(minSaveInterval, shortest/saveFraction) {
+		return expired, nil
 	}
-	c.noted = c.passed
-	return over, left
+	c.savedAt = c.elapsed
+	return expired, toSave
 }
--- a/internal/fleet/reconcile/reconcile_test.go
+++ b/internal/fleet/reconcile/reconcile_test.go
@@ -15,19 +15,19 @@
 
 func TestMain(m *testing.M) { drawn.Main(m) }
 
-// node is a node as it really is.
+// node is the actual state of a node.
 type node struct {
-	version desired.Version // told to this process; 0 after a restart
+	version desired.Version // that this process was sent; 0 after a restart
 	down    bool
 }
 
-// Against a fleet as it really is, with agents that hang, lose their answers and come back, nodes that restart and
-// owners that change: nothing is claimed that a node has not confirmed, and once all is well every node has the
-// latest version within a stated number of rounds.
-func TestReachesEveryNodeAndClaimsNoMore(t *testing.T) {
+// Simulates a fleet with agents that hang, lose their answers and recover, nodes that restart and owners that change:
+// the reported progress must never exceed what nodes have confirmed, and once the faults end every node must have the
+// latest version within a fixed number of rounds.
+func TestProgressNeverExceedsConfirmations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agents := []string{"m1", "m2", "m3"}
-		has := map[string]desired.Version{} // on each agent's disk
+		stored := map[string]desired.Version{} // stored by each agent
 		nodes := map[string]*node{}
 		for _, a := range agents {
 			for n := range 2 {
@@ -36,11 +36,11 @@
 		}
 		hangs, seen, now, latest := map[string]bool{}, map[string]Seen{}, time.Duration(0), desired.Version(1)
 		answer := func(a string) protocol.Fleet {
-			f := protocol.Fleet{Agent: a, Version: has[a]}
+			f := protocol.Fleet{Agent: a, Version: stored[a]}
 			for n := range 2 {
 				is := nodes[fmt.Sprint(a, "/n", n)]
-				if !is.down { // the agent tells its own nodes, always
-					is.version = max(is.version, has[a])
+				if !is.down { // an agent always updates its own nodes
+					is.version = max(is.version, stored[a])
 				}
 				f.Instances = append(f.Instances, protocol.Told{Instance: fmt.Sprint("n", n), Version: is.version, Runs: !is.down, Listed: 8})
 			}
@@ -52,14 +52,14 @@
 				s.Asked, s.Tried = now, true
 				if hangs[step.Agent] {
 					s.Err = "no answer"
-					if step.Tell && rapid.Bool().Draw(t, "arrives") { // and only its answer is lost
-						has[step.Agent] = max(has[step.Agent], latest)
+					if step.Tell && rapid.Bool().Draw(t, "arrives") { // the call arrives, and only its answer is lost
+						stored[step.Agent] = max(stored[step.Agent], latest)
 					}
 					seen[step.Agent] = s
 					continue
 				}
 				if step.Tell {
-					has[step.Agent] = max(has[step.Agent], latest)
+					stored[step.Agent] = max(stored[step.Agent], latest)
 				}
 				seen[step.Agent] = Seen{At: now, Known: true, Fleet: answer(step.Agent), Asked: now, Tried: true}
 			}
@@ -73,7 +73,7 @@
 				latest++
 			case 1:
 				hangs[a] = !hangs[a]
-			case 2: // it restarts: the new process knows nothing
+			case 2: // stops or starts: a new process has no version
 				is.version = 0
 				is.down = !is.down
 			case 3: // another owner
@@ -91,11 +91,11 @@
 				}
 			}
 			if st.Confirmed > confirmed {
-				t.Fatalf("claims %d confirmed, %d have", st.Confirmed, confirmed)
+				t.Fatalf("reports %d confirmed, only %d have confirmed", st.Confirmed, confirmed)
 			}
 			for _, a := range agents {
 				if s := seen[a]; !s.Fresh(now) && !strings.Contains(fmt.Sprint(st.Waiting), a) {
-					t.Fatalf("%s is not reached and not told of: %+v", a, st)
+					t.Fatalf("%s is not reached and is missing from the report: %+v", a, st)
 				}
 			}
 		}
@@ -103,7 +103,7 @@
 		for _, n := range nodes {
 			n.down = false
 		}
-		for range 25 { // an agent that did not answer is tried again after 500 ms, others after a second
+		for range 25 { // 2.5 s: an agent that did not answer is called again after 500 ms, others after a second
 			round()
 		}
 		if st := Stands(now, latest, agents, seen); st.Confirmed != len(nodes) || len(st.Waiting) > 0 || Servers(now, seen) != 8 {
@@ -112,8 +112,8 @@
 	})
 }
 
-// An agent that is called is not called again meanwhile, and one that hangs is left alone for a while.
-func TestCallsAreApart(t *testing.T) {
+// An agent with a call in progress is not called again, and one that did not answer is called only after a delay.
+func TestCallTiming(t *testing.T) {
 	seen := map[string]Seen{
 		"behind": {At: 0, Known: true, Tried: true, Fleet: protocol.Fleet{Version: 1}},
 		"silent": {Tried: true, Err: "no answer"},
@@ -121,9 +121,9 @@
 	}
 	agents := []string{"well", "silent", "behind", "new", "busy"}
 	for at, want := range map[time.Duration]string{
-		0:          "[{behind true} {new true}]",
-		AgainAfter: "[{behind true} {new true} {silent true}]",
-		LookEvery:  "[{behind true} {new true} {silent true} {well false}]",
+		0:            "[{behind true} {new true}]",
+		RetryDelay:   "[{behind true} {new true} {silent true}]",
+		PollInterval: "[{behind true} {new true} {silent true} {well false}]",
 	} {
 		if got := fmt.Sprint(Next(at, -2*time.Hour, 2, agents, seen, map[string]bool{"busy": true})); got != want {
 			t.Errorf("at %v: %s, want %s", at, got, want)
@@ -131,8 +131,8 @@
 	}
 }
 
-// Whatever owners come and go, a ban lasts no less than it was meant to, and ends at last.
-func TestBansLastAsLongAsTheyWereMeantTo(t *testing.T) {
+// Under any changes of owners, a ban lasts at least its duration, and ends eventually.
+func TestBansLastTheirDuration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := desired.New()
 		s.Note(8, nil, nil)
@@ -149,10 +149,10 @@
 			if n < 40 && rapid.IntRange(0, 9).Draw(t, "set") == 0 {
 				clock -= time.Hour
 			}
-			over, left := c.Count(clock, s)
-			for _, e := range over {
+			expired, left := c.Count(clock, s)
+			for _, e := range expired {
 				if passed < length {
-					t.Fatalf("over after %v of %v", passed, length)
+					t.Fatalf("expired after %v of %v", passed, length)
 				}
 				if err := s.Apply(desired.Change{ID: protocol.NewID(time.UnixMilli(2), 2), End: &e}); err != nil {
 					t.Fatal(err)
@@ -165,7 +165,7 @@
 			step := time.Duration(rapid.IntRange(1, 5).Draw(t, "step")) * time.Second
 			passed, clock = passed+step, clock+step
 			if passed > 10*length+10*time.Minute {
-				t.Fatalf("%v of %v have passed and it stands", passed, length)
+				t.Fatalf("not expired %v after the start of a ban of %v", passed, length)
 			}
 		}
 	})
--- a/internal/fleet/reconcile/trial.go
+++ b/internal/fleet/reconcile/trial.go
@@ -8,52 +8,52 @@
 	"otterstep/internal/fleet/duty"
 )
 
-// A version is judged by how its instances answer beside the others of their group in the same seconds: a fault of
-// servers or clients meets both. Each kind of answer that nobody wants has a sequential probability ratio test (Wald
-// 1945) on which side such an answer comes from: by chance alone a trial that gives a tenth of the answers gives a
-// tenth of the bad ones; a version that is oddsOf times as bad gives more.
+// A version is judged by comparing the answers of its instances with those of the group's other instances in the
+// same seconds, since a fault of servers or clients affects both. Each kind of bad answer has a sequential probability
+// ratio test (Wald 1945) on which side such an answer comes from: by chance alone, instances that give a tenth of the
+// answers give a tenth of the bad ones; a version that is oddsRatio times as bad gives more.
 const (
-	// falseAlarm is the rate at which a version that is no worse is taken back, over one trial and all kinds
-	// together, and miss that at which one that is oddsOf times as bad passes for want of evidence.
-	falseAlarm = 0.001
-	miss       = 0.01
-	oddsOf     = 3.0
-	// band is how much of all answers more than at the others may be bad: less is not worth a version.
-	band = 0.02
-	// burstMost is how many bad answers of one look count as so many of their own: those of a second often have
-	// one cause.
-	burstMost = 4
-	// leastAnswers is what a trial has to have answered to pass.
-	leastAnswers = 100
-	// quietFor is how many times its length a trial waits for so many answers; then none are to be had.
-	quietFor = 10
+	// falseAlarmRate is the probability that a version that is no worse is reverted, per trial and over all kinds
+	// together; missRate is the probability that one that is oddsRatio times as bad passes for lack of evidence.
+	falseAlarmRate = 0.001
+	missRate       = 0.01
+	oddsRatio      = 3.0
+	// minExcessShare is the excess in the share of bad answers below which a version is not reverted.
+	minExcessShare = 0.02
+	// maxBurstWeight is how many bad answers of one observation count as independent: those of one second often
+	// have one cause.
+	maxBurstWeight = 4
+	// minAnswers is the number of answers that a trial needs to pass.
+	minAnswers = 100
+	// maxTrialLengths times its length is how long a trial waits for minAnswers; after that it passes with fewer.
+	maxTrialLengths = 10
 )
 
-// Verdict is what is known of a version.
+// Verdict is the outcome of a trial.
 type Verdict int
 
 // The verdicts.
 const (
 	Pending Verdict = iota
-	Good
-	Bad
+	Passed
+	Failed
 )
 
-// Trial judges one version. Its zero value has seen nothing.
+// Trial judges one version. The zero value has no observations.
 type Trial struct {
 	llr      [3]float64 // by kind
 	trial    duty.Answers
 	others   duty.Answers
 	began    time.Duration
 	observed bool
-	bad      string
+	failure  string
 }
 
-var kinds = [3]string{"failed", "refused", "late"}
+var kindNames = [3]string{"failed", "refused", "late"}
 
-func shares(a duty.Answers) [3]int64 { return [3]int64{a.Failed, a.Refused, a.Late} }
+func badCounts(a duty.Answers) [3]int64 { return [3]int64{a.Failed, a.Refused, a.Late} }
 
-// Observe takes in what the version's instances and the others of the group have answered since the last look.
+// Observe adds what the version's instances and the others of the group have answered since the last call.
 func (t *Trial) Observe(now time.Duration, trial, others duty.Answers) {
 	if !t.observed {
 		t.began, t.observed = now, true
@@ -61,56 +61,56 @@
 	t.trial.Add(trial)
 	t.others.Add(others)
 	n, m := float64(trial.All()), float64(others.All())
-	if n == 0 || m == 0 || t.bad != "" {
-		return // nothing to hold it against
+	if n == 0 || m == 0 || t.failure != "" {
+		return // nothing to compare with, or already failed
 	}
-	chance := n / (n + m)
-	worse := oddsOf * n / (oddsOf*n + m)
-	a, b := shares(trial), shares(others)
-	all, rest := shares(t.trial), shares(t.others)
-	for k := range kinds {
+	expected := n / (n + m)
+	expectedIfWorse := oddsRatio * n / (oddsRatio*n + m)
+	a, b := badCounts(trial), badCounts(others)
+	trialTotals, othersTotals := badCounts(t.trial), badCounts(t.others)
+	for k := range kindNames {
 		bad := float64(a[k] + b[k])
 		if bad == 0 {
 			continue
 		}
-		weight := min(1, burstMost/bad)
-		t.llr[k] += weight * (float64(a[k])*math.Log(worse/chance) + float64(b[k])*math.Log((1-worse)/(1-chance)))
-		// What spoke for it long ago does not make up for what speaks against it now.
-		t.llr[k] = max(t.llr[k], math.Log(miss/(1-falseAlarm)))
-		is, was := float64(all[k])/float64(t.trial.All()), float64(rest[k])/float64(t.others.All())
-		if t.llr[k] >= math.Log((1-miss)*float64(len(kinds))/falseAlarm) && is-was >= band {
-			t.bad = fmt.Sprintf("%.1f%% of its answers are %s, and %.1f%% of the others'", 100*is, kinds[k], 100*was)
+		weight := min(1, maxBurstWeight/bad)
+		t.llr[k] += weight * (float64(a[k])*math.Log(expectedIfWorse/expected) + float64(b[k])*math.Log((1-expectedIfWorse)/(1-expected)))
+		// Bounded below: earlier evidence for the version must not offset present evidence against it.
+		t.llr[k] = max(t.llr[k], math.Log(missRate/(1-falseAlarmRate)))
+		trialShare, othersShare := float64(trialTotals[k])/float64(t.trial.All()), float64(othersTotals[k])/float64(t.others.All())
+		if t.llr[k] >= math.Log((1-missRate)*float64(len(kindNames))/falseAlarmRate) && trialShare-othersShare >= minExcessShare {
+			t.failure = fmt.Sprintf("%.1f%% of its answers are %s, and %.1f%% of the others'", 100*trialShare, kindNames[k], 100*othersShare)
 		}
 	}
 }
 
-// Verdict judges by what was seen. A version passes once it was watched for long enough, with enough answers, or
-// where there is nobody to ask it anything.
+// Verdict judges by the observations so far. A version passes once it has been observed for the trial's length with
+// enough answers, or where it gets no traffic.
 func (t *Trial) Verdict(now, length time.Duration) (Verdict, string) {
 	watched := max(0, now-t.began)
 	switch {
-	case t.bad != "":
-		return Bad, t.bad
+	case t.failure != "":
+		return Failed, t.failure
 	case !t.observed || watched < length:
-		return Pending, fmt.Sprintf("watched for %v of %v, %d answers", watched.Round(time.Second), length, t.trial.All())
-	case t.trial.All() < leastAnswers && watched < quietFor*length:
-		return Pending, fmt.Sprintf("only %d answers of %d in %v", t.trial.All(), leastAnswers, watched.Round(time.Second))
+		return Pending, fmt.Sprintf("observed for %v of %v, %d answers", watched.Round(time.Second), length, t.trial.All())
+	case t.trial.All() < minAnswers && watched < maxTrialLengths*length:
+		return Pending, fmt.Sprintf("%d answers of the required %d in %v", t.trial.All(), minAnswers, watched.Round(time.Second))
 	}
-	return Good, fmt.Sprintf("%d answers in %v", t.trial.All(), watched.Round(time.Second))
+	return Passed, fmt.Sprintf("%d answers in %v", t.trial.All(), watched.Round(time.Second))
 }
 
-// Harm words what a version has cost: the bad answers that it gave beyond the others' share, and their share of all
-// that the group answered meanwhile.
+// Harm describes the damage that a version has done: the bad answers that it gave in excess of the others' share,
+// and their share of all answers of the group in that time.
 func (t *Trial) Harm() string {
-	is, was := shares(t.trial), shares(t.others)
-	more := 0.0
-	for k := range kinds {
-		usual := 0.0
+	trialCounts, othersCounts := badCounts(t.trial), badCounts(t.others)
+	excess := 0.0
+	for k := range kindNames {
+		othersShare := 0.0
 		if n := t.others.All(); n > 0 {
-			usual = float64(was[k]) / float64(n)
+			othersShare = float64(othersCounts[k]) / float64(n)
 		}
-		more += max(0, float64(is[k])-usual*float64(t.trial.All()))
+		excess += max(0, float64(trialCounts[k])-othersShare*float64(t.trial.All()))
 	}
 	all := t.trial.All() + t.others.All()
-	return fmt.Sprintf("about %.0f of %d answers harmed, %.2f%%", more, all, 100*more/float64(max(1, all)))
+	return fmt.Sprintf("about %.0f of %d answers harmed, %.2f%%", excess, all, 100*excess/float64(max(1, all)))
 }
--- a/internal/fleet/reconcile/upgrade.go
+++ b/internal/fleet/reconcile/upgrade.go
@@ -15,46 +15,48 @@
 )
 
 const (
-	// trialEvery is of how many instances of a group one gets a new version first.
-	trialEvery = 20
-	// roundsMost bounds the jobs of one zone for one change: each mends what the one before left.
-	roundsMost = 8
+	// One of every instancesPerTrial instances of a group gets a new version first.
+	instancesPerTrial = 20
+	// maxRounds bounds the jobs of one stage for one change: each handles the instances that the one before
+	// left behind.
+	maxRounds = 8
 )
 
-// Instance is an instance as it was seen last.
+// Instance is the last observed state of an instance.
 type Instance struct {
 	duty.Target
 	Zone    string
 	Program string
-	Up      bool // it is meant to be
-	Serves  bool // it does
-	Fresh   bool // it was seen just now
+	Up      bool // it is desired to be up
+	Serves  bool
+	Fresh   bool // the state is recent enough for decisions
 }
 
-// Back takes a group's version back.
-type Back struct {
+// Revert reverts a group's version.
+type Revert struct {
 	Group string
-	To    string // the version before
+	To    string // the previous version
 	Why   string
 }
 
-// Plan is what is to be done for groups whose instances do not all have the program that is desired.
+// Plan is what to do for groups whose instances do not all have the desired program.
 type Plan struct {
 	Submit []*duty.Job
-	Cancel []string // jobs on the way to what is not desired any more
-	Back   []Back
+	Cancel []string // jobs whose program is no longer desired
+	Back   []Revert
 	Says   map[string]string // by group
-	// Judge names the groups whose new version is to be held against the old one, with the instances that have it.
+	// Judge has the groups whose new version is to be compared with the old one, with the instances of each.
 	Judge map[string]Sides
-	// Whole names the groups of which all has come to serve with the program of a version.
+	// Whole has the groups all of whose instances now serve with the program of a version.
 	Whole map[string]desired.Version
 }
 
-// Sides are a group's instances, by AGENT/INSTANCE: those with the version that is desired, and the others.
+// Sides are a group's instances, by AGENT/INSTANCE: those with the desired version, and the others.
 type Sides struct{ New, Old []string }
 
-// Upgrades decides. Each step is a job of its own under an id that follows from the change, so that whoever decides it
-// again submits the same. verdict tells of a group's version; it is asked only once its trial's job has ended well.
+// Upgrades plans the next steps. Each step is a separate job whose id is derived from the change, so that another
+// owner that makes the same decision submits the same job. verdict judges a group's version; it is called only once
+// the trial's job has succeeded.
 func Upgrades(s *desired.State, all []Instance, jobs []*duty.Job, verdict func(group string) (Verdict, string)) Plan {
 	p := Plan{Says: map[string]string{}, Judge: map[string]Sides{}, Whole: map[string]desired.Version{}}
 	for _, j := range jobs {
@@ -67,16 +69,16 @@
 		groups[i.Group] = append(groups[i.Group], i)
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		p.group(s, name, groups[name], jobs, verdict)
+		p.planGroup(s, name, groups[name], jobs, verdict)
 	}
 	return p
 }
 
-func (p *Plan) group(s *desired.State, group string, all []Instance, jobs []*duty.Job, verdict func(string) (Verdict, string)) {
+func (p *Plan) planGroup(s *desired.State, group string, all []Instance, jobs []*duty.Job, verdict func(string) (Verdict, string)) {
 	slices.SortFunc(all, func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Key(), b.Key()))
 	})
-	g := &change{ProgramChange: s.Programs[group], plan: p, state: s, group: group, want: s.Program(group)}
+	g := &groupUpgrade{ProgramChange: s.Programs[group], plan: p, state: s, group: group, want: s.Program(group)}
 	for _, j := range jobs {
 		if j.Kind == protocol.Upgrade && j.Operator == duty.Fleet && j.Change == g.Version && j.Targets[0].Group == group {
 			g.jobs = append(g.jobs, j)
@@ -85,56 +87,57 @@
 	for _, i := range all {
 		switch {
 		case i.Program == g.want:
-			g.sides.New = append(g.sides.New, i.Key())
+			g.cohorts.New = append(g.cohorts.New, i.Key())
 			switch {
 			case i.Up && i.Fresh:
-				g.have = append(g.have, i)
+				g.updated = append(g.updated, i)
 			case i.Up:
-				g.lost = i.Key()
+				g.unreached = i.Key()
 			}
 		case i.Up:
-			g.sides.Old = append(g.sides.Old, i.Key())
-			g.lag = append(g.lag, i)
+			g.cohorts.Old = append(g.cohorts.Old, i.Key())
+			g.outdated = append(g.outdated, i)
 		}
 	}
-	if g.failed() {
+	if g.revertIfStopped() {
 		return
 	}
-	// What the fleet itself has taken back is the version that served before.
-	tried := g.By != duty.Fleet && g.Version != 0 && len(all) > 1
-	if len(g.lag) == 0 {
-		if len(g.have) > 0 && g.lost == "" && g.Version != 0 && !g.Whole && !slices.ContainsFunc(g.have, func(i Instance) bool { return !i.Serves }) &&
-			(!tried || g.judged(verdict)) {
+	// A version that the fleet itself has reverted to served before and needs no trial.
+	needsTrial := g.By != duty.Fleet && g.Version != 0 && len(all) > 1
+	if len(g.outdated) == 0 {
+		if len(g.updated) > 0 && g.unreached == "" && g.Version != 0 && !g.Whole && !slices.ContainsFunc(g.updated, func(i Instance) bool { return !i.Serves }) &&
+			(!needsTrial || g.trialPassed(verdict)) {
 			p.Whole[group] = g.Version
 		}
 		return
 	}
-	if tried && !g.trial(verdict) {
+	if needsTrial && !g.runTrial(verdict) {
 		return
 	}
-	g.zones()
+	g.nextZone()
 }
 
-// change is a group on its way to a program.
-type change struct {
+// groupUpgrade is a group on its way to a program.
+type groupUpgrade struct {
 	desired.ProgramChange
-	plan  *Plan
-	state *desired.State
-	group string
-	want  string
-	jobs  []*duty.Job // of this change
-	lag   []Instance  // that are meant to be up, without it
-	have  []Instance  // with it, that are reached
-	lost  string      // one with it that is not
-	sides Sides
+	plan      *Plan
+	state     *desired.State
+	group     string
+	want      string
+	jobs      []*duty.Job // of this change
+	outdated  []Instance  // desired to be up, without the program
+	updated   []Instance  // with the program, reached
+	unreached string      // one with the program that is not reached
+	cohorts   Sides
 }
 
-func (c *change) says(format string, args ...any) {
+func (c *groupUpgrade) setMessage(format string, args ...any) {
 	c.plan.Says[c.group] = fmt.Sprintf(format, args...)
 }
 
-// failed takes the version back once a job of this change was stopped; on the way back itself an operator has to look.
-func (c *change) failed() bool {
+// revertIfStopped plans to revert the version once a job of this change was stopped, and returns true then. If the revert itself
+// was stopped, it is left to an operator.
+func (c *groupUpgrade) revertIfStopped() bool {
 	for _, j := range c.jobs {
 		if j.State != duty.Stopped || j.Intents() > 0 {
 			continue
@@ -146,90 +149,90 @@
 			}
 		}
 		if c.By == duty.Fleet || c.Version == 0 {
-			c.says("STOPPED on the way to %s, %s: job %s: %s; otterctl jobs resume goes on", words(c.want), j.Stage, j.ID, why)
+			c.setMessage("STOPPED on the way to %s, %s: job %s: %s; continue with otterctl jobs resume", programLabel(c.want), j.Stage, j.ID, why)
 		} else {
-			c.plan.Back = append(c.plan.Back, Back{c.group, c.Previous, j.Stage + ": " + why})
+			c.plan.Back = append(c.plan.Back, Revert{c.group, c.Previous, j.Stage + ": " + why})
 		}
 		return true
 	}
 	return false
 }
 
-// stage tells how many jobs a stage has had, and whether the latest goes on; one that an operator has paused or
-// cancelled is the operator's to go on with.
-func (c *change) stage(name string) (rounds int, waits bool) {
+// stageStatus returns how many jobs a stage has had, and whether it has to wait for one of them; only an operator continues
+// a job that an operator has paused or cancelled.
+func (c *groupUpgrade) stageStatus(name string) (rounds int, waits bool) {
 	for _, j := range c.jobs {
 		if j.Stage != name {
 			continue
 		}
 		if rounds++; j.State != duty.Finished {
-			c.says("on the way to %s, %s: job %s is %s", words(c.want), name, j.ID, j.State)
+			c.setMessage("on the way to %s, %s: job %s is %s", programLabel(c.want), name, j.ID, j.State)
 			waits = true
 		}
 	}
-	if rounds == roundsMost && !waits {
-		c.says("STOPPED on the way to %s: %s is not whole after %d jobs", words(c.want), name, rounds)
+	if rounds == maxRounds && !waits {
+		c.setMessage("STOPPED on the way to %s: %s is not complete after %d jobs", programLabel(c.want), name, rounds)
 		waits = true
 	}
 	return rounds, waits
 }
 
-// trial sees to a change's first instances; it tells whether the others may follow.
-func (c *change) trial(verdict func(string) (Verdict, string)) bool {
+// runTrial upgrades the change's first instances, and reports whether the others may follow.
+func (c *groupUpgrade) runTrial(verdict func(string) (Verdict, string)) bool {
 	const name = "trial"
-	rounds, waits := c.stage(name)
+	rounds, waits := c.stageStatus(name)
 	if waits {
 		return false
 	}
-	if !slices.ContainsFunc(c.have, func(i Instance) bool { return i.Serves }) {
-		if c.lost != "" {
-			c.says("waits: %s has %s already and is not reached", c.lost, words(c.want))
+	if !slices.ContainsFunc(c.updated, func(i Instance) bool { return i.Serves }) {
+		if c.unreached != "" {
+			c.setMessage("waits: %s has %s already and is not reached", c.unreached, programLabel(c.want))
 			return false
 		}
-		size := 1 + (len(c.lag)-1)/trialEvery
-		first := c.have[:min(size, len(c.have))] // some have it of before, and don't serve: they are its trial
+		size := 1 + (len(c.outdated)-1)/instancesPerTrial
+		first := c.updated[:min(size, len(c.updated))] // some may have the program already without serving: the trial is theirs
 		if len(first) == 0 {
-			first = reached(c.lag)
+			first = onlyFresh(c.outdated)
 			first = first[:min(size, len(first))]
 		}
 		c.submit(name, rounds, first)
 		return false
 	}
-	return c.judged(verdict)
+	return c.trialPassed(verdict)
 }
 
-// judged tells whether the version has passed; one that has not is taken back, or watched on.
-func (c *change) judged(verdict func(string) (Verdict, string)) bool {
-	c.plan.Judge[c.group] = c.sides
+// trialPassed reports whether the version has passed its trial; if it failed, it is reverted, and otherwise observed further.
+func (c *groupUpgrade) trialPassed(verdict func(string) (Verdict, string)) bool {
+	c.plan.Judge[c.group] = c.cohorts
 	switch v, why := verdict(c.group); v {
-	case Bad:
-		c.plan.Back = append(c.plan.Back, Back{c.group, c.Previous, why})
+	case Failed:
+		c.plan.Back = append(c.plan.Back, Revert{c.group, c.Previous, why})
 	case Pending:
-		c.says("the trial of %s: %s", words(c.want), why)
+		c.setMessage("the trial of %s: %s", programLabel(c.want), why)
 	default:
 		return true
 	}
 	return false
 }
 
-func reached(all []Instance) []Instance {
+func onlyFresh(all []Instance) []Instance {
 	return slices.DeleteFunc(slices.Clone(all), func(i Instance) bool { return !i.Fresh })
 }
 
-// zones has the others follow, one zone after the other; one that is not reached is waited for.
-func (c *change) zones() {
-	zone := c.lag[0].Zone // they are sorted
+// nextZone upgrades the remaining instances, one zone after the other; it waits for a zone whose instances are not reached.
+func (c *groupUpgrade) nextZone() {
+	zone := c.outdated[0].Zone // they are sorted
 	name := "zone " + zone
-	rounds, waits := c.stage(name)
+	rounds, waits := c.stageStatus(name)
 	if waits {
 		return
 	}
-	c.submit(name, rounds, reached(slices.DeleteFunc(slices.Clone(c.lag), func(i Instance) bool { return i.Zone != zone })))
+	c.submit(name, rounds, onlyFresh(slices.DeleteFunc(slices.Clone(c.outdated), func(i Instance) bool { return i.Zone != zone })))
 }
 
-func (c *change) submit(stage string, round int, targets []Instance) {
+func (c *groupUpgrade) submit(stage string, round int, targets []Instance) {
 	if len(targets) == 0 {
-		c.says("waits: no instance is reached on the way to %s, %s", words(c.want), stage)
+		c.setMessage("waits: no instance is reached on the way to %s, %s", programLabel(c.want), stage)
 		return
 	}
 	h := fnv.New64a()
@@ -242,10 +245,10 @@
 		j.Targets = append(j.Targets, i.Target)
 	}
 	c.plan.Submit = append(c.plan.Submit, j)
-	c.says("goes to %s, %s", words(c.want), stage)
+	c.setMessage("upgrading to %s, %s", programLabel(c.want), stage)
 }
 
-func words(program string) string {
+func programLabel(program string) string {
 	if program == "" {
 		return "the agents' own program"
 	}
--- a/internal/fleet/reconcile/upgrade_test.go
+++ b/internal/fleet/reconcile/upgrade_test.go
@@ -15,18 +15,18 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// tier is a fleet as it really is, under the council's real state.
-type tier struct {
+// fleet is a simulated fleet with the council's production state.
+type fleet struct {
 	t     *rapid.T
 	state *duty.State
 	token duty.Token
 	all   []Instance
-	bad   map[string]bool // versions whose instances don't come up
-	harm  map[string]bool // versions whose trial ends badly
+	bad   map[string]bool // versions whose instances don't start
+	harm  map[string]bool // versions whose trial fails
 	ids   int
 }
 
-func (f *tier) must(c duty.Command) duty.Result {
+func (f *fleet) must(c duty.Command) duty.Result {
 	c.Form = duty.Form
 	r := f.state.Apply(c)
 	if r.Err != nil {
@@ -35,7 +35,7 @@
 	return r
 }
 
-func (f *tier) change(by, group, program string, token duty.Token) {
+func (f *fleet) change(by, group, program string, token duty.Token) {
 	f.ids++
 	f.must(duty.Command{Change: &desired.Change{
 		ID: protocol.NewID(time.UnixMilli(int64(f.ids)), 1), Saw: f.state.DesiredVersion(), By: by, At: time.UnixMilli(int64(f.ids)), Token: token,
@@ -43,14 +43,14 @@
 	}})
 }
 
-// decide does what an owner does in a turn.
-func (f *tier) decide() {
+// decide does one decision round of an owner.
+func (f *fleet) decide() {
 	s := f.state.Desired()
 	plan := Upgrades(s, f.all, f.state.Jobs(), func(group string) (Verdict, string) {
 		if f.harm[s.Program(group)] {
-			return Bad, "harm"
+			return Failed, "harm"
 		}
-		return Good, ""
+		return Passed, ""
 	})
 	if len(plan.Whole) > 0 {
 		f.must(duty.Command{Note: &duty.Note{Token: f.token, Whole: plan.Whole}})
@@ -72,8 +72,8 @@
 	}
 }
 
-// carry carries one step of some open job out.
-func (f *tier) carry(pick int) {
+// executeStep executes one step of an active job.
+func (f *fleet) executeStep(pick int) {
 	for _, j := range f.state.Jobs() {
 		if j.State != duty.Active {
 			continue
@@ -103,11 +103,11 @@
 	}
 }
 
-// Whatever comes in between, a version reaches more than its trial's instances only if it served there, one that does
-// not serve or does harm is taken back, and in the end all have what is desired.
-func TestUpgradesComeToRest(t *testing.T) {
+// Under any sequence of events, a version reaches more than its trial's instances only if it served there, a version
+// that does not serve or fails its trial is reverted, and in the end all instances have the desired version.
+func TestUpgradesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &tier{t: t, state: duty.New(), bad: map[string]bool{"bad": true}, harm: map[string]bool{"harm": true}}
+		f := &fleet{t: t, state: duty.New(), bad: map[string]bool{"bad": true}, harm: map[string]bool{"harm": true}}
 		for n := range rapid.IntRange(2, 9).Draw(t, "instances") {
 			f.all = append(f.all, Instance{
 				Target: duty.Target{Agent: fmt.Sprint("m", n%3), Instance: fmt.Sprint("n", n), Group: fmt.Sprint("g", n%2)}, Zone: fmt.Sprint("z", n%2+n%3%2), Up: true, Serves: true, Fresh: true,
@@ -118,7 +118,7 @@
 		fleet := f.token
 		step := func(pick int) {
 			f.token = rollouts
-			f.carry(pick)
+			f.executeStep(pick)
 			f.token = fleet
 		}
 		check := func() {
@@ -153,7 +153,7 @@
 					}
 				}
 			case 2:
-				f.all[n].Up = false // started again only at the end: that is an operator's doing
+				f.all[n].Up = false // as by an operator; started again only at the end
 			case 3, 4, 5:
 				step(n)
 			default:
@@ -173,66 +173,66 @@
 			want := s.Program(i.Group)
 			if want == "bad" || want == "harm" {
 				if size := slices.IndexFunc(f.all, func(o Instance) bool { return o.Group == i.Group && o.Target != i.Target }); size >= 0 {
-					t.Fatalf("group %s is to have %s at last: %+v; %s", i.Group, want, f.all, f.says())
+					t.Fatalf("group %s still has the desired version %s: %+v; %s", i.Group, want, f.all, f.status())
 				}
-				continue // a single instance: nobody to try it at
+				continue // a single instance has no trial
 			}
 			if i.Program != want && !f.stopped() {
-				t.Fatalf("%s has %q, its group is to have %q: %+v", i.Key(), i.Program, want, f.state.Jobs())
+				t.Fatalf("%s has %q, its group's desired version is %q: %+v", i.Key(), i.Program, want, f.state.Jobs())
 			}
 		}
 	})
 }
 
-// says tells what is waited for.
-func (f *tier) says() string {
+// status describes what the fleet waits for.
+func (f *fleet) status() string {
 	jobs := ""
 	for _, j := range f.state.Jobs() {
 		jobs += fmt.Sprintf("; job %s is %s %+v", j.Stage, j.State, j.Steps)
 	}
-	plan := Upgrades(f.state.Desired(), f.all, f.state.Jobs(), func(string) (Verdict, string) { return Good, "" })
+	plan := Upgrades(f.state.Desired(), f.all, f.state.Jobs(), func(string) (Verdict, string) { return Passed, "" })
 	return fmt.Sprint(plan.Says, f.state.Desired().Programs, jobs)
 }
 
-// stopped tells whether something waits for an operator: a way back that itself did not come to its end.
-func (f *tier) stopped() bool {
+// stopped reports whether something waits for an operator: a revert that was itself stopped.
+func (f *fleet) stopped() bool {
 	return slices.ContainsFunc(f.state.Jobs(), func(j *duty.Job) bool { return j.State == duty.Stopped })
 }
 
-// day is how a group answers, a second at a time: the usual bad share, bursts that meet all alike, and a version with
-// faults of its own.
-type day struct {
-	rate        float64 // answers a second of an instance
-	usual       float64
-	bursts      float64 // a second
-	fault       float64 // share of the new version's answers
-	slow        float64 // of its answers that are late
-	news, olds  int
-	rng         *rand.Rand
-	burstLeft   int
-	burstStands float64
+// traffic generates a group's answers second by second: the usual share of bad ones, bursts that affect all instances, and
+// a version with additional faults.
+type traffic struct {
+	rate                         float64 // answers per second of an instance
+	baseShare                    float64 // share of bad answers of each kind
+	burstRate                    float64 // per second
+	faultShare                   float64 // share of the new version's answers
+	lateShare                    float64 // of its answers that are late
+	newInstances, otherInstances int
+	rng                          *rand.Rand
+	burstLeft                    int
+	burstShare                   float64
 }
 
-func (d *day) second() (is, others duty.Answers) {
-	if d.burstLeft--; d.burstLeft < 0 && d.rng.Float64() < d.bursts {
-		d.burstLeft, d.burstStands = 1+d.rng.IntN(10), 0.05+0.5*d.rng.Float64()
+func (d *traffic) second() (trial, others duty.Answers) {
+	if d.burstLeft--; d.burstLeft < 0 && d.rng.Float64() < d.burstRate {
+		d.burstLeft, d.burstShare = 1+d.rng.IntN(10), 0.05+0.5*d.rng.Float64()
 	}
 	answers := func(instances int, fault, slow float64) (a duty.Answers) {
 		for range instances {
-			local := 0.0 // a burst meets instances unevenly, as each has its own servers and clients
+			local := 0.0 // a burst affects instances unevenly, as each has its own servers and clients
 			if d.burstLeft >= 0 {
-				local = d.burstStands * (0.5 + d.rng.Float64())
+				local = d.burstShare * (0.5 + d.rng.Float64())
 			}
 			n := int(d.rate * (0.5 + d.rng.Float64()))
 			for range n {
 				switch x := d.rng.Float64(); {
-				case x < fault+d.usual/2+local/2:
+				case x < fault+d.baseShare/2+local/2:
 					a.Failed++
-				case x < fault+d.usual+local:
+				case x < fault+d.baseShare+local:
 					a.Refused++
 				default:
 					a.Served++
-					if d.rng.Float64() < slow+d.usual {
+					if d.rng.Float64() < slow+d.baseShare {
 						a.Late++
 					}
 				}
@@ -240,16 +240,16 @@
 		}
 		return a
 	}
-	return answers(d.news, d.fault, d.slow), answers(d.olds, 0, 0)
+	return answers(d.newInstances, d.faultShare, d.lateShare), answers(d.otherInstances, 0, 0)
 }
 
-// verdict plays a day until it is decided, and tells when.
-func (d *day) verdict(length time.Duration) (Verdict, time.Duration, string) {
+// verdict simulates until the trial is decided, and returns the verdict, its time and its reason.
+func (d *traffic) verdict(length time.Duration) (Verdict, time.Duration, string) {
 	var t Trial
 	for second := range 3600 {
 		now := time.Duration(second) * time.Second
-		is, others := d.second()
-		t.Observe(now, is, others)
+		trial, others := d.second()
+		t.Observe(now, trial, others)
 		if v, why := t.Verdict(now, length); v != Pending {
 			return v, now, why
 		}
@@ -257,20 +257,21 @@
 	return Pending, 0, ""
 }
 
-// Drawn days: with faults that meet all alike hardly any version is taken back, and one with faults of its own is,
-// within seconds. More days: go test -run Days ./internal/fleet/reconcile -rapid.checks=1000 -v
-func TestTrialsOfDrawnDays(t *testing.T) {
-	alarms, misses, days := 0, 0, 0
+// Generates traffic with and without a faulty version: faults that affect all instances alike must cause few false
+// alarms, and a version with faults of its own must be detected in most cases. For more runs:
+// go test -run TrialErrorRates ./internal/fleet/reconcile -rapid.checks=1000 -v
+func TestTrialErrorRates(t *testing.T) {
+	alarms, misses, runs := 0, 0, 0
 	var took []time.Duration
 	rapid.Check(t, func(rt *rapid.T) {
-		d := day{
-			rate: rapid.Float64Range(1, 100).Draw(rt, "rate"), usual: rapid.Float64Range(0, 0.03).Draw(rt, "usual"), bursts: rapid.Float64Range(0, 0.1).Draw(rt, "bursts"),
-			news: rapid.IntRange(1, 2).Draw(rt, "news"), olds: rapid.IntRange(1, 30).Draw(rt, "olds"),
+		d := traffic{
+			rate: rapid.Float64Range(1, 100).Draw(rt, "rate"), baseShare: rapid.Float64Range(0, 0.03).Draw(rt, "usual"), burstRate: rapid.Float64Range(0, 0.1).Draw(rt, "bursts"),
+			newInstances: rapid.IntRange(1, 2).Draw(rt, "news"), otherInstances: rapid.IntRange(1, 30).Draw(rt, "olds"),
 		}
 		seed := rapid.Uint64().Draw(rt, "seed")
-		days++
+		runs++
 		d.rng = rand.New(rand.NewPCG(seed, 1))
-		if v, at, why := d.verdict(30 * time.Second); v == Bad {
+		if v, at, why := d.verdict(30 * time.Second); v == Failed {
 			alarms++
 			rt.Logf("false alarm after %v: %s", at, why)
 		} else if v == Pending {
@@ -278,28 +279,28 @@
 		}
 		d.rng, d.burstLeft = rand.New(rand.NewPCG(seed, 2)), 0
 		if rapid.Bool().Draw(rt, "slow") {
-			d.slow = rapid.Float64Range(0.15, 1).Draw(rt, "late")
+			d.lateShare = rapid.Float64Range(0.15, 1).Draw(rt, "late")
 		} else {
-			d.fault = rapid.Float64Range(0.15, 1).Draw(rt, "fault")
+			d.faultShare = rapid.Float64Range(0.15, 1).Draw(rt, "fault")
 		}
-		if v, at, _ := d.verdict(30 * time.Second); v != Bad {
+		if v, at, _ := d.verdict(30 * time.Second); v != Failed {
 			misses++
 		} else {
 			took = append(took, at)
 		}
 	})
 	slices.Sort(took)
-	t.Logf("%d days: %d false alarms, %d misses, found after %v (median), %v (nine of ten)", days, alarms, misses, took[len(took)/2], took[len(took)*9/10])
-	if alarms*100 > days || misses*20 > days {
-		t.Errorf("%d days: %d false alarms, %d misses", days, alarms, misses)
+	t.Logf("%d runs: %d false alarms, %d misses, found after %v (median), %v (90th percentile)", runs, alarms, misses, took[len(took)/2], took[len(took)*9/10])
+	if alarms*100 > runs || misses*20 > runs {
+		t.Errorf("%d runs: %d false alarms, %d misses", runs, alarms, misses)
 	}
 }
 
-// A trial that nobody asks anything passes in the end; what it cost is told.
-func TestTrialWords(t *testing.T) {
+// A trial without traffic passes eventually, and the reports give the shares of bad answers and the harm.
+func TestTrialReports(t *testing.T) {
 	var quiet Trial
 	quiet.Observe(0, duty.Answers{Served: 1}, duty.Answers{Served: 9})
-	for at, want := range map[time.Duration]Verdict{29 * time.Second: Pending, 299 * time.Second: Pending, 300 * time.Second: Good} {
+	for at, want := range map[time.Duration]Verdict{29 * time.Second: Pending, 299 * time.Second: Pending, 300 * time.Second: Passed} {
 		if v, why := quiet.Verdict(at, 30*time.Second); v != want {
 			t.Errorf("after %v: %v, %s", at, v, why)
 		}
@@ -308,7 +309,7 @@
 	for n := range 5 {
 		bad.Observe(time.Duration(n)*time.Second, duty.Answers{Failed: 20}, duty.Answers{Served: 100})
 	}
-	if v, why := bad.Verdict(4*time.Second, 30*time.Second); v != Bad || !strings.Contains(why, "100.0% of its answers are failed, and 0.0% of the others'") {
+	if v, why := bad.Verdict(4*time.Second, 30*time.Second); v != Failed || !strings.Contains(why, "100.0% of its answers are failed, and 0.0% of the others'") {
 		t.Error(v, why)
 	}
 	if got := bad.Harm(); got != "about 100 of 600 answers harmed, 16.67%" {
