--- a/internal/fleet/rollout/desk.go
+++ b/internal/fleet/rollout/desk.go
@@ -11,69 +11,69 @@
 	"otterstep/internal/fleet/duty"
 )
 
-// Seen is an instance as a duty's owner last saw it.
+// Seen is an instance's last state as observed by the duty's owner.
 type Seen struct {
 	Group string
-	// Reached tells that its agent refuses older owners, and was looked at just now behind
-	// that. Of an instance that is not reached nothing is known: an older owner's order may
-	// be at work on it.
+	// Reached is set if the instance's agent refuses older owners and has answered a status
+	// request after that. The state of an instance that is not reached is unknown: an older
+	// owner's order may be in progress on it.
 	Reached bool
-	Serves  bool // it is up, and nothing is under way on it
-	Drained bool // it is meant to be down
+	Serves  bool // it is up, and no operation is in progress on it
+	Drained bool // it is desired to be down
 	Zone    string
 	Stuck   string // why it does not come back by itself, if it does not
 }
 
-// Limits bound what is begun over all jobs together. The zero value bounds nothing.
+// Limits apply over all jobs together. The zero value sets no limit.
 type Limits struct {
-	Zone   int     // instances of a zone that may be away at once; 0: no bound
-	Starts float64 // instances begun upon a second; 0: no bound
+	Zone   int     // instances of a zone that may be away at once; 0: no limit
+	Starts float64 // instances started per second; 0: no limit
 }
 
-// Step is one instance of a job whose turn it is.
+// Step is one instance of a job to work on now.
 type Step struct {
 	Job    *duty.Job
 	Target duty.Target
-	// Again tells that an owner of before wrote the intent down: what was begun of it is not
-	// known here, and is looked at first.
+	// Again is set if an earlier owner recorded the intent: how far it got is not known here
+	// and has to be checked first.
 	Again bool
 }
 
-// Decision is what there is to do now.
+// Decision is what to do now.
 type Decision struct {
 	Begin []Step
-	Leave []Step            // drained ones, which stay so
-	Stop  map[string]string // jobs to stop, and why
-	Says  map[string]string // jobs that wait, and for what
+	Leave []Step            // drained instances, which stay drained
+	Stop  map[string]string // jobs to stop, with the reason
+	Says  map[string]string // waiting jobs, with the reason
 }
 
-// Desk decides for all jobs of a fleet at once: they share the budget of each group, with
-// each other and with whatever else is away. It does no I/O and has no clock. The owner of
-// the duty makes one when it comes; what was decided before it is in the jobs' steps.
+// Desk decides for all jobs of a fleet together: they share the budget of each group with
+// each other and with instances that are away for other reasons. It does no I/O and has no
+// clock. Each new owner of the duty creates one; earlier decisions are in the jobs' steps.
 type Desk struct {
-	plans map[string]*round
-	busy  map[string]string // keys that are worked on: by which job
-	next  time.Time         // from then on another one may be begun upon, by Limits.Starts
+	plans     map[string]*jobPlan
+	busy      map[string]string // job by key, for the instances being worked on
+	nextStart time.Time         // when the next instance may be started, by Limits.Starts
 }
 
-// round is a job's plan since it was submitted or last resumed; if it is not active any more,
-// one for what is open.
-type round struct {
+// jobPlan is a job's plan since it was submitted or last resumed; for a job that is not active,
+// a plan that finishes what is in progress.
+type jobPlan struct {
 	*Plan
-	number int
-	active bool
+	resumeCount int
+	active      bool
 }
 
-// NewDesk makes a desk on which nothing lies.
-func NewDesk() *Desk { return &Desk{plans: map[string]*round{}, busy: map[string]string{}} }
+// NewDesk creates a Desk without jobs.
+func NewDesk() *Desk { return &Desk{plans: map[string]*jobPlan{}, busy: map[string]string{}} }
 
-// Busy counts the steps that were begun and have not ended.
+// Busy returns the number of steps that were begun and have not ended.
 func (d *Desk) Busy() int { return len(d.busy) }
 
-// Next decides. seen has every instance of the fleet by key. Nothing of a job begins before its
-// Before is known.
+// Next returns what to do now. seen has every instance of the fleet by key. No step of a job
+// begins before its Before is known.
 func (d *Desk) Next(now time.Time, jobs []*duty.Job, seen map[string]Seen, limits Limits) Decision {
-	to := Decision{Stop: map[string]string{}, Says: map[string]string{}}
+	decision := Decision{Stop: map[string]string{}, Says: map[string]string{}}
 	intents := map[string]string{} // by key, of any job
 	for _, j := range jobs {
 		for i, step := range j.Steps {
@@ -97,69 +97,70 @@
 			continue
 		}
 		p := d.plans[j.ID]
-		if active := j.State == duty.Active; p == nil || p.number != j.Round || p.active != active {
-			p = &round{d.plan(j), j.Round, active}
+		if active := j.State == duty.Active; p == nil || p.resumeCount != j.Round || p.active != active {
+			p = &jobPlan{d.newPlan(j), j.Round, active}
 			d.plans[j.ID] = p
 		}
-		p.Regroup(group(j, jobs, seen))
-		bound := ""
-		may := func(key string, costs bool) bool {
+		p.SetGroup(groupKeys(j, jobs, seen))
+		limitReason := ""
+		allow := func(key string, serving bool) bool {
 			s := seen[key]
 			switch {
-			case limits.Starts > 0 && now.Before(d.next):
-				bound = "for its turn, as " + strconv.FormatFloat(limits.Starts, 'g', 3, 64) + " a second may be begun upon"
+			case limits.Starts > 0 && now.Before(d.nextStart):
+				limitReason = "for the start rate limit, as " + strconv.FormatFloat(limits.Starts, 'g', 3, 64) + " instances per second may be started"
 				return false
-			case costs && limits.Zone > 0 && zones[s.Zone] >= limits.Zone:
-				bound = fmt.Sprintf("%d of zone %q are away, and at most %d may be", zones[s.Zone], s.Zone, limits.Zone)
+			case serving && limits.Zone > 0 && zones[s.Zone] >= limits.Zone:
+				limitReason = fmt.Sprintf("%d of zone %q are away, and at most %d may be", zones[s.Zone], s.Zone, limits.Zone)
 				return false
 			}
 			if limits.Starts > 0 {
-				d.next = now.Add(time.Duration(float64(time.Second) / limits.Starts))
+				d.nextStart = now.Add(time.Duration(float64(time.Second) / limits.Starts))
 			}
-			if costs {
+			if serving {
 				zones[s.Zone]++
 			}
 			return true
 		}
-		turn := p.Next(now, func(key string) Standing {
+		toStart := p.Next(now, func(key string) InstanceState {
 			s, known := seen[key]
-			step, mine := j.Step(key)
+			step, ownStep := j.Step(key)
 			switch {
 			case d.busy[key] != "", intents[key] != "" && intents[key] != j.ID:
-				return Taken
+				return Unavailable
 			case !known || !s.Reached:
-				return Taken
-			case mine && step.Phase == duty.Intent:
-				return Begun // whatever it seems
+				return Unavailable
+			case ownStep && step.Phase == duty.Intent:
+				return Started // whatever its observed state
 			case s.Drained:
-				return Out
+				return Drained
 			case !s.Serves:
 				return Away
 			}
 			return Serves
-		}, may)
-		for _, key := range turn {
+		}, allow)
+		for _, key := range toStart {
 			i := slices.IndexFunc(j.Targets, func(t duty.Target) bool { return t.Key() == key })
 			d.busy[key] = j.ID
-			to.Begin = append(to.Begin, Step{j, j.Targets[i], j.Steps[i].Phase == duty.Intent})
+			decision.Begin = append(decision.Begin, Step{j, j.Targets[i], j.Steps[i].Phase == duty.Intent})
 		}
 		for i, t := range j.Targets {
 			if s := seen[t.Key()]; j.State == duty.Active && j.Steps[i].Phase == duty.Waiting && d.busy[t.Key()] == "" && s.Reached && s.Drained {
-				to.Leave = append(to.Leave, Step{Job: j, Target: t})
+				decision.Leave = append(decision.Leave, Step{Job: j, Target: t})
 			}
 		}
 		if why := p.Stopped(); why != "" && j.State == duty.Active {
-			to.Stop[j.ID] = why
+			decision.Stop[j.ID] = why
 		}
-		if why := p.Waits(); why != "" {
-			to.Says[j.ID] = "waits: " + cmp.Or(bound, why) + unreached(j, seen) + stuck(p.opt.Group, seen)
+		if why := p.WaitReason(); why != "" {
+			decision.Says[j.ID] = "waits: " + cmp.Or(limitReason, why) + unreachedSuffix(j, seen) + stuckSuffix(p.opt.Group, seen)
 		}
 	}
-	return to
+	return decision
 }
 
-// stuck says which of a group do not come back by themselves: what waits for these waits for an operator.
-func stuck(group []string, seen map[string]Seen) string {
+// stuckSuffix describes the instances of a group that do not come back by themselves: a job that waits for these waits for
+// an operator.
+func stuckSuffix(group []string, seen map[string]Seen) string {
 	n, first := 0, ""
 	for _, key := range group {
 		if s := seen[key]; s.Stuck != "" && !s.Drained {
@@ -177,8 +178,8 @@
 	return fmt.Sprintf("; %s and %d more do not come back by themselves: start or drain them", first, n-1)
 }
 
-// unreached names an agent without which a job can't go on.
-func unreached(j *duty.Job, seen map[string]Seen) string {
+// unreachedSuffix names an agent that is not reached and without which a job can't continue.
+func unreachedSuffix(j *duty.Job, seen map[string]Seen) string {
 	for i, t := range j.Targets {
 		if s, known := seen[t.Key()]; (j.Steps[i].Phase == duty.Waiting || j.Steps[i].Phase == duty.Intent) && (!known || !s.Reached) {
 			return "; agent " + t.Agent + " is not reached, and what it has counts as away"
@@ -187,31 +188,31 @@
 	return ""
 }
 
-// group gives the keys whose absence counts for a job: all of its groups, by what was seen and
-// by what any job names. An agent that nobody has looked at yet has instances too.
-func group(j *duty.Job, jobs []*duty.Job, seen map[string]Seen) []string {
-	groups, in := map[string]bool{}, map[string]bool{}
+// groupKeys returns the keys that count against a job's budget: the instances of its groups, as observed
+// and as named by any job, since an agent that was never reached has instances too.
+func groupKeys(j *duty.Job, jobs []*duty.Job, seen map[string]Seen) []string {
+	groups, keys := map[string]bool{}, map[string]bool{}
 	for _, t := range j.Targets {
-		groups[t.Group], in[t.Key()] = true, true
+		groups[t.Group], keys[t.Key()] = true, true
 	}
 	for key, s := range seen {
 		if groups[s.Group] {
-			in[key] = true
+			keys[key] = true
 		}
 	}
 	for _, other := range jobs {
 		for _, t := range other.Targets {
 			if _, known := seen[t.Key()]; !known && groups[t.Group] {
-				in[t.Key()] = true
+				keys[t.Key()] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(in))
+	return slices.Sorted(maps.Keys(keys))
 }
 
-// plan begins what is left of a job. What may be under way comes first.
-func (d *Desk) plan(j *duty.Job) *Plan {
-	opt := Options{MaxUnavailable: j.MaxUnavailable, Pause: j.Pause, Patient: true, Ending: j.State != duty.Active, Group: []string{}}
+// newPlan creates the plan for the rest of a job. Steps that may be in progress come first.
+func (d *Desk) newPlan(j *duty.Job) *Plan {
+	opt := Options{MaxUnavailable: j.MaxUnavailable, Pause: j.Pause, NoStallTimeout: true, FinishOnly: j.State != duty.Active, Group: []string{}}
 	var waiting []string
 	for i, t := range j.Targets {
 		switch j.Steps[i].Phase {
@@ -224,19 +225,19 @@
 		}
 	}
 	opt.Instances = append(opt.Instances, waiting...)
-	before := Counts{}
+	baseline := Counts{}
 	if j.Before != nil {
-		before = *j.Before
+		baseline = *j.Before
 	}
-	p, err := New(opt, before)
-	if err != nil { // duty.CheckJob has seen to it
+	p, err := New(opt, baseline)
+	if err != nil { // duty.CheckJob has excluded it
 		p, _ = New(Options{MaxUnavailable: 1}, Counts{})
 		p.Stop(err.Error())
 	}
 	return p
 }
 
-// Ended notes that a step has come to its end; err is why its instance did not come back.
+// Ended records the end of a step; err is why its instance did not come back.
 func (d *Desk) Ended(now time.Time, job, key string, err error) {
 	delete(d.busy, key)
 	if p := d.plans[job]; p != nil {
@@ -244,7 +245,7 @@
 	}
 }
 
-// Withdrawn notes that nothing was begun: the instance's turn comes again.
+// Withdrawn records that the step was not begun, and queues the instance again.
 func (d *Desk) Withdrawn(job, key string) {
 	delete(d.busy, key)
 	if p := d.plans[job]; p != nil {
@@ -252,7 +253,7 @@
 	}
 }
 
-// Observe judges the answers of a job's instances of late.
+// Observe judges the recent answers of a job's instances.
 func (d *Desk) Observe(job string, c Counts) {
 	if p := d.plans[job]; p != nil {
 		p.Observe(c)
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout decides, instance by instance, how a group is restarted: which is
-// next, when to wait, when to stop because the group gets worse. It does no I/O and
-// has no clock.
+// Package rollout decides how the instances of a group are restarted: which one is
+// next, when to wait, and when to stop because the group's answers get worse. It does
+// no I/O and has no clock.
 package rollout
 
 import (
@@ -12,77 +12,77 @@
 )
 
 const (
-	// A window of answers is judged once it holds so many.
-	leastAnswers = 20
-	// The group is worse when the share of failed answers is above what it was before
-	// by this much, or that of refused ones by so much.
-	failedMore  = 0.05
-	refusedMore = 0.20
-	// stallMost is how long it waits for others than its own to come back.
-	stallMost = 30 * time.Second
+	// minAnswers is the number of answers that a window needs to be judged.
+	minAnswers = 20
+	// A rollout stops when the share of failed answers exceeds the baseline by more than
+	// maxFailedIncrease, or the share of refused ones by more than maxRefusedIncrease.
+	maxFailedIncrease  = 0.05
+	maxRefusedIncrease = 0.20
+	// stallTimeout is how long a plan waits for instances that are away for other reasons.
+	stallTimeout = 30 * time.Second
 )
 
-// Standing is what an instance is to a plan.
-type Standing int
+// InstanceState is the state of an instance with respect to a plan.
+type InstanceState int
 
-// The standings.
+// The states of an instance.
 const (
-	Serves Standing = iota
-	// Away does not serve. It counts, and costs the group nothing more; but it may come up by itself
-	// while an order to it is on its way, so that no more of these are worked on at once than may
-	// be away.
+	Serves InstanceState = iota
+	// Away does not serve. It counts as away, and restarting it makes no further instance unavailable; but
+	// it may come up by itself while the order to it is on its way, so that no more of these are worked on
+	// at once than may be away.
 	Away
-	Begun // an order of before may be at work on it: it counts, and to look after it costs nothing
-	Taken // it counts as away, and is not to be touched: somebody else works on it, or nothing is known of it
-	Out   // it is meant to be down: it neither counts nor is touched
+	Started     // an earlier order may be in progress on it: it counts as away, and resuming costs nothing
+	Unavailable // it counts as away and must not be touched: another job works on it, or its state is unknown
+	Drained     // it is desired to be down: it neither counts as away nor is touched
 )
 
-// Options say how a group is restarted.
+// Options configure a plan.
 type Options struct {
 	Instances      []string      // in this order
-	Group          []string      // whose absence counts; Instances if nil
+	Group          []string      // the instances counted against MaxUnavailable; Instances if nil
 	MaxUnavailable int           // of the group at once, for whatever reason; at least 1
-	Pause          time.Duration // between an instance's return and the next one's turn
-	// Patient plans wait for others to come back as long as it takes, instead of stopping.
-	Patient bool
-	// Ending plans only bring to an end what was begun before: nothing stops them.
-	Ending bool
+	Pause          time.Duration // between an instance's return and the next restart
+	// With NoStallTimeout a plan waits without limit for instances that are away, instead of stopping.
+	NoStallTimeout bool
+	// With FinishOnly a plan only finishes what was begun before, and nothing stops it.
+	FinishOnly bool
 }
 
-// Counts are answers of a group in some stretch of time.
+// Counts are the answers of a group over some time.
 type Counts = duty.Answers
 
-// Plan is a rollout under way. Make it with New.
+// Plan is a rollout in progress. Create it with New.
 type Plan struct {
-	opt     Options
-	waiting []string
-	working []string
-	done    []string
-	failed  []string
-	ended   time.Time // of the latest instance
-	stalled time.Time // since when none could be started, zero if one could
-	before  Counts
-	stopped string
-	waits   string
+	opt          Options
+	waiting      []string
+	working      []string
+	done         []string
+	failed       []string
+	lastEnd      time.Time // when the latest instance ended
+	stalledSince time.Time // since when none could be started; zero if one could
+	baseline     Counts
+	stopReason   string
+	waitReason   string
 }
 
-// New begins a plan. before counts the group's answers while nothing was restarted.
-func New(opt Options, before Counts) (*Plan, error) {
+// New creates a plan. baseline counts the group's answers before the rollout.
+func New(opt Options, baseline Counts) (*Plan, error) {
 	if opt.MaxUnavailable < 1 {
-		return nil, fmt.Errorf("rollout: at most %d unavailable: nothing could ever be restarted", opt.MaxUnavailable)
+		return nil, fmt.Errorf("rollout: max_unavailable: %d: must be at least 1, else nothing could ever be restarted", opt.MaxUnavailable)
 	}
 	if opt.Group == nil {
 		opt.Group = opt.Instances
 	}
-	return &Plan{opt: opt, waiting: slices.Clone(opt.Instances), before: before}, nil
+	return &Plan{opt: opt, waiting: slices.Clone(opt.Instances), baseline: baseline}, nil
 }
 
-// Next gives the instances whose turn it is now. look tells how an instance of the group
-// stands, and may, unless it is nil, whether further bounds let one be begun upon; costs tells that one goes away
-// that serves. Each one given counts as working until Ended or Withdrawn.
-func (p *Plan) Next(now time.Time, look func(name string) Standing, may func(name string, costs bool) bool) []string {
-	p.waits = ""
-	if p.stopped != "" {
+// Next returns the instances to restart now. state returns the state of an instance of the group. allow, unless it is
+// nil, reports whether further limits allow one to be started; serving means that the instance serves now. Each instance
+// returned counts as being worked on until Ended or Withdrawn.
+func (p *Plan) Next(now time.Time, state func(name string) InstanceState, allow func(name string, serving bool) bool) []string {
+	p.waitReason = ""
+	if p.stopReason != "" {
 		return nil
 	}
 	away, worked := len(p.working), len(p.working)
@@ -90,10 +90,10 @@
 		if slices.Contains(p.working, name) {
 			continue
 		}
-		switch look(name) {
+		switch state(name) {
 		case Away:
 			away++
-		case Begun, Taken:
+		case Started, Unavailable:
 			away++
 			worked++
 		}
@@ -101,45 +101,45 @@
 	if len(p.waiting) == 0 {
 		return nil
 	}
-	if !p.ended.IsZero() && now.Sub(p.ended) < p.opt.Pause {
-		p.waits = "for its pause"
+	if !p.lastEnd.IsZero() && now.Sub(p.lastEnd) < p.opt.Pause {
+		p.waitReason = "for the pause between restarts"
 		return nil
 	}
-	var turn []string
+	var toStart []string
 	p.waiting = slices.DeleteFunc(p.waiting, func(name string) bool {
-		switch look(name) {
+		switch state(name) {
 		case Serves:
-			if away >= p.opt.MaxUnavailable || may != nil && !may(name, true) {
+			if away >= p.opt.MaxUnavailable || allow != nil && !allow(name, true) {
 				return false
 			}
 			away++
 			worked++
 		case Away:
-			if worked >= p.opt.MaxUnavailable || may != nil && !may(name, false) {
+			if worked >= p.opt.MaxUnavailable || allow != nil && !allow(name, false) {
 				return false
 			}
 			worked++
-		case Taken, Out:
+		case Unavailable, Drained:
 			return false
 		}
-		turn = append(turn, name)
+		toStart = append(toStart, name)
 		return true
 	})
-	p.working = append(p.working, turn...)
-	if len(turn) == 0 && len(p.waiting) > 0 {
-		p.waits = fmt.Sprintf("%d of %d are away, and at most %d may be", away, len(p.opt.Group), p.opt.MaxUnavailable)
+	p.working = append(p.working, toStart...)
+	if len(toStart) == 0 && len(p.waiting) > 0 {
+		p.waitReason = fmt.Sprintf("%d of %d are away, and at most %d may be", away, len(p.opt.Group), p.opt.MaxUnavailable)
 	}
-	p.stall(now, away)
-	return turn
+	p.checkStall(now, away)
+	return toStart
 }
 
-// Regroup sets whose absence counts from now on.
-func (p *Plan) Regroup(group []string) { p.opt.Group = group }
+// SetGroup replaces Options.Group.
+func (p *Plan) SetGroup(group []string) { p.opt.Group = group }
 
-// Waits says why nothing was given by the latest Next, "" if something was or nothing is left.
-func (p *Plan) Waits() string { return p.waits }
+// WaitReason returns why the latest Next returned nothing, "" if it returned something or nothing is left.
+func (p *Plan) WaitReason() string { return p.waitReason }
 
-// Withdrawn notes that a working instance was not touched: its turn comes again.
+// Withdrawn records that an instance was not touched after all, and queues it again.
 func (p *Plan) Withdrawn(name string) {
 	if i := slices.Index(p.working, name); i >= 0 {
 		p.working = slices.Delete(p.working, i, i+1)
@@ -147,23 +147,23 @@
 	}
 }
 
-// stall stops a plan that waits in vain.
-func (p *Plan) stall(now time.Time, away int) {
+// checkStall stops a plan that has waited for stallTimeout.
+func (p *Plan) checkStall(now time.Time, away int) {
 	switch {
-	case p.opt.Patient || len(p.working) > 0 || len(p.waiting) == 0:
-		p.stalled = time.Time{}
-	case p.stalled.IsZero():
-		p.stalled = now
-	case now.Sub(p.stalled) >= stallMost:
-		p.stop("%d instances are away that it did not restart, and at most %d may be", away, p.opt.MaxUnavailable)
+	case p.opt.NoStallTimeout || len(p.working) > 0 || len(p.waiting) == 0:
+		p.stalledSince = time.Time{}
+	case p.stalledSince.IsZero():
+		p.stalledSince = now
+	case now.Sub(p.stalledSince) >= stallTimeout:
+		p.stop("%d instances are away that this rollout did not restart, and at most %d may be", away, p.opt.MaxUnavailable)
 	}
 }
 
-// Ended notes that a working instance came back, or did not.
+// Ended records that an instance came back, or with err that it did not.
 func (p *Plan) Ended(now time.Time, name string, err error) {
 	is := func(n string) bool { return n == name }
 	p.working, p.waiting = slices.DeleteFunc(p.working, is), slices.DeleteFunc(p.waiting, is)
-	p.ended = now
+	p.lastEnd = now
 	if err == nil {
 		p.done = append(p.done, name)
 		return
@@ -172,50 +172,50 @@
 	p.stop("%s did not come back: %v", name, err)
 }
 
-// Observe judges the group's answers of late.
+// Observe judges the group's recent answers.
 func (p *Plan) Observe(c Counts) {
 	all := c.Served + c.Refused + c.Failed
-	if all < leastAnswers {
+	if all < minAnswers {
 		return
 	}
-	was, is := shares(p.before), shares(c)
+	baseline, current := shares(p.baseline), shares(c)
 	switch {
-	case is[0] > was[0]+failedMore:
-		p.stop("the share of failed answers rose from %.1f%% to %.1f%%", 100*was[0], 100*is[0])
-	case is[1] > was[1]+refusedMore:
-		p.stop("the share of refused answers rose from %.1f%% to %.1f%%", 100*was[1], 100*is[1])
+	case current[0] > baseline[0]+maxFailedIncrease:
+		p.stop("the share of failed answers rose from %.1f%% to %.1f%%", 100*baseline[0], 100*current[0])
+	case current[1] > baseline[1]+maxRefusedIncrease:
+		p.stop("the share of refused answers rose from %.1f%% to %.1f%%", 100*baseline[1], 100*current[1])
 	}
 }
 
-// shares gives those of failed and of refused answers.
+// shares returns the shares of failed and of refused answers.
 func shares(c Counts) [2]float64 {
 	all := float64(max(1, c.Served+c.Refused+c.Failed))
 	return [2]float64{float64(c.Failed) / all, float64(c.Refused) / all}
 }
 
-// Stop stops the plan for a reason from outside.
+// Stop stops the plan for an external reason.
 func (p *Plan) Stop(reason string) { p.stop("%s", reason) }
 
 // stop keeps the first reason.
 func (p *Plan) stop(format string, args ...any) {
-	if p.stopped == "" && !p.opt.Ending {
-		p.stopped = fmt.Sprintf(format, args...)
+	if p.stopReason == "" && !p.opt.FinishOnly {
+		p.stopReason = fmt.Sprintf(format, args...)
 	}
 }
 
-// Stopped gives why nothing more is restarted; "" while it goes on.
-func (p *Plan) Stopped() string { return p.stopped }
+// Stopped returns why the plan was stopped; "" while it continues.
+func (p *Plan) Stopped() string { return p.stopReason }
 
-// Over tells that nothing is working and nothing will.
+// Over reports whether no instance is being worked on and none will be.
 func (p *Plan) Over() bool {
-	return len(p.working) == 0 && (len(p.waiting) == 0 || p.stopped != "")
+	return len(p.working) == 0 && (len(p.waiting) == 0 || p.stopReason != "")
 }
 
-// Left gives the instances that were not touched.
+// Left returns the instances that were not touched.
 func (p *Plan) Left() []string { return slices.Clone(p.waiting) }
 
-// Done gives the instances that came back.
+// Done returns the instances that came back.
 func (p *Plan) Done() []string { return slices.Clone(p.done) }
 
-// Failed gives the instances that did not.
+// Failed returns the instances that did not.
 func (p *Plan) Failed() []string { return slices.Clone(p.failed) }
--- a/internal/fleet/rollout/rollout_test.go
+++ b/internal/fleet/rollout/rollout_test.go
@@ -18,8 +18,8 @@
 	return list
 }
 
-func serves(up func(string) bool) func(string) Standing {
-	return func(name string) Standing {
+func serves(up func(string) bool) func(string) InstanceState {
+	return func(name string) InstanceState {
 		if up(name) {
 			return Serves
 		}
@@ -27,10 +27,10 @@
 	}
 }
 
-// However instances come, go and take their time: never more are away than allowed
-// because of the plan, each is restarted once at most, and a plan that is not
-// stopped ends with all done.
-func TestNeverTooManyAway(t *testing.T) {
+// Simulates instances that fail, recover and restart slowly: a plan must never make more
+// of them unavailable than allowed, must restart each at most once, and must end with
+// all done unless it is stopped.
+func TestMaxUnavailable(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		all := names(1 + rng.IntN(12))
@@ -40,13 +40,13 @@
 			t.Fatal(err)
 		}
 		now := time.Unix(1000, 0)
-		down := map[string]bool{}         // away by themselves
-		working := map[string]time.Time{} // back at
+		down := map[string]bool{}         // away for other reasons
+		working := map[string]time.Time{} // when they come back
 		started := map[string]int{}
 		var lastEnd time.Time
 		for step := 0; !p.Over(); step++ {
 			if step > 5000 {
-				t.Fatalf("seed %d: no end: %+v", seed, p)
+				t.Fatalf("seed %d: plan does not end: %+v", seed, p)
 			}
 			now = now.Add(100 * time.Millisecond)
 			if rng.IntN(40) == 0 {
@@ -65,24 +65,24 @@
 					lastEnd = now
 				}
 			}
-			turn := p.Next(now, serves(func(name string) bool { _, busy := working[name]; return !busy && !down[name] }), nil)
-			for _, name := range turn {
+			toStart := p.Next(now, serves(func(name string) bool { _, busy := working[name]; return !busy && !down[name] }), nil)
+			for _, name := range toStart {
 				if started[name]++; started[name] > 1 {
-					t.Fatalf("seed %d: %s twice", seed, name)
+					t.Fatalf("seed %d: %s restarted twice", seed, name)
 				}
 				if !lastEnd.IsZero() && now.Sub(lastEnd) < opt.Pause {
-					t.Fatalf("seed %d: %s after %v, want a pause of %v", seed, name, now.Sub(lastEnd), opt.Pause)
+					t.Fatalf("seed %d: %s restarted after %v, want a pause of %v", seed, name, now.Sub(lastEnd), opt.Pause)
 				}
 				working[name] = now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
 			}
-			if len(working) > opt.MaxUnavailable { // those that were down may have come up meanwhile
+			if len(working) > opt.MaxUnavailable { // those that were away may have come up meanwhile
 				t.Fatalf("seed %d: %d are worked on at once, at most %d may be away", seed, len(working), opt.MaxUnavailable)
 			}
 			away := map[string]bool{}
 			for name := range working {
 				away[name] = true
 			}
-			costly := slices.ContainsFunc(turn, func(name string) bool { return !down[name] })
+			costly := slices.ContainsFunc(toStart, func(name string) bool { return !down[name] })
 			for name := range down {
 				away[name] = true
 			}
@@ -96,17 +96,17 @@
 	}
 }
 
-func TestStopsWhenTheGroupGetsWorse(t *testing.T) {
+func TestStopReasons(t *testing.T) {
 	up := func(string) bool { return true }
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
-		do   func(p *Plan)
-		word string
+		do     func(p *Plan)
+		reason string
 	}{
 		"one does not come back": {func(p *Plan) { p.Ended(now, "n0", errors.New("exit status 1")) }, "n0 did not come back: exit status 1"},
 		"failures rise":          {func(p *Plan) { p.Observe(Counts{Served: 80, Failed: 20}) }, "failed answers rose from 1.0% to 20.0%"},
 		"refusals rise":          {func(p *Plan) { p.Observe(Counts{Served: 50, Refused: 50}) }, "refused answers rose"},
-		"told from outside":      {func(p *Plan) { p.Stop("the time is up") }, "the time is up"},
+		"external reason":        {func(p *Plan) { p.Stop("the time is up") }, "the time is up"},
 	} {
 		p, err := New(Options{Instances: names(3), MaxUnavailable: 1}, Counts{Served: 99, Failed: 1})
 		if err != nil {
@@ -116,8 +116,8 @@
 			t.Fatalf("first turn %v", turn)
 		}
 		c.do(p)
-		if turn := p.Next(now.Add(time.Hour), serves(up), nil); len(turn) > 0 || !strings.Contains(p.Stopped(), c.word) {
-			t.Errorf("%s: %v, stopped %q, want %q", name, turn, p.Stopped(), c.word)
+		if turn := p.Next(now.Add(time.Hour), serves(up), nil); len(turn) > 0 || !strings.Contains(p.Stopped(), c.reason) {
+			t.Errorf("%s: %v, stopped %q, want %q", name, turn, p.Stopped(), c.reason)
 		}
 		if left := p.Left(); !slices.Equal(left, []string{"n1", "n2"}) {
 			t.Errorf("%s: left %v", name, left)
@@ -130,17 +130,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Observe(Counts{Failed: leastAnswers - 1})
+	p.Observe(Counts{Failed: minAnswers - 1})
 	p.Observe(Counts{Served: 1000, Failed: 40, Refused: 100})
 	if p.Stopped() != "" {
 		t.Errorf("stopped: %s", p.Stopped())
 	}
 	if _, err := New(Options{Instances: names(1)}, Counts{}); err == nil {
-		t.Error("a plan that could never begin was taken")
+		t.Error("MaxUnavailable 0 was accepted")
 	}
 }
 
-func TestWaitsInVainOnlySoLong(t *testing.T) {
+func TestStallTimeout(t *testing.T) {
 	p, err := New(Options{Instances: names(3), MaxUnavailable: 1}, Counts{})
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 	if turn := p.Next(now, serves(up), nil); len(turn) > 0 {
 		t.Fatalf("restarts %v while one is away", turn)
 	}
-	p.Next(now.Add(stallMost), serves(up), nil)
+	p.Next(now.Add(stallTimeout), serves(up), nil)
 	if !strings.Contains(p.Stopped(), "1 instances are away") {
 		t.Errorf("stopped %q", p.Stopped())
 	}
