--- a/internal/fleet/book/book.go
+++ b/internal/fleet/book/book.go
@@ -1,7 +1,7 @@
-// Package book is an agent's memory: what is desired of each instance, who holds
-// it, and the commands and operations with their steps. It does no I/O and has no
+// Package book is an agent's state: the desired state of each instance, which command
+// holds it, and the commands and operations with their steps. It does no I/O and has no
 // clock. Each change is an Entry, which the agent writes to its record before it
-// applies it, so that reading the record again gives the same Book.
+// applies it, so that replaying the record gives the same Book.
 package book
 
 import (
@@ -16,80 +16,81 @@
 )
 
 const (
-	// CommandsMost is how many ended commands are remembered. The id of one that was
-	// forgotten is refused as too old, so that it can't act twice.
-	CommandsMost = 2000
-	// InstancesMost bounds the instances that all ended commands name together, and so
-	// the operations that are remembered.
-	InstancesMost = 10_000
-	// stepsMost bounds an operation's steps, the latest ones; a resumed one adds to them.
-	stepsMost = 16
-	// planMost bounds a command's plan, in bytes; a longer one is refused.
-	planMost = 1 << 10
-	// FencesMost bounds the duties whose tokens are kept.
-	FencesMost = 64
+	// MaxCommands bounds the ended commands that are kept. The id of an evicted one is
+	// refused as too old, so that it can't act twice.
+	MaxCommands = 2000
+	// MaxInstances bounds the instances that all ended commands name together, and so
+	// the operations that are kept.
+	MaxInstances = 10_000
+	// maxSteps bounds an operation's steps, of which the latest are kept; a resumed
+	// operation adds to them.
+	maxSteps = 16
+	// maxPlanBytes bounds a command's plan, in bytes; a longer one is refused.
+	maxPlanBytes = 1 << 10
+	// MaxFences bounds the duties whose tokens are kept.
+	MaxFences = 64
 )
 
 // Entry is one change. Exactly one of its pointers is set.
 type Entry struct {
-	At       time.Time `json:"at"`
-	Snapshot *Snapshot `json:"snapshot,omitempty"`
-	Open     *Open     `json:"open,omitempty"`
-	Close    *Close    `json:"close,omitempty"`
-	Begin    *Begin    `json:"begin,omitempty"`
-	Step     *Step     `json:"step,omitempty"`
-	End      *End      `json:"end,omitempty"`
-	Found    *Found    `json:"found,omitempty"`
-	Fence    *Fence    `json:"fence,omitempty"`
-	Life     *Life     `json:"life,omitempty"`
-	Hold     *Hold     `json:"hold,omitempty"`
-	Learn    *Learn    `json:"learn,omitempty"`
-	Fleet    *Fleet    `json:"fleet,omitempty"`
-}
-
-// Life is the start of an agent on a folder.
+	At        time.Time  `json:"at"`
+	Snapshot  *Snapshot  `json:"snapshot,omitempty"`
+	Open      *Open      `json:"open,omitempty"`
+	Close     *Close     `json:"close,omitempty"`
+	Begin     *Begin     `json:"begin,omitempty"`
+	Step      *Step      `json:"step,omitempty"`
+	End       *End       `json:"end,omitempty"`
+	FoundDown *FoundDown `json:"found,omitempty"`
+	Fence     *Fence     `json:"fence,omitempty"`
+	Life      *Life      `json:"life,omitempty"`
+	Hold      *Hold      `json:"hold,omitempty"`
+	Learn     *Learn     `json:"learn,omitempty"`
+	Fleet     *Fleet     `json:"fleet,omitempty"`
+}
+
+// Life is a start of an agent on a state directory.
 type Life struct {
-	Folder string `json:"folder"` // its id, made with it
+	Folder string `json:"folder"` // the directory's id, assigned at its creation
 	Starts uint64 `json:"starts"`
-	// Forgetful tells that the agent may have known more: until it has learnt the fleet's
-	// tokens no order of a duty is taken.
+	// Forgetful is set if state may have been lost: until the agent has the fleet's tokens
+	// it accepts no order of a duty.
 	Forgetful bool `json:"forgetful,omitempty"`
 }
 
-// Hold notes instances of which nobody knows what is desired, and what became of the memory.
+// Hold records instances whose desired state is unknown, and what became of the agent's record.
 type Hold struct {
 	Instances []string `json:"instances"`
 	Why       string   `json:"why"`
 }
 
-// Learn takes words over that others have kept, or that an operator has said. A word of a lower
+// Learn adopts desired states that others have kept or that an operator has decided. One of a lower
 // generation than the one here changes nothing.
 type Learn struct {
 	Instances map[string]Word           `json:"instances,omitempty"`
 	Fences    map[string]protocol.Token `json:"fences,omitempty"`
-	// Whole ends the agent's forgetfulness.
+	// Whole clears Life.Forgetful.
 	Whole  bool   `json:"whole,omitempty"`
 	Source string `json:"source"`
 }
 
-// Word is what is desired of an instance.
+// Word is the desired state of an instance.
 type Word struct {
 	Up         bool   `json:"up"`
 	Generation uint64 `json:"generation"`
 	Program    string `json:"program,omitempty"` // see protocol.Instance
 }
 
-// Fleet takes over the fleet's word.
+// Fleet adopts the fleet's bans.
 type Fleet struct {
 	Word cordon.Word `json:"word"`
-	// Fence is that of the owner who brings it; nil if the council itself has told.
+	// Fence is the fence of the owner that sends them; nil if they come from the council itself.
 	Fence *protocol.Fence `json:"fence,omitempty"`
 }
 
-// Fence raises a duty's token: orders of lower ones are refused from then on.
+// Fence raises a duty's token: orders with lower ones are refused from then on.
 type Fence struct {
 	protocol.Fence
-	By string `json:"by"` // who raised it
+	By string `json:"by"`
 }
 
 // Open opens a command and takes its lease.
@@ -103,18 +104,18 @@
 	ID     string `json:"id"`
 	State  string `json:"state"` // protocol.Closed or Expired
 	Reason string `json:"reason,omitempty"`
-	// Fence is that of the owner who ends it; nil if its tool or its lease does.
+	// Fence is the fence of the owner that ends it; nil if the operator's tool or the expired lease does.
 	Fence *protocol.Fence `json:"fence,omitempty"`
 }
 
-// Begin begins an operation or takes one up again; with it the desired state changes.
+// Begin begins or resumes an operation; with it the desired state changes.
 type Begin struct {
 	ID       string `json:"id"`
 	Instance string `json:"instance"`
-	// Run is the token of the process that ran at the time, "" for none: what tells
-	// the old process from the new one, should the agent die in between.
+	// Run is the token of the process that was running, "" for none. It distinguishes the
+	// old process from the new one if the agent dies in between.
 	Run string `json:"run"`
-	// Fence is that of the owner who orders it; nil if an operator's tool does.
+	// Fence is the fence of the owner that orders it; nil if an operator's tool does.
 	Fence *protocol.Fence `json:"fence,omitempty"`
 }
 
@@ -134,10 +135,10 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
-// Found notes instances that were found down when what is desired of them had been
-// lost: they are left so, as they may have been drained for a reason.
-type Found struct {
-	Down []string `json:"down"`
+// FoundDown records instances that were found down after their desired state had been
+// lost: they stay down, as they may have been drained for a reason.
+type FoundDown struct {
+	Instances []string `json:"down"`
 }
 
 // Snapshot is a whole Book.
@@ -145,19 +146,19 @@
 	Instances map[string]*Instance `json:"instances"`
 	Commands  []*Command           `json:"commands"`
 	Horizon   time.Time            `json:"horizon"`
-	// Fences are the highest tokens seen, by duty.
+	// Fences has the highest token seen of each duty.
 	Fences map[string]protocol.Token `json:"fences,omitempty"`
 	Life   Life                      `json:"life,omitzero"`
 	Word   cordon.Word               `json:"word,omitzero"`
 }
 
-// Instance is what is kept of an instance.
+// Instance is the state of an instance.
 type Instance struct {
 	Up         bool   `json:"up"` // desired
 	Generation uint64 `json:"generation"`
-	// Operation is the command whose operation is under way here, "" for none.
+	// Operation is the command whose operation is in progress here, "" for none.
 	Operation string `json:"operation,omitempty"`
-	// Held says what became of the memory because of which nothing is known; "" if something is.
+	// Held says why the desired state is unknown; "" if it is known.
 	Held    string `json:"held,omitempty"`
 	Program string `json:"program,omitempty"` // desired
 }
@@ -165,29 +166,28 @@
 // Command is a command with its operations.
 type Command struct {
 	protocol.Command
-	// Runs are the tokens of Begin, by instance.
-	Runs map[string]string `json:"runs"`
-	// Resumes counts how often the command was taken up again, Tries which of these
-	// times an instance's operation was begun at last: once each.
+	// RunTokens has the token of Begin for each instance.
+	RunTokens map[string]string `json:"runs"`
+	// Resumes counts how often the command was resumed. LastTry has the value of Resumes when
+	// an instance's operation last began: it begins once per resume.
 	Resumes int            `json:"resumes,omitempty"`
-	Tries   map[string]int `json:"tries"`
+	LastTry map[string]int `json:"tries"`
 }
 
-// Book is the memory. Its zero value is not ready; use New. It is not safe for
-// concurrent use.
+// Book is an agent's state. Create it with New. It is not safe for concurrent use.
 type Book struct {
-	instances map[string]*Instance
-	commands  map[string]*Command
-	order     []string            // ids of commands, the oldest first
-	holders   map[string]*Command // by instance: the open command that has its lease
-	horizon   time.Time           // ids from before this are forgotten
-	fences    map[string]protocol.Token
-	life      Life
-	word      cordon.Word // the fleet's latest
-}
-
-// New makes a book for the given instances; one that it reads of later and that is
-// not among them is kept, as its definition may come back.
+	instances  map[string]*Instance
+	commands   map[string]*Command
+	order      []string            // ids of commands, oldest first
+	holders    map[string]*Command // by instance: the open command that has its lease
+	horizon    time.Time           // commands with ids from before this may have been evicted
+	fences     map[string]protocol.Token
+	agentStart Life
+	fleetBans  cordon.Word // the fleet's latest bans
+}
+
+// New creates a Book for the given instances. Others that later entries name are kept as
+// well, as their definition may come back.
 func New(names []string) *Book {
 	b := &Book{instances: map[string]*Instance{}, commands: map[string]*Command{}, holders: map[string]*Command{}, fences: map[string]protocol.Token{}}
 	for _, name := range names {
@@ -196,11 +196,11 @@
 	return b
 }
 
-// Forgotten notes that commands from before now may be missing, as when a record
-// was damaged: their ids are refused.
+// Forgotten records that commands from before now may be missing, as after damage to the
+// record: their ids are refused.
 func (b *Book) Forgotten(now time.Time) { b.horizon = now.Truncate(time.Millisecond) }
 
-// Instance gives what is kept of an instance.
+// Instance returns a copy of an instance's state.
 func (b *Book) Instance(name string) (Instance, bool) {
 	i := b.instances[name]
 	if i == nil {
@@ -209,7 +209,7 @@
 	return *i, true
 }
 
-// Holder gives who holds an instance; nil if nobody does.
+// Holder returns the holder of an instance; nil if there is none.
 func (b *Book) Holder(name string) *protocol.Holder {
 	c := b.holders[name]
 	if c == nil {
@@ -218,16 +218,16 @@
 	return &protocol.Holder{Command: c.ID, Kind: c.Kind, Operator: c.Operator, Since: c.Opened}
 }
 
-// Command gives a copy of a command; nil if there is none.
+// Command returns a copy of a command; nil if there is none.
 func (b *Book) Command(id string) *protocol.Command {
 	c := b.commands[id]
 	if c == nil {
 		return nil
 	}
-	return c.view()
+	return c.public()
 }
 
-func (c *Command) view() *protocol.Command {
+func (c *Command) public() *protocol.Command {
 	v := c.Command
 	v.Instances = slices.Clone(v.Instances)
 	if v.Fence != nil {
@@ -242,22 +242,22 @@
 }
 
 func (c *Command) clone() *Command {
-	return &Command{Command: *c.view(), Runs: maps.Clone(c.Runs), Resumes: c.Resumes, Tries: maps.Clone(c.Tries)}
+	return &Command{Command: *c.public(), RunTokens: maps.Clone(c.RunTokens), Resumes: c.Resumes, LastTry: maps.Clone(c.LastTry)}
 }
 
-// Commands gives the latest commands, the newest first, at most n.
+// Commands returns the latest commands, newest first, at most n.
 func (b *Book) Commands(n int) []*protocol.Command {
 	list := make([]*protocol.Command, 0, min(n, len(b.order)))
 	for _, id := range slices.Backward(b.order) {
 		if len(list) == n {
 			break
 		}
-		list = append(list, b.commands[id].view())
+		list = append(list, b.commands[id].public())
 	}
 	return list
 }
 
-// OpenCommands gives the ids of the commands that hold a lease.
+// OpenCommands returns the ids of the commands that hold a lease.
 func (b *Book) OpenCommands() []string {
 	var ids []string
 	for _, id := range b.order {
@@ -268,7 +268,7 @@
 	return ids
 }
 
-// Operation gives a copy of an operation; nil if it was never begun.
+// Operation returns a copy of an operation; nil if it was never begun.
 func (b *Book) Operation(id, instance string) *protocol.Operation {
 	o := b.operation(id, instance)
 	if o == nil {
@@ -291,16 +291,16 @@
 	return &c.Operations[i]
 }
 
-// RunAt gives the token of the process that ran when an operation began.
+// RunAt returns the token of the process that was running when an operation began.
 func (b *Book) RunAt(id, instance string) string {
 	if c := b.commands[id]; c != nil {
-		return c.Runs[instance]
+		return c.RunTokens[instance]
 	}
 	return ""
 }
 
-// Check tells whether a change may be made; the error is the answer to whoever
-// asked for it. done means that it was made before: nothing is to be written.
+// Check reports whether a change may be made; the error is the answer to the requester.
+// done means that it was made before and must not be written again.
 func (b *Book) Check(e Entry) (done bool, err error) {
 	switch {
 	case e.Open != nil:
@@ -313,21 +313,21 @@
 			return false, protocol.Errorf(protocol.CodeNotFound, "no command %s is known here", e.Close.ID)
 		}
 		if e.Close.Fence != nil || c.Fence != nil && e.Close.State == protocol.Closed {
-			if err := b.checkSame(c, e.Close.Fence); err != nil {
+			if err := b.checkCommandFence(c, e.Close.Fence); err != nil {
 				return false, err
 			}
 		}
 		return c.State != protocol.Open, nil
 	case e.Fence != nil:
-		return b.checkRaise(e.Fence)
+		return b.checkFenceRaise(e.Fence)
 	case e.Fleet != nil:
 		return b.checkFleet(e.Fleet)
 	case e.Step != nil:
 		o := b.operation(e.Step.ID, e.Step.Instance)
 		if o == nil || o.State != protocol.Running {
-			return false, protocol.Errorf(protocol.CodeConflict, "operation %s on %s is not under way", e.Step.ID, e.Step.Instance)
+			return false, protocol.Errorf(protocol.CodeConflict, "operation %s on %s is not in progress", e.Step.ID, e.Step.Instance)
 		}
-		// Each effect stands behind a step, so that this is the check at the effect.
+		// A step precedes each effect, so this checks the token right before the effect.
 		if c := b.commands[e.Step.ID]; c.Fence != nil {
 			return false, b.checkFence(protocol.Fence{Duty: c.Fence.Duty, Token: o.Token})
 		}
@@ -341,23 +341,23 @@
 	return false, nil
 }
 
-// Fences gives the highest tokens seen, by duty.
+// Fences returns the highest token seen of each duty.
 func (b *Book) Fences() map[string]protocol.Token { return maps.Clone(b.fences) }
 
 // checkFence refuses an order under a token below the highest one seen.
 func (b *Book) checkFence(f protocol.Fence) error {
 	if highest := b.fences[f.Duty]; f.Token < highest {
-		return protocol.Errorf(protocol.CodeFenced, "token %v of %s is over: token %v has been here", f.Token, f.Duty, highest)
+		return protocol.Errorf(protocol.CodeFenced, "token %v of %s is over: token %v was seen here", f.Token, f.Duty, highest)
 	}
 	return nil
 }
 
-// checkSame refuses an order on a fenced command that does not come from the owner who took
-// it up last.
-func (b *Book) checkSame(c *Command, f *protocol.Fence) error {
+// checkCommandFence refuses an order on a fenced command that does not come from the owner that
+// resumed it last.
+func (b *Book) checkCommandFence(c *Command, f *protocol.Fence) error {
 	switch {
 	case c.Fence == nil:
-		return protocol.Errorf(protocol.CodeConflict, "command %s is %s's own and no duty's", c.ID, c.Operator)
+		return protocol.Errorf(protocol.CodeConflict, "command %s belongs to operator %s, not to a duty", c.ID, c.Operator)
 	case f == nil:
 		return protocol.Errorf(protocol.CodeConflict, "command %s belongs to a job of the fleet: otterctl jobs pauses, resumes and cancels it", c.ID)
 	case f.Duty != c.Fence.Duty || f.Token > c.Fence.Token:
@@ -366,22 +366,22 @@
 	return b.checkFence(*f) // the command's own token is among those seen
 }
 
-// CheckOwner tells whether a fence may still order something on a command.
+// CheckOwner reports whether a fence may still give orders on a command.
 func (b *Book) CheckOwner(id string, f *protocol.Fence) error {
 	c := b.commands[id]
 	if c == nil {
 		return protocol.Errorf(protocol.CodeNotFound, "no command %s is known here", id)
 	}
-	return b.checkSame(c, f)
+	return b.checkCommandFence(c, f)
 }
 
-func (b *Book) checkRaise(f *Fence) (bool, error) {
+func (b *Book) checkFenceRaise(f *Fence) (bool, error) {
 	highest, known := b.fences[f.Duty]
 	switch {
 	case !protocol.Name.MatchString(f.Duty) || f.Token == 0:
 		return false, protocol.Errorf(protocol.CodeUsage, "fence: %q with token %v", f.Duty, f.Token)
-	case !known && len(b.fences) >= FencesMost:
-		return false, protocol.Errorf(protocol.CodeUsage, "fence: %d duties are kept here, no more", FencesMost)
+	case !known && len(b.fences) >= MaxFences:
+		return false, protocol.Errorf(protocol.CodeUsage, "fence: at most %d duties are supported", MaxFences)
 	}
 	return f.Token == highest, b.checkFence(f.Fence)
 }
@@ -391,38 +391,38 @@
 		return false, protocol.Errorf(protocol.CodeUsage, "the fleet's word: %v", err)
 	}
 	if f.Fence != nil {
-		if _, err := b.checkRaise(&Fence{Fence: *f.Fence}); err != nil {
+		if _, err := b.checkFenceRaise(&Fence{Fence: *f.Fence}); err != nil {
 			return false, err
 		}
 	}
-	if f.Word.Version < b.word.Version {
-		return false, protocol.Errorf(protocol.CodeConflict, "the fleet's word: version %v, version %v has been here", protocol.Token(f.Word.Version), protocol.Token(b.word.Version))
+	if f.Word.Version < b.fleetBans.Version {
+		return false, protocol.Errorf(protocol.CodeConflict, "the fleet's word: version %v is older than version %v, which was seen here", protocol.Token(f.Word.Version), protocol.Token(b.fleetBans.Version))
 	}
-	return f.Word.Version == b.word.Version && (f.Fence == nil || f.Fence.Token == b.fences[f.Fence.Duty]), nil
+	return f.Word.Version == b.fleetBans.Version && (f.Fence == nil || f.Fence.Token == b.fences[f.Fence.Duty]), nil
 }
 
-// Word gives the fleet's latest.
-func (b *Book) Word() cordon.Word { return b.word }
+// Word returns the fleet's latest bans.
+func (b *Book) Word() cordon.Word { return b.fleetBans }
 
 func (b *Book) checkOpen(o *Open) (bool, error) {
 	r := o.Request
-	made, err := protocol.IDTime(r.ID)
+	created, err := protocol.IDTime(r.ID)
 	switch {
 	case err != nil:
 		return false, protocol.Errorf(protocol.CodeUsage, "id: %v", err)
 	case !slices.Contains(protocol.Kinds, r.Kind):
-		return false, protocol.Errorf(protocol.CodeUsage, "kind: unknown word %q", r.Kind)
+		return false, protocol.Errorf(protocol.CodeUsage, "kind: unknown kind %q", r.Kind)
 	case r.Kind == protocol.Upgrade && r.Fence == nil:
 		return false, protocol.Errorf(protocol.CodeUsage, "kind: an upgrade is a job of the fleet: otterctl apply")
 	case r.Program != "" && (r.Kind != protocol.Upgrade || !protocol.Name.MatchString(r.Program)):
 		return false, protocol.Errorf(protocol.CodeUsage, "program: %.80q of a command of kind %q", r.Program, r.Kind)
-	case len(r.Plan) > planMost:
-		return false, protocol.Errorf(protocol.CodeUsage, "plan: %d bytes, at most %d are taken", len(r.Plan), planMost)
+	case len(r.Plan) > maxPlanBytes:
+		return false, protocol.Errorf(protocol.CodeUsage, "plan: %d bytes, at most %d are allowed", len(r.Plan), maxPlanBytes)
 	case len(r.Instances) == 0 || len(r.Instances) > protocol.InstancesMost:
-		return false, protocol.Errorf(protocol.CodeUsage, "instances: %d are named, 1 to %d can be", len(r.Instances), protocol.InstancesMost)
+		return false, protocol.Errorf(protocol.CodeUsage, "instances: %d are named, 1 to %d are allowed", len(r.Instances), protocol.InstancesMost)
 	}
 	if r.Fence != nil {
-		if _, err := b.checkRaise(&Fence{Fence: *r.Fence}); err != nil {
+		if _, err := b.checkFenceRaise(&Fence{Fence: *r.Fence}); err != nil {
 			return false, err
 		}
 	}
@@ -438,20 +438,20 @@
 			!slices.ContainsFunc(c.Instances, func(n string) bool { return !names[n] })
 		switch {
 		case (c.Fence == nil) != (r.Fence == nil):
-			return false, b.checkSame(c, r.Fence)
+			return false, b.checkCommandFence(c, r.Fence)
 		case r.Fence != nil && c.Fence.Duty != r.Fence.Duty:
-			return false, protocol.Errorf(protocol.CodeConflict, "command %s is known here as one of %s", r.ID, c.Fence.Duty)
+			return false, protocol.Errorf(protocol.CodeConflict, "command %s exists here as a command of duty %s", r.ID, c.Fence.Duty)
 		case !same && !r.Resume:
-			return false, protocol.Errorf(protocol.CodeConflict, "command %s is known here as another one: %s by %s", r.ID, c.Kind, c.Operator)
+			return false, protocol.Errorf(protocol.CodeConflict, "command %s exists here with other content: %s by %s", r.ID, c.Kind, c.Operator)
 		case c.Kind != r.Kind || c.Program != r.Program:
-			return false, protocol.Errorf(protocol.CodeConflict, "command %s is known here as %s %s", r.ID, c.Kind, c.Program)
+			return false, protocol.Errorf(protocol.CodeConflict, "command %s exists here as %s %s", r.ID, c.Kind, c.Program)
 		case !r.Resume && c.State == protocol.Open:
-			return true, nil // the same again: its answer was lost
+			return true, nil // repeated, as its answer was lost
 		case !r.Resume:
 			return false, protocol.Errorf(protocol.CodeConflict, "command %s has ended (%s)", r.ID, c.State)
 		}
-	} else if made.Before(b.horizon) {
-		return false, protocol.Errorf(protocol.CodeTooOld, "command %s is from before %s, up to when commands are forgotten here: whether it was done can't be told", r.ID, b.horizon.UTC().Format(time.RFC3339))
+	} else if created.Before(b.horizon) {
+		return false, protocol.Errorf(protocol.CodeTooOld, "command %s is from before %s, and older commands may have been evicted here: whether it was done can't be told", r.ID, b.horizon.UTC().Format(time.RFC3339))
 	}
 	for _, s := range r.Instances {
 		i := b.instances[s.Name]
@@ -472,17 +472,17 @@
 				Text:   fmt.Sprintf("%s of %s on %s, begun for command %s, has not ended", c.Kind, c.Operator, s.Name, c.ID),
 			}
 		}
-		// Whoever takes up a job's order looked just now; only that order itself may have changed
-		// the instance since, and an operator's drain meanwhile is not undone.
-		last := b.lastOn(s.Name)
-		blind := r.Resume && (r.Fence == nil || last != nil && last.Command == r.ID)
-		if i.Generation != s.Generation && !blind {
+		// An owner that resumes a job's order has just read the instance's state; only that order
+		// itself may have changed it since, and a drain by an operator meanwhile must not be undone.
+		last := b.lastHolder(s.Name)
+		ignoreGeneration := r.Resume && (r.Fence == nil || last != nil && last.Command == r.ID)
+		if i.Generation != s.Generation && !ignoreGeneration {
 			return false, &protocol.Error{
 				Code: protocol.CodeConflict, Instance: s.Name, Holder: last,
-				Text: fmt.Sprintf("%s has changed since it was looked at: generation %d, now %d", s.Name, s.Generation, i.Generation),
+				Text: fmt.Sprintf("%s has changed since it was read: generation %d, now %d", s.Name, s.Generation, i.Generation),
 			}
 		}
-		// What an operator has drained no job starts, whatever its owner has seen.
+		// No job starts an instance that an operator has drained, whatever state its owner observed.
 		if r.Fence != nil && (r.Kind == protocol.Restart || r.Kind == protocol.Upgrade) && !i.Up && b.commands[r.ID] == nil {
 			return false, &protocol.Error{Code: protocol.CodeConflict, Instance: s.Name, Text: fmt.Sprintf("%s is drained", s.Name)}
 		}
@@ -490,8 +490,8 @@
 	return false, nil
 }
 
-// lastOn gives who last began an operation on an instance.
-func (b *Book) lastOn(name string) *protocol.Holder {
+// lastHolder returns the command that last began an operation on an instance.
+func (b *Book) lastHolder(name string) *protocol.Holder {
 	for _, id := range slices.Backward(b.order) {
 		if c := b.commands[id]; b.operation(id, name) != nil {
 			return &protocol.Holder{Command: c.ID, Kind: c.Kind, Operator: c.Operator, Since: c.Opened}
@@ -509,23 +509,23 @@
 		return false, protocol.Errorf(protocol.CodeUsage, "command %s does not name %q", e.ID, e.Instance)
 	}
 	if c.Fence != nil || e.Fence != nil {
-		if err := b.checkSame(c, e.Fence); err != nil {
+		if err := b.checkCommandFence(c, e.Fence); err != nil {
 			return false, err
 		}
 	}
 	if o := b.operation(e.ID, e.Instance); o != nil && c.Fence != nil && o.State == protocol.Running && o.Token < c.Fence.Token {
-		return false, nil // its new owner takes it over
+		return false, nil // the new owner takes it over
 	} else if o != nil && (o.State == protocol.Running || o.State == protocol.Done ||
-		c.Tries[e.Instance] == c.Resumes || c.State != protocol.Open) {
-		return true, nil // begun before: the operation is the answer
+		c.LastTry[e.Instance] == c.Resumes || c.State != protocol.Open) {
+		return true, nil // begun before: the answer is the operation's state
 	}
 	if c.State != protocol.Open {
-		return false, protocol.Errorf(protocol.CodeConflict, "command %s is %s and holds %s no longer", e.ID, c.State, e.Instance)
+		return false, protocol.Errorf(protocol.CodeConflict, "command %s is %s and no longer holds %s", e.ID, c.State, e.Instance)
 	}
 	return false, nil
 }
 
-// Apply makes a change that Check has passed, or that was written when it had.
+// Apply applies a change that Check has accepted, now or before it was written to the record.
 func (b *Book) Apply(e Entry) {
 	switch {
 	case e.Snapshot != nil:
@@ -536,13 +536,13 @@
 		if c := b.commands[e.Close.ID]; c != nil {
 			b.release(c)
 			c.State, c.Reason = e.Close.State, protocol.Clip(e.Close.Reason)
-			b.forget()
+			b.evict()
 		}
 	case e.Begin != nil:
 		b.begin(e.At, e.Begin)
 	case e.Step != nil:
 		if o := b.operation(e.Step.ID, e.Step.Instance); o != nil {
-			if len(o.Steps) == stepsMost {
+			if len(o.Steps) == maxSteps {
 				o.Steps = slices.Delete(o.Steps, 0, 1)
 			}
 			o.Steps = append(o.Steps, protocol.Step{Name: e.Step.Name, At: e.At, Note: protocol.Clip(e.Step.Note)})
@@ -550,19 +550,19 @@
 	case e.Fence != nil:
 		b.fences[e.Fence.Duty] = max(b.fences[e.Fence.Duty], e.Fence.Token)
 	case e.Fleet != nil:
-		if b.word = e.Fleet.Word; e.Fleet.Fence != nil {
+		if b.fleetBans = e.Fleet.Word; e.Fleet.Fence != nil {
 			b.fences[e.Fleet.Fence.Duty] = max(b.fences[e.Fleet.Fence.Duty], e.Fleet.Fence.Token)
 		}
 	case e.Life != nil:
-		b.life = *e.Life
+		b.agentStart = *e.Life
 	case e.Hold != nil:
 		for _, name := range e.Hold.Instances {
 			b.instance(name).Held = protocol.Clip(e.Hold.Why)
 		}
 	case e.Learn != nil:
-		b.learn(e.Learn)
-	case e.Found != nil:
-		for _, name := range e.Found.Down {
+		b.adopt(e.Learn)
+	case e.FoundDown != nil:
+		for _, name := range e.FoundDown.Instances {
 			if i := b.instances[name]; i != nil {
 				i.Up = false
 			}
@@ -584,7 +584,7 @@
 	return b.instances[name]
 }
 
-func (b *Book) learn(l *Learn) {
+func (b *Book) adopt(l *Learn) {
 	for name, w := range l.Instances {
 		if i := b.instance(name); w.Generation >= i.Generation {
 			i.Up, i.Generation, i.Held, i.Program = w.Up, w.Generation, "", w.Program
@@ -594,12 +594,12 @@
 		b.fences[duty] = max(b.fences[duty], t)
 	}
 	if l.Whole {
-		b.life.Forgetful = false
+		b.agentStart.Forgetful = false
 	}
 }
 
-// Life gives the agent's start on its folder that was written last; zero if none was.
-func (b *Book) Life() Life { return b.life }
+// Life returns the latest recorded start of the agent; zero if there is none.
+func (b *Book) Life() Life { return b.agentStart }
 
 func (b *Book) release(c *Command) {
 	for _, name := range c.Instances {
@@ -613,7 +613,7 @@
 	r := o.Request
 	c := b.commands[r.ID]
 	if c == nil {
-		c = &Command{Command: protocol.Command{ID: r.ID, Opened: at, Operations: []protocol.Operation{}}, Runs: map[string]string{}, Tries: map[string]int{}}
+		c = &Command{Command: protocol.Command{ID: r.ID, Opened: at, Operations: []protocol.Operation{}}, RunTokens: map[string]string{}, LastTry: map[string]int{}}
 		b.commands[r.ID] = c
 		b.order = append(b.order, r.ID)
 	} else {
@@ -633,7 +633,7 @@
 	for _, name := range c.Instances {
 		b.holders[name] = c
 	}
-	b.forget()
+	b.evict()
 }
 
 func (b *Book) begin(at time.Time, e *Begin) {
@@ -643,7 +643,7 @@
 	}
 	i := b.instance(e.Instance)
 	o := b.operation(e.ID, e.Instance)
-	if o != nil && o.State == protocol.Running && e.Fence != nil { // taken over by another owner: it goes on
+	if o != nil && o.State == protocol.Running && e.Fence != nil { // taken over by another owner, and continued
 		o.Token = e.Fence.Token
 		return
 	}
@@ -655,11 +655,11 @@
 	if c.Kind == protocol.Upgrade {
 		i.Program = c.Program
 	}
-	c.Tries[e.Instance] = c.Resumes
+	c.LastTry[e.Instance] = c.Resumes
 	if o == nil || o.State != protocol.Interrupted {
-		// An interrupted operation goes on from what ran when it began: a process that came
-		// since then is the new one already, and not to be ended once more.
-		c.Runs[e.Instance] = e.Run
+		// An interrupted operation continues from the process that was running when it began: a
+		// process started since then is the new one already, and must not be ended again.
+		c.RunTokens[e.Instance] = e.Run
 	}
 	if o == nil {
 		c.Operations = append(c.Operations, protocol.Operation{Command: c.ID, Kind: c.Kind, Instance: e.Instance, Began: at})
@@ -671,38 +671,38 @@
 	}
 }
 
-// busy tells that an operation of a command is under way.
-func (b *Book) busy(c *Command) bool {
+// hasRunning reports whether an operation of a command is in progress.
+func (b *Book) hasRunning(c *Command) bool {
 	return slices.ContainsFunc(c.Operations, func(o protocol.Operation) bool { return o.State == protocol.Running })
 }
 
-// forget drops the oldest ended commands beyond CommandsMost and InstancesMost.
-func (b *Book) forget() {
+// evict removes the oldest ended commands beyond MaxCommands and MaxInstances.
+func (b *Book) evict() {
 	commands, instances := len(b.order), 0
 	for _, c := range b.commands {
 		instances += len(c.Instances)
 	}
-	if commands <= CommandsMost && instances <= InstancesMost {
+	if commands <= MaxCommands && instances <= MaxInstances {
 		return
 	}
 	b.order = slices.DeleteFunc(b.order, func(id string) bool {
 		c := b.commands[id]
-		if commands <= CommandsMost && instances <= InstancesMost || c.State == protocol.Open || b.busy(c) {
+		if commands <= MaxCommands && instances <= MaxInstances || c.State == protocol.Open || b.hasRunning(c) {
 			return false
 		}
 		commands--
 		instances -= len(c.Instances)
 		delete(b.commands, id)
-		if made, err := protocol.IDTime(id); err == nil && !made.Before(b.horizon) {
-			b.horizon = made.Add(time.Millisecond)
+		if created, err := protocol.IDTime(id); err == nil && !created.Before(b.horizon) {
+			b.horizon = created.Add(time.Millisecond)
 		}
 		return true
 	})
 }
 
-// Snapshot gives the whole book; it shares nothing with it.
+// Snapshot returns a deep copy of the whole book.
 func (b *Book) Snapshot() *Snapshot {
-	s := &Snapshot{Instances: map[string]*Instance{}, Commands: make([]*Command, 0, len(b.order)), Horizon: b.horizon, Fences: maps.Clone(b.fences), Life: b.life, Word: b.word}
+	s := &Snapshot{Instances: map[string]*Instance{}, Commands: make([]*Command, 0, len(b.order)), Horizon: b.horizon, Fences: maps.Clone(b.fences), Life: b.agentStart, Word: b.fleetBans}
 	for name, i := range b.instances {
 		copied := *i
 		s.Instances[name] = &copied
@@ -722,7 +722,7 @@
 	b.commands, b.holders, b.order, b.horizon = map[string]*Command{}, map[string]*Command{}, nil, s.Horizon
 	b.fences = map[string]protocol.Token{}
 	maps.Copy(b.fences, s.Fences)
-	b.life, b.word = s.Life, s.Word
+	b.agentStart, b.fleetBans = s.Life, s.Word
 	for _, c := range s.Commands {
 		kept := c.clone()
 		b.commands[c.ID] = kept
@@ -735,7 +735,7 @@
 	}
 }
 
-// Unfinished gives the operations under way, in the order of their instances.
+// Unfinished returns the operations in progress, in the order of their instances.
 func (b *Book) Unfinished() []protocol.Operation {
 	var list []protocol.Operation
 	for _, id := range b.order {
--- a/internal/fleet/book/book_test.go
+++ b/internal/fleet/book/book_test.go
@@ -18,15 +18,15 @@
 
 var start = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// written is a book that is kept as an agent keeps it: checked, written, applied.
-type written struct {
+// persistedBook is a Book used as an agent does: each entry is checked, written and applied.
+type persistedBook struct {
 	*Book
 	t       *testing.T
 	now     time.Time
 	entries [][]byte
 }
 
-func (w *written) do(e Entry) (done bool, err error) {
+func (w *persistedBook) do(e Entry) (done bool, err error) {
 	w.t.Helper()
 	done, err = w.Check(e)
 	if done || err != nil {
@@ -45,9 +45,9 @@
 
 var names = []string{"a", "b", "c", "d"}
 
-func newWritten(t *testing.T) *written { return &written{Book: New(names), t: t, now: start} }
+func newBook(t *testing.T) *persistedBook { return &persistedBook{Book: New(names), t: t, now: start} }
 
-func (w *written) open(id, kind, operator string, instances ...string) error {
+func (w *persistedBook) open(id, kind, operator string, instances ...string) error {
 	r := protocol.CommandRequest{ID: id, Kind: kind}
 	for _, name := range instances {
 		i, _ := w.Instance(name)
@@ -67,15 +67,16 @@
 	return fmt.Sprint(err)
 }
 
-// Any sequence of changes by several operators: at most one open command holds an
-// instance, at most one operation is under way on it, a generation grows by one for
-// each operation, and the written entries give the same book again.
-func TestSequencesAgainstAModel(t *testing.T) {
+// Compares random sequences of changes by several operators with a model: at most one
+// open command holds an instance, at most one operation is in progress on it, a
+// generation grows by one for each operation, and replaying the written entries or
+// loading a snapshot gives the same Book.
+func TestAgainstReferenceModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		w := newWritten(t)
-		holder := map[string]string{} // the model: who holds what
-		busy := map[string]string{}   // and where an operation is under way
+		w := newBook(t)
+		holder := map[string]string{} // the model: the command that holds each instance
+		busy := map[string]string{}   // and the one whose operation is in progress on it
 		generation := map[string]uint64{}
 		commands := map[string][]string{}
 		begun := map[string]bool{}
@@ -83,24 +84,24 @@
 		for n := range 80 {
 			switch rng.IntN(6) {
 			case 0, 1:
-				var some []string
+				var chosen []string
 				for _, name := range names {
 					if rng.IntN(2) == 0 {
-						some = append(some, name)
+						chosen = append(chosen, name)
 					}
 				}
-				free := len(some) > 0
-				for _, name := range some {
+				free := len(chosen) > 0
+				for _, name := range chosen {
 					free = free && holder[name] == "" && busy[name] == ""
 				}
-				err := w.open(id(n), protocol.Kinds[rng.IntN(4)], fmt.Sprint("op", rng.IntN(2)), some...)
+				err := w.open(id(n), protocol.Kinds[rng.IntN(4)], fmt.Sprint("op", rng.IntN(2)), chosen...)
 				if free != (err == nil) {
-					t.Fatalf("seed %d step %d: open of %v: %v, model says free %v", seed, n, some, err, free)
+					t.Fatalf("seed %d step %d: open of %v: %v, model says free %v", seed, n, chosen, err, free)
 				}
 				if err == nil {
 					ids = append(ids, id(n))
-					commands[id(n)] = some
-					for _, name := range some {
+					commands[id(n)] = chosen
+					for _, name := range chosen {
 						holder[name] = id(n)
 					}
 				}
@@ -111,11 +112,11 @@
 				c := ids[rng.IntN(len(ids))]
 				name := names[rng.IntN(len(names))]
 				done, err := w.do(Entry{Begin: &Begin{ID: c, Instance: name, Run: "r"}})
-				legal := holder[name] == c && !begun[c+name]
-				if legal != (!done && err == nil) {
-					t.Fatalf("seed %d step %d: begin of %s on %s: done %v, %v, model says legal %v", seed, n, c, name, done, err, legal)
+				allowed := holder[name] == c && !begun[c+name]
+				if allowed != (!done && err == nil) {
+					t.Fatalf("seed %d step %d: begin of %s on %s: done %v, %v, model says legal %v", seed, n, c, name, done, err, allowed)
 				}
-				if legal {
+				if allowed {
 					begun[c+name], busy[name] = true, c
 					generation[name]++
 				}
@@ -153,27 +154,27 @@
 				}
 			}
 		}
-		again := New(names)
+		replayed := New(names)
 		for _, text := range w.entries {
 			var e Entry
 			if err := json.Unmarshal(text, &e); err != nil {
 				t.Fatal(err)
 			}
-			again.Apply(e)
+			replayed.Apply(e)
 		}
-		same(t, seed, w.Book, again)
+		requireSame(t, seed, w.Book, replayed)
 		loaded := New(names)
 		loaded.Apply(Entry{Snapshot: w.Snapshot()})
-		same(t, seed, w.Book, loaded)
+		requireSame(t, seed, w.Book, loaded)
 	}
 }
 
-func same(t *testing.T, seed uint64, x, y *Book) {
+func requireSame(t *testing.T, seed uint64, x, y *Book) {
 	t.Helper()
 	a, _ := json.Marshal(x.Snapshot())
 	b, _ := json.Marshal(y.Snapshot())
 	if string(a) != string(b) {
-		t.Fatalf("seed %d: read again it differs:\n%s\n%s", seed, a, b)
+		t.Fatalf("seed %d: the books differ:\n%s\n%s", seed, a, b)
 	}
 	for _, name := range names {
 		if !reflect.DeepEqual(x.Holder(name), y.Holder(name)) {
@@ -182,8 +183,8 @@
 	}
 }
 
-func TestConflictsSayWhoHoldsIt(t *testing.T) {
-	w := newWritten(t)
+func TestConflictsNameTheHolder(t *testing.T) {
+	w := newBook(t)
 	if err := w.open(id(1), protocol.Drain, "ada", "a", "b"); err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +197,7 @@
 	if w.Holder("c") != nil {
 		t.Error("c is held by a command that was refused")
 	}
-	// Its lease is gone, its operation goes on: nobody else may begin.
+	// Its lease has expired but its operation is in progress: no other command may begin.
 	if _, err := w.do(Entry{Begin: &Begin{ID: id(1), Instance: "b"}}); err != nil {
 		t.Fatal(err)
 	}
@@ -204,12 +205,12 @@
 		t.Fatal(err)
 	}
 	if err := w.open(id(3), protocol.Restart, "ben", "b"); code(err) != protocol.CodeConflict {
-		t.Errorf("with an operation under way: %v", err)
+		t.Errorf("with an operation in progress: %v", err)
 	}
 	if _, err := w.do(Entry{End: &End{ID: id(1), Instance: "b", State: protocol.Done}}); err != nil {
 		t.Fatal(err)
 	}
-	// Seen before the operation, commanded after it.
+	// State read before the operation, command sent after it.
 	_, err = w.do(Entry{Open: &Open{Operator: "ben", Request: protocol.CommandRequest{
 		ID: id(4), Kind: protocol.Restart, Instances: []protocol.Seen{{Name: "b", Generation: 0}},
 	}}})
@@ -218,8 +219,8 @@
 	}
 }
 
-func TestTheSameAgainActsOnce(t *testing.T) {
-	w := newWritten(t)
+func TestRepeatedEntriesActOnce(t *testing.T) {
+	w := newBook(t)
 	request := Entry{Open: &Open{Operator: "ada", Request: protocol.CommandRequest{
 		ID: id(1), Kind: protocol.Restart, Instances: []protocol.Seen{{Name: "a"}, {Name: "b"}},
 	}}}
@@ -249,7 +250,7 @@
 	if _, err := w.do(Entry{Open: &other}); code(err) != protocol.CodeConflict {
 		t.Errorf("the id of another's command: %v", err)
 	}
-	// Taken up again, what is done stays and what failed is tried once more.
+	// After a resume, what is done stays and what failed is tried once more.
 	if _, err := w.do(Entry{Close: &Close{ID: id(1), State: protocol.Closed}}); err != nil {
 		t.Fatal(err)
 	}
@@ -267,11 +268,11 @@
 	}
 }
 
-// Only so many commands are remembered; the id of a forgotten one is refused, as it
+// The number of kept commands is bounded; the id of an evicted one is refused, as it
 // might act twice.
-func TestForgottenCommandsAreRefused(t *testing.T) {
-	w := newWritten(t)
-	for n := range CommandsMost + 10 {
+func TestEvictedCommandsAreRefused(t *testing.T) {
+	w := newBook(t)
+	for n := range MaxCommands + 10 {
 		if err := w.open(id(n), protocol.Reload, "ada", "a"); err != nil {
 			t.Fatal(err)
 		}
@@ -279,18 +280,18 @@
 			t.Fatal(err)
 		}
 	}
-	if got := len(w.Commands(10 * CommandsMost)); got > CommandsMost+1 {
-		t.Errorf("%d commands are remembered, at most %d may be", got, CommandsMost)
+	if got := len(w.Commands(10 * MaxCommands)); got > MaxCommands+1 {
+		t.Errorf("%d commands are kept, at most %d may be", got, MaxCommands)
 	}
 	if err := w.open(id(3), protocol.Reload, "ada", "a"); code(err) != protocol.CodeTooOld {
-		t.Errorf("a forgotten id: %v", err)
+		t.Errorf("an evicted id: %v", err)
 	}
-	if err := w.open(id(CommandsMost+20), protocol.Reload, "ada", "a"); err != nil {
+	if err := w.open(id(MaxCommands+20), protocol.Reload, "ada", "a"); err != nil {
 		t.Errorf("a new id: %v", err)
 	}
-	// Open ones are never forgotten, whatever comes after.
-	if w.Command(id(CommandsMost+20)) == nil {
-		t.Error("an open command was forgotten")
+	// Open commands are never evicted.
+	if w.Command(id(MaxCommands+20)) == nil {
+		t.Error("an open command was evicted")
 	}
 	b := New(names)
 	b.Forgotten(start.Add(time.Hour))
@@ -301,9 +302,9 @@
 	}
 }
 
-// What is remembered fits the record's line whatever was commanded: the largest
-// commands, with the longest words.
-func TestMemoryIsBoundedInBytes(t *testing.T) {
+// A snapshot fits into one line of the record even with the largest commands and the
+// longest texts.
+func TestSnapshotSizeIsBounded(t *testing.T) {
 	var many []string
 	for n := range protocol.InstancesMost {
 		many = append(many, fmt.Sprintf("%s%04d", strings.Repeat("i", 59), n))
@@ -311,7 +312,7 @@
 	b := New(many)
 	now, long := start, strings.Repeat("€", 10_000)
 	for n := range 11 {
-		r := protocol.CommandRequest{ID: id(n), Kind: protocol.Reload, Plan: strings.Repeat("p", planMost)}
+		r := protocol.CommandRequest{ID: id(n), Kind: protocol.Reload, Plan: strings.Repeat("p", maxPlanBytes)}
 		for _, name := range many {
 			i, _ := b.Instance(name)
 			r.Instances = append(r.Instances, protocol.Seen{Name: name, Generation: i.Generation})
@@ -323,15 +324,15 @@
 		b.Apply(open)
 		for _, name := range many {
 			b.Apply(Entry{At: now, Begin: &Begin{ID: r.ID, Instance: name, Run: "abcdefghijklmnopqrstuvwxyz"}})
-			for range stepsMost + 2 {
+			for range maxSteps + 2 {
 				b.Apply(Entry{At: now, Step: &Step{ID: r.ID, Instance: name, Name: "exited", Note: long}})
 			}
 			b.Apply(Entry{At: now, End: &End{ID: r.ID, Instance: name, State: protocol.Failed, Reason: long}})
 		}
 		b.Apply(Entry{At: now, Close: &Close{ID: r.ID, State: protocol.Closed, Reason: long}})
 	}
-	if n := len(b.Commands(100)); n != InstancesMost/protocol.InstancesMost {
-		t.Errorf("%d commands are remembered, want 10", n)
+	if n := len(b.Commands(100)); n != MaxInstances/protocol.InstancesMost {
+		t.Errorf("%d commands are kept, want 10", n)
 	}
 	text, err := json.Marshal(Entry{Snapshot: b.Snapshot()})
 	if err != nil || len(text) > record.LineMost {
@@ -342,7 +343,7 @@
 	}
 }
 
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	many := make([]protocol.Seen, protocol.InstancesMost+1)
 	for name, r := range map[string]protocol.CommandRequest{
 		"no id":     {Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}}},
@@ -350,7 +351,7 @@
 		"bad kind":  {ID: id(1), Kind: "explode", Instances: []protocol.Seen{{Name: "a"}}},
 		"none":      {ID: id(1), Kind: protocol.Start},
 		"twice":     {ID: id(1), Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}, {Name: "a"}}},
-		"long plan": {ID: id(1), Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}}, Plan: strings.Repeat("x", planMost+1)},
+		"long plan": {ID: id(1), Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}}, Plan: strings.Repeat("x", maxPlanBytes+1)},
 		"too many":  {ID: id(1), Kind: protocol.Start, Instances: many},
 	} {
 		if _, err := New(names).Check(Entry{Open: &Open{Request: r}}); code(err) != protocol.CodeUsage {
@@ -365,20 +366,20 @@
 }
 
 func TestStepsAreBounded(t *testing.T) {
-	w := newWritten(t)
+	w := newBook(t)
 	if err := w.open(id(1), protocol.Start, "ada", "a"); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := w.do(Entry{Begin: &Begin{ID: id(1), Instance: "a"}}); err != nil {
 		t.Fatal(err)
 	}
-	for n := range stepsMost + 5 {
+	for n := range maxSteps + 5 {
 		if _, err := w.do(Entry{Step: &Step{ID: id(1), Instance: "a", Name: fmt.Sprint(n)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	steps := w.Operation(id(1), "a").Steps
-	if len(steps) != stepsMost || steps[len(steps)-1].Name != fmt.Sprint(stepsMost+4) {
+	if len(steps) != maxSteps || steps[len(steps)-1].Name != fmt.Sprint(maxSteps+4) {
 		t.Errorf("%d steps, the last %q", len(steps), steps[len(steps)-1].Name)
 	}
 	if !slices.ContainsFunc(w.Unfinished(), func(o protocol.Operation) bool { return o.Instance == "a" }) {
