--- a/internal/fleet/book/book_test.go
+++ b/internal/fleet/book/book_test.go
@@ -335,8 +335,8 @@
 		t.Errorf("%d commands are kept, want 10", n)
 	}
 	text, err := json.Marshal(Entry{Snapshot: b.Snapshot()})
-	if err != nil || len(text) > record.LineMost {
-		t.Errorf("%d bytes, a line holds %d; %v", len(text), record.LineMost, err)
+	if err != nil || len(text) > record.MaxEntrySize {
+		t.Errorf("%d bytes, a line holds %d; %v", len(text), record.MaxEntrySize, err)
 	}
 	if !utf8.ValidString(b.Commands(1)[0].Reason) {
 		t.Error("a reason was cut within a character")
--- a/internal/fleet/record/record.go
+++ b/internal/fleet/record/record.go
@@ -1,11 +1,11 @@
-// Package record keeps an append-only file of entries that are on the disk before
-// anything is done about them.
+// Package record keeps an append-only log file whose entries are durable before they
+// take effect.
 //
-// The file is lines of text: eight hexadecimal digits of CRC-32C (Castagnoli, RFC
-// 3720 section B.4) over the entry, a space, eight of its length, a space, the entry
-// as JSON on one line, a line feed. The first line's entry is a Header. An append is written and fsynced
-// before it counts. A torn last line, as a power cut leaves it, is dropped on
-// opening; damage before the last line ends what is read.
+// The file consists of lines of text: eight hexadecimal digits of CRC-32C (Castagnoli,
+// RFC 3720 section B.4) over the entry, a space, eight digits of its length, a space, the
+// entry as JSON on one line, a line feed. The first line's entry is a Header. An append
+// succeeds once it is written and fsynced. A torn last line, as left by a power cut, is
+// dropped on opening; reading stops at damage before the last line.
 package record
 
 import (
@@ -22,34 +22,33 @@
 )
 
 const (
-	// Version of the file's form.
-	Version = 1
-	// LineMost bounds an entry, in bytes.
-	LineMost = 64 << 20
-	// FileMost bounds what is read of a file; a record is compacted far below it.
-	FileMost = 256 << 20
+	// FormatVersion is the version of the file format.
+	FormatVersion = 1
+	// MaxEntrySize bounds the size of an entry, in bytes.
+	MaxEntrySize = 64 << 20
+	// MaxFileSize bounds the size of a file that is read; a record is compacted far below it.
+	MaxFileSize = 256 << 20
 )
 
 // Header is the first entry of a file.
 type Header struct {
-	Record int    `json:"otteragent_record"`
-	Owner  string `json:"owner"`
+	FormatVersion int    `json:"otteragent_record"`
+	Owner         string `json:"owner"`
 }
 
-// FS is the part of a file system that a record needs; tests put failing disks in
-// its place.
+// FS is the part of a file system that a record needs; tests substitute failing disks.
 type FS interface {
 	ReadFile(name string) ([]byte, error)
-	// Create opens an empty file for writing, in place of what was there.
+	// Create opens an empty file for writing and replaces an existing one.
 	Create(name string) (File, error)
 	// Append opens a file for writing at its end.
 	Append(name string) (File, error)
 	Rename(from, to string) error
-	// SyncDir makes renames in a folder last.
+	// SyncDir makes renames in a directory durable.
 	SyncDir(name string) error
 }
 
-// File is a file that is written.
+// File is a file open for writing.
 type File interface {
 	io.Writer
 	Sync() error
@@ -60,14 +59,14 @@
 // OS is the system's file system.
 type OS struct{}
 
-// ReadFile implements FS; a file over FileMost is an error.
+// ReadFile implements FS; a file larger than MaxFileSize is an error.
 func (OS) ReadFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > FileMost {
-		return nil, fmt.Errorf("%s: %d bytes, at most %d are read", name, info.Size(), FileMost)
+	if info.Size() > MaxFileSize {
+		return nil, fmt.Errorf("%s: %d bytes, at most %d are allowed", name, info.Size(), MaxFileSize)
 	}
 	return os.ReadFile(name)
 }
@@ -84,7 +83,7 @@
 
 func file(f *os.File, err error) (File, error) {
 	if err != nil {
-		return nil, err // and no File that holds a nil pointer
+		return nil, err // not a File that holds a nil pointer
 	}
 	return f, nil
 }
@@ -102,30 +101,30 @@
 	return d.Sync()
 }
 
-// Log is an open record. One goroutine at a time uses it.
+// Log is an open record. It is not safe for concurrent use.
 type Log struct {
-	fs   FS
-	path string
-	head Header
-	file File  // nil while the record is broken
-	size int64 // of what is good
-	err  error // why it is broken
+	fs     FS
+	path   string
+	header Header
+	file   File  // nil while the record is broken
+	size   int64 // of the valid part
+	err    error // why the record is broken
 }
 
-// Found says what opening a file met besides good entries.
+// Found reports what Open met besides valid entries.
 type Found struct {
 	New   bool   // there was no file
 	Torn  int    // bytes of a torn last line that were dropped
-	Aside string // where a damaged file was put; entries before the damage were read
+	Aside string // where a damaged file was moved; entries before the damage were read
 	Why   string // what was wrong with it
 }
 
-// Open reads the file at path, handing each entry to read in order, and makes it
-// ready for appends. An entry that read refuses counts as damage. A damaged file is
-// kept aside; the caller should then Rewrite with what it has, as the file is empty
-// until then. An error means that the file can't be read or written at all.
+// Open reads the file at path, passing each entry to read in order, and opens it for
+// appends. An entry that read refuses counts as damage. A damaged file is moved aside;
+// the caller should then call Rewrite with its state, as the new file is empty until
+// then. An error means that the file can't be read or written at all.
 func Open(fsys FS, path, owner string, read func(json.RawMessage) error) (*Log, Found, error) {
-	l := &Log{fs: fsys, path: path, head: Header{Version, owner}}
+	l := &Log{fs: fsys, path: path, header: Header{FormatVersion, owner}}
 	text, err := fsys.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return l, Found{New: true}, l.Rewrite(nil)
@@ -133,7 +132,7 @@
 	if err != nil {
 		return nil, Found{}, fmt.Errorf("record: %w", err)
 	}
-	good, why := scan(text, func(line int, entry json.RawMessage) error {
+	valid, damage := scan(text, func(line int, entry json.RawMessage) error {
 		if line > 1 {
 			return read(entry)
 		}
@@ -141,47 +140,47 @@
 		if err := json.Unmarshal(entry, &h); err != nil {
 			return err
 		}
-		if h.Record != Version {
-			return fmt.Errorf("form %d, this program reads form %d", h.Record, Version)
+		if h.FormatVersion != FormatVersion {
+			return fmt.Errorf("format %d, this program reads format %d", h.FormatVersion, FormatVersion)
 		}
 		if h.Owner != owner {
 			return fmt.Errorf("it is the record of %q, not of %q", h.Owner, owner)
 		}
 		return nil
 	})
-	if why == nil && good > 0 {
+	if damage == nil && valid > 0 {
 		f, err := fsys.Append(path)
 		if err != nil {
 			return nil, Found{}, fmt.Errorf("record: %w", err)
 		}
-		l.file, l.size = f, int64(good)
-		torn := len(text) - good
+		l.file, l.size = f, int64(valid)
+		torn := len(text) - valid
 		if torn > 0 {
 			if err := f.Truncate(l.size); err != nil {
 				f.Close()
-				return nil, Found{}, fmt.Errorf("record %s: drop a torn line: %w", path, err)
+				return nil, Found{}, fmt.Errorf("record %s: dropping a torn last line: %w", path, err)
 			}
 		}
 		return l, Found{Torn: torn}, nil
 	}
-	if why == nil {
-		why = errors.New("no whole first line")
+	if damage == nil {
+		damage = errors.New("no complete first line")
 	}
 	aside := path + ".damaged"
-	for n := 2; ; n++ { // keep what an earlier one may still tell
+	for n := 2; ; n++ { // keep earlier damaged files for diagnosis
 		if _, err := fsys.ReadFile(aside); errors.Is(err, fs.ErrNotExist) {
 			break
 		}
 		aside = path + ".damaged-" + strconv.Itoa(n)
 	}
 	if err := fsys.Rename(path, aside); err != nil {
-		return nil, Found{}, fmt.Errorf("record %s is damaged (%w) and can't be put aside: %w", path, why, err)
+		return nil, Found{}, fmt.Errorf("record %s is damaged (%w) and can't be moved aside: %w", path, damage, err)
 	}
-	return l, Found{Aside: aside, Why: why.Error()}, l.Rewrite(nil)
+	return l, Found{Aside: aside, Why: damage.Error()}, l.Rewrite(nil)
 }
 
-// Read hands on the entries of the file at path, without its header, and changes nothing. A
-// torn last line is passed over, damage before it an error.
+// Read passes the entries of the file at path, without its header, to read, and does not modify
+// the file. A torn last line is skipped; damage before it is an error.
 func Read(fsys FS, path string, read func(json.RawMessage) error) error {
 	text, err := fsys.ReadFile(path)
 	if err != nil {
@@ -199,40 +198,40 @@
 	return nil
 }
 
-// headLen is what stands before an entry on its line.
-const headLen = 18
+// prefixLen is the length of the prefix before an entry on its line.
+const prefixLen = 18
 
-// errJoined means that a line holds more than one entry: the line feed between them
-// is lost, which no torn write explains.
-var errJoined = errors.New("longer than its length")
+// errJoinedLines means that a line holds more than one entry: the line feed between them is
+// lost, which a torn write can't cause.
+var errJoinedLines = errors.New("entry is longer than its stated length")
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// scan hands on the entries of a text. It gives the length of the good part, and an
-// error if what follows is more than a torn last line.
-func scan(text []byte, entry func(line int, e json.RawMessage) error) (good int, err error) {
-	for line := 1; good < len(text); line++ {
-		rest := text[good:]
+// scan passes the entries of a text to entry. It returns the length of the valid part, and
+// an error if what follows is more than a torn last line.
+func scan(text []byte, entry func(line int, e json.RawMessage) error) (valid int, err error) {
+	for line := 1; valid < len(text); line++ {
+		rest := text[valid:]
 		end := bytes.IndexByte(rest, '\n')
 		if end < 0 {
-			return good, nil // torn
+			return valid, nil // torn
 		}
-		e, err := check(rest[:end])
+		e, err := parseLine(rest[:end])
 		if err == nil {
 			err = entry(line, e)
-		} else if good+end+1 == len(text) && line > 1 && !errors.Is(err, errJoined) {
-			return good, nil // torn within the last line, as pages reach the disk in any order
+		} else if valid+end+1 == len(text) && line > 1 && !errors.Is(err, errJoinedLines) {
+			return valid, nil // a torn last line may be complete but wrong, as pages reach the disk in any order
 		}
 		if err != nil {
-			return good, fmt.Errorf("line %d: %w", line, err)
+			return valid, fmt.Errorf("line %d: %w", line, err)
 		}
-		good += end + 1
+		valid += end + 1
 	}
-	return good, nil
+	return valid, nil
 }
 
-func check(line []byte) (json.RawMessage, error) {
-	if len(line) < headLen || line[8] != ' ' || line[17] != ' ' {
+func parseLine(line []byte) (json.RawMessage, error) {
+	if len(line) < prefixLen || line[8] != ' ' || line[17] != ' ' {
 		return nil, errors.New("no checksum and length")
 	}
 	sum, err := strconv.ParseUint(string(line[:8]), 16, 32)
@@ -243,34 +242,34 @@
 	if err != nil {
 		return nil, errors.New("no length")
 	}
-	e := line[headLen:]
+	e := line[prefixLen:]
 	switch {
 	case uint64(len(e)) > length:
-		return nil, errJoined
+		return nil, errJoinedLines
 	case uint64(len(e)) < length:
-		return nil, errors.New("shorter than its length")
+		return nil, errors.New("entry is shorter than its stated length")
 	}
-	if crc32.Checksum(e, table) != uint32(sum) {
+	if crc32.Checksum(e, castagnoli) != uint32(sum) {
 		return nil, errors.New("checksum does not fit")
 	}
 	return e, nil
 }
 
-// encode gives an entry's line.
+// encode returns an entry's line.
 func encode(v any) ([]byte, error) {
 	e, err := json.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	if len(e) > LineMost {
-		return nil, fmt.Errorf("record: an entry of %d bytes, at most %d are taken", len(e), LineMost)
+	if len(e) > MaxEntrySize {
+		return nil, fmt.Errorf("record: an entry of %d bytes, at most %d are allowed", len(e), MaxEntrySize)
 	}
-	return fmt.Appendf(make([]byte, 0, len(e)+headLen+1), "%08x %08x %s\n", crc32.Checksum(e, table), len(e), e), nil
+	return fmt.Appendf(make([]byte, 0, len(e)+prefixLen+1), "%08x %08x %s\n", crc32.Checksum(e, castagnoli), len(e), e), nil
 }
 
-// Append puts an entry on the disk. On an error it is not there: what was written
-// of it is taken back, and if that can't be done, or the disk did not confirm it,
-// the record is broken until a Rewrite succeeds.
+// Append writes an entry to the disk. On an error the entry is not in the record: a
+// partial write is truncated, and if that fails, or fsync does, the record is broken
+// until a Rewrite succeeds.
 func (l *Log) Append(v any) error {
 	if l.err != nil {
 		return fmt.Errorf("record: broken: %w", l.err)
@@ -281,30 +280,30 @@
 	}
 	if _, err := l.file.Write(line); err != nil {
 		if undo := l.file.Truncate(l.size); undo != nil {
-			l.fail(err)
+			l.markBroken(err)
 		}
 		return fmt.Errorf("record %s: %w", l.path, err)
 	}
 	if err := l.file.Sync(); err != nil {
-		// After a failed fsync the kernel may show pages as clean that never
-		// reached the disk; nothing more is built on this file.
-		l.fail(err)
+		// After a failed fsync the kernel may mark pages clean that never reached
+		// the disk, so this file must not be appended to.
+		l.markBroken(err)
 		return fmt.Errorf("record %s: %w", l.path, err)
 	}
 	l.size += int64(len(line))
 	return nil
 }
 
-func (l *Log) fail(err error) {
+func (l *Log) markBroken(err error) {
 	l.err = err
 	l.file.Close()
 	l.file = nil
 }
 
-// Rewrite replaces the file by one that holds nothing but the given entry, or none.
-// The old file stands until the new one is whole on the disk.
+// Rewrite replaces the file by one that holds only the given entry, or none if v is nil.
+// The old file stays in place until the new one is completely on the disk.
 func (l *Log) Rewrite(v any) error {
-	head, err := encode(l.head)
+	content, err := encode(l.header)
 	if err != nil {
 		return err
 	}
@@ -313,28 +312,28 @@
 		if err != nil {
 			return err
 		}
-		head = append(head, line...)
+		content = append(content, line...)
 	}
-	f, err := replace(l.fs, l.path, head)
+	f, err := replace(l.fs, l.path, content)
 	if err != nil {
 		return err
 	}
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.size, l.err = f, int64(len(head)), nil
+	l.file, l.size, l.err = f, int64(len(content)), nil
 	if err := l.fs.SyncDir(filepath.Dir(l.path)); err != nil {
-		l.fail(err) // the name may still lead to the old file after a power cut
+		l.markBroken(err) // after a power cut the name may still refer to the old file
 		return fmt.Errorf("record %s: %w", l.path, err)
 	}
 	return nil
 }
 
-// replace writes a text in a file's place, and gives the file, open at its end. Until the new
-// one is whole on the disk the old one stands; the caller makes the name last by SyncDir.
+// replace replaces a file's content, and returns the file, open at its end. The old file stays in
+// place until the new one is completely on the disk; the caller makes the rename durable by SyncDir.
 func replace(fsys FS, path string, text []byte) (File, error) {
-	fresh := path + ".new"
-	f, err := fsys.Create(fresh)
+	temp := path + ".new"
+	f, err := fsys.Create(temp)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
@@ -343,7 +342,7 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		err = fsys.Rename(fresh, path)
+		err = fsys.Rename(temp, path)
 	}
 	if err != nil {
 		f.Close()
@@ -352,7 +351,7 @@
 	return f, nil
 }
 
-// Replace writes a whole file that has to last, of any form, in the place of what was there.
+// Replace durably replaces a file by one with the given content, in any format.
 func Replace(fsys FS, path string, text []byte) error {
 	f, err := replace(fsys, path, text)
 	if err != nil {
@@ -364,13 +363,13 @@
 	return nil
 }
 
-// Size gives the file's length in bytes.
+// Size returns the file's length in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Err tells why the record is broken; nil while it is not.
+// Err returns why the record is broken; nil if it is not.
 func (l *Log) Err() error { return l.err }
 
-// Close closes the file; what is appended from then on is an error.
+// Close closes the file; later appends fail.
 func (l *Log) Close() error {
 	if l.file == nil {
 		return nil
--- a/internal/fleet/record/record_test.go
+++ b/internal/fleet/record/record_test.go
@@ -32,7 +32,7 @@
 	return l, found, read
 }
 
-func TestEntriesAreThereAgain(t *testing.T) {
+func TestEntriesSurviveReopening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	l, found, read := open(t, OS{}, path)
 	if !found.New || len(read) != 0 {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Cut anywhere, a file gives all entries before the cut, and takes further ones.
+// A file truncated at any byte gives all complete entries and accepts further ones.
 func TestTornTail(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	l, _, _ := open(t, OS{}, path)
@@ -83,16 +83,16 @@
 		if err := os.WriteFile(torn, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		whole := 0
-		for whole < len(ends) && ends[whole] <= int64(cut) {
-			whole++
+		complete := 0
+		for complete < len(ends) && ends[complete] <= int64(cut) {
+			complete++
 		}
 		l, found, read := open(t, OS{}, torn)
-		if want := max(0, whole-1); len(read) != want {
+		if want := max(0, complete-1); len(read) != want {
 			t.Fatalf("cut at %d: %d entries, want %d", cut, len(read), want)
 		}
-		if (found.Aside != "") != (whole == 0) {
-			t.Errorf("cut at %d: %+v, want it aside only without a whole first line", cut, found)
+		if (found.Aside != "") != (complete == 0) {
+			t.Errorf("cut at %d: %+v, want it moved aside only without a complete first line", cut, found)
 		}
 		if err := l.Append("next"); err != nil {
 			t.Fatal(err)
@@ -104,9 +104,9 @@
 	}
 }
 
-// A flipped byte never gives a wrong entry; damage before the last line puts the
-// file aside, whole.
-func TestDamageIsNoticed(t *testing.T) {
+// A flipped bit never gives a wrong entry; damage before the last line moves the
+// unchanged file aside.
+func TestDamageIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	l, _, _ := open(t, OS{}, path)
 	for n := range 3 {
@@ -121,10 +121,10 @@
 	}
 	last := strings.LastIndexByte(string(text[:len(text)-1]), '\n') + 1
 	for at := range text {
-		spoilt := slices.Clone(text)
-		spoilt[at] ^= 0x04
+		damaged := slices.Clone(text)
+		damaged[at] ^= 0x04
 		file := filepath.Join(t.TempDir(), "record")
-		if err := os.WriteFile(file, spoilt, 0o600); err != nil {
+		if err := os.WriteFile(file, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, found, read := open(t, OS{}, file)
@@ -140,13 +140,13 @@
 			continue
 		}
 		kept, err := os.ReadFile(found.Aside)
-		if err != nil || string(kept) != string(spoilt) || found.Why == "" {
-			t.Errorf("byte %d: %+v, %v, want the damaged file aside", at, found, err)
+		if err != nil || string(kept) != string(damaged) || found.Why == "" {
+			t.Errorf("byte %d: %+v, %v, want the damaged file moved aside", at, found, err)
 		}
 	}
 }
 
-func TestForeignFilesAreNotTaken(t *testing.T) {
+func TestForeignFilesAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	l, _, _ := open(t, OS{}, path)
 	l.Append("mine")
@@ -156,14 +156,14 @@
 		t.Errorf("%+v, %v, want the owner named", found, err)
 	}
 	if _, _, err := Open(OS{}, t.TempDir(), "m1", nil); err == nil {
-		t.Error("a folder was opened as a record")
+		t.Error("a directory was opened as a record")
 	}
 }
 
-// disk is a file system in memory that loses what was not synced, and fails on
-// command.
+// disk is an in-memory file system that loses unsynced data in a simulated power cut and
+// fails at the operation with number failAt.
 type disk struct {
-	files, durable map[string]*inode // by name; what a power cut leaves of the names
+	files, durable map[string]*inode // by name: at present, and after a power cut
 	ops, failAt    int
 	err            error
 }
@@ -221,8 +221,8 @@
 	return nil
 }
 
-// crash is a power cut: names go back to what was synced or stay, and of unsynced
-// data some first part is left.
+// crash simulates a power cut: unsynced renames are kept or lost, and a prefix of the
+// unsynced data survives.
 func (d *disk) crash(rng *rand.Rand) {
 	if rng.IntN(2) == 0 {
 		d.files = maps.Clone(d.durable)
@@ -230,7 +230,7 @@
 	for _, f := range d.files {
 		if n := len(f.synced); len(f.data) > n {
 			f.data = f.data[:n+rng.IntN(len(f.data)-n+1)]
-		} else if rng.IntN(2) == 0 { // a cut that was not synced
+		} else if rng.IntN(2) == 0 { // an unsynced truncation is lost
 			f.data = slices.Clone(f.synced)
 		}
 		f.synced = slices.Clone(f.data)
@@ -272,22 +272,22 @@
 
 func (h *handle) Close() error { return nil }
 
-// With disks that fail at any call and power cuts at any time: every entry whose
-// Append succeeded is read again, in order, and of the others at most one that was
-// under way. The seed is in the test's name.
-func TestFailingDisksLoseNothingThatWasConfirmed(t *testing.T) {
+// Disks fail at any call and power is cut at any time: every entry whose Append succeeded
+// must be read again, in order, and no other entries than those whose Append failed. The
+// seed is in the test's name.
+func TestFailingDisksKeepConfirmedEntries(t *testing.T) {
 	for seed := range uint64(400) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			d := newDisk()
 			var confirmed []string
-			maybe := map[string]bool{} // written, perhaps, and not confirmed
+			unconfirmed := map[string]bool{} // possibly written, but not confirmed
 			next := 0
 			check := func(read []string) {
 				t.Helper()
 				rest := read
 				for _, want := range confirmed {
-					for len(rest) > 0 && rest[0] != want && maybe[rest[0]] {
+					for len(rest) > 0 && rest[0] != want && unconfirmed[rest[0]] {
 						rest = rest[1:]
 					}
 					if len(rest) == 0 || rest[0] != want {
@@ -296,7 +296,7 @@
 					rest = rest[1:]
 				}
 				for _, more := range rest {
-					if !maybe[more] {
+					if !unconfirmed[more] {
 						t.Fatalf("read %q, which was never written", more)
 					}
 				}
@@ -313,11 +313,11 @@
 					var read []string
 					l, _, read = open(t, d, "record")
 					check(read)
-					confirmed, maybe = read, map[string]bool{}
+					confirmed, unconfirmed = read, map[string]bool{}
 				case 1:
-					if l.Err() != nil { // mend it, as an agent does, by what it holds
+					if l.Err() != nil { // repair it by a rewrite, as an agent does
 						if err := l.Rewrite(nil); err == nil {
-							confirmed, maybe = nil, map[string]bool{}
+							confirmed, unconfirmed = nil, map[string]bool{}
 						}
 					}
 				default:
@@ -326,7 +326,7 @@
 					if err := l.Append(e); err == nil {
 						confirmed = append(confirmed, e)
 					} else {
-						maybe[e] = true
+						unconfirmed[e] = true
 					}
 				}
 			}
@@ -337,7 +337,7 @@
 	}
 }
 
-// After a failed fsync nothing is added until the file was written anew.
+// After a failed fsync nothing is appended until a Rewrite.
 func TestFailedSyncIsFinal(t *testing.T) {
 	d := newDisk()
 	l, _, _ := open(t, d, "record")
@@ -346,7 +346,7 @@
 		t.Fatalf("got %v", err)
 	}
 	if err := l.Append("b"); err == nil || l.Err() == nil {
-		t.Error("an entry was added to a file that a sync failed on")
+		t.Error("an entry was appended after a failed fsync")
 	}
 	if err := l.Rewrite("whole"); err != nil {
 		t.Fatal(err)
@@ -359,10 +359,10 @@
 	}
 }
 
-func TestBoundOfAnEntry(t *testing.T) {
+func TestMaxEntrySize(t *testing.T) {
 	l, _, _ := open(t, newDisk(), "record")
-	if err := l.Append(strings.Repeat("x", LineMost)); err == nil {
-		t.Error("an entry over the bound was taken")
+	if err := l.Append(strings.Repeat("x", MaxEntrySize)); err == nil {
+		t.Error("an entry over the size limit was accepted")
 	}
 	if err := l.Append("small"); err != nil {
 		t.Error(err)
@@ -370,18 +370,18 @@
 }
 
 func FuzzScan(f *testing.F) {
-	line, _ := encode(Header{Version, "m1"})
+	line, _ := encode(Header{FormatVersion, "m1"})
 	f.Add(line)
 	f.Add([]byte("00000000 {}\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		good, _ := scan(text, func(_ int, e json.RawMessage) error {
+		valid, _ := scan(text, func(_ int, e json.RawMessage) error {
 			if !json.Valid(e) {
 				return errors.New("no JSON")
 			}
 			return nil
 		})
-		if good > len(text) || good > 0 && text[good-1] != '\n' {
-			t.Errorf("good part of %d bytes in %d", good, len(text))
+		if valid > len(text) || valid > 0 && text[valid-1] != '\n' {
+			t.Errorf("good part of %d bytes in %d", valid, len(text))
 		}
 	})
 }
