--- a/internal/fleet/group/command.go
+++ b/internal/fleet/group/command.go
@@ -386,7 +386,7 @@
 		if ctx.Err() != nil {
 			plan.Stop("the time is up")
 		}
-		for _, key := range plan.Next(time.Now(), func(key string) rollout.InstanceState {
+		for _, key := range plan.Next(time.Now(), func(key string) rollout.Standing {
 			if up[key] {
 				return rollout.Serves
 			}
--- a/internal/fleet/rollout/desk.go
+++ b/internal/fleet/rollout/desk.go
@@ -121,7 +121,7 @@
 			}
 			return true
 		}
-		toStart := p.Next(now, func(key string) InstanceState {
+		toStart := p.Next(now, func(key string) Standing {
 			s, known := seen[key]
 			step, ownStep := j.Step(key)
 			switch {
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -22,12 +22,12 @@
 	stallTimeout = 30 * time.Second
 )
 
-// InstanceState is the state of an instance with respect to a plan.
-type InstanceState int
+// Standing is the state of an instance with respect to a plan.
+type Standing int
 
 // The states of an instance.
 const (
-	Serves InstanceState = iota
+	Serves Standing = iota
 	// Away does not serve. It counts as away, and restarting it makes no further instance unavailable; but
 	// it may come up by itself while the order to it is on its way, so that no more of these are worked on
 	// at once than may be away.
@@ -80,7 +80,7 @@
 // Next returns the instances to restart now. state returns the state of an instance of the group. allow, unless it is
 // nil, reports whether further limits allow one to be started; serving means that the instance serves now. Each instance
 // returned counts as being worked on until Ended or Withdrawn.
-func (p *Plan) Next(now time.Time, state func(name string) InstanceState, allow func(name string, serving bool) bool) []string {
+func (p *Plan) Next(now time.Time, state func(name string) Standing, allow func(name string, serving bool) bool) []string {
 	p.waitReason = ""
 	if p.stopReason != "" {
 		return nil
--- a/internal/fleet/rollout/rollout_test.go
+++ b/internal/fleet/rollout/rollout_test.go
@@ -18,8 +18,8 @@
 	return list
 }
 
-func serves(up func(string) bool) func(string) InstanceState {
-	return func(name string) InstanceState {
+func serves(up func(string) bool) func(string) Standing {
+	return func(name string) Standing {
 		if up(name) {
 			return Serves
 		}
