--- a/cmd/otteragent/main.go
+++ b/cmd/otteragent/main.go
@@ -46,7 +46,7 @@
 			}
 			a, err := agent.New(cfg, agent.Options{
 				Launcher: []string{"/proc/self/exe", launchCommand}, Version: buildinfo.Version(),
-				Log: slog.New(slog.NewTextHandler(os.Stderr, nil)), First: first,
+				Log: slog.New(slog.NewTextHandler(os.Stderr, nil)), FirstStart: first,
 			})
 			if err != nil {
 				return err
--- a/cmd/otterlab/comeback.go
+++ b/cmd/otterlab/comeback.go
@@ -24,7 +24,7 @@
 	trials, rate, burst, file := 0, 0.0, 0, ""
 	var away time.Duration
 	var losses []string
-	d := lab.Comeback{}
+	d := lab.FleetRestart{}
 	c := &cobra.Command{
 		Use: "comeback", Short: "Kill a whole fleet at once, take away what it knew, and time how it comes back", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -35,27 +35,27 @@
 				return err
 			}
 			o.lab.Council = council(o.lab.Agents, 5*time.Second)
-			o.lab.Council.Direct, o.lab.Asked = true, true
+			o.lab.Council.Direct, o.lab.Pull = true, true
 			return o.inDir(func() error {
-				var all []lab.Named
+				var all []lab.NamedResult
 				for _, d.Loss = range losses {
 					for _, paced := range []float64{0, rate} {
 						o.lab.Pace, o.lab.Burst = paced, burst
-						d.Away = 0
+						d.DiscoveryDown = 0
 						if d.Loss == lab.LoseNothing {
-							d.Away = away
+							d.DiscoveryDown = away
 						}
 						first, err := o.comesBack(c, d, trials)
 						if err != nil {
 							return err
 						}
-						all = append(all, lab.Named{Name: fmt.Sprintf("lost: %s, %v/s", d.Loss, paced), Return: first, Dashed: paced > 0})
+						all = append(all, lab.NamedResult{Name: fmt.Sprintf("lost: %s, %v/s", d.Loss, paced), RestartResult: first, Dashed: paced > 0})
 					}
 				}
 				if file == "" {
 					return nil
 				}
-				return lab.PlotReturns(file, all)
+				return lab.PlotRestarts(file, all)
 			})
 		},
 	}
@@ -72,25 +72,25 @@
 }
 
 // comesBack plays a case and prints its medians; it gives the first trial.
-func (o *options) comesBack(c *cobra.Command, d lab.Comeback, trials int) (first lab.Return, err error) {
+func (o *options) comesBack(c *cobra.Command, d lab.FleetRestart, trials int) (first lab.RestartResult, err error) {
 	var held, wrong, ready, calls, conns int
 	var halves, nine, all []time.Duration
 	_, err = o.times(c.Context(), trials, 1, func(ctx context.Context, opt lab.Options) (time.Duration, error) {
-		r, err := d.Play(ctx, opt)
+		r, err := d.Run(ctx, opt)
 		if len(all) == 0 {
 			first = r
 		}
-		held, wrong = held+r.Held, wrong+r.Wrong
-		ready, calls, conns = max(ready, r.Burst), max(calls, r.CallsMost), max(conns, r.ConnsMost)
-		halves, nine, all = append(halves, r.Half), append(nine, r.Most), append(all, r.All)
+		held, wrong = held+r.Held, wrong+r.DrainedStarted
+		ready, calls, conns = max(ready, r.MaxReadyBurst), max(calls, r.MaxCalls), max(conns, r.MaxConns)
+		halves, nine, all = append(halves, r.Half), append(nine, r.NineTenths), append(all, r.All)
 		return r.All, err
 	})
 	if err != nil {
 		return first, err
 	}
 	name := d.Loss
-	if d.Away > 0 {
-		name += fmt.Sprintf(", discovery away for %v", d.Away)
+	if d.DiscoveryDown > 0 {
+		name += fmt.Sprintf(", discovery away for %v", d.DiscoveryDown)
 	}
 	fmt.Fprintf(c.OutOrStdout(), "lost %-9s rate %-4v 50%% %v, 90%% %v, all %v; within 100 ms at most: %d ready, %d calls of discovery, %d connections to one server; %d held, %d wrongly started\n",
 		name, o.lab.Pace, middle(halves), middle(nine), middle(all), ready, calls, conns, held, wrong)
@@ -119,7 +119,7 @@
 					return err
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%d agents with %d instances: all had asked and told after %v (each median %v, most %v); %d bytes of answers in all, %d at most to one, %d bytes of reports\n",
-					agents, instances, r.All.Round(time.Millisecond), r.Each[len(r.Each)/2].Round(time.Millisecond), r.Each[len(r.Each)-1].Round(time.Millisecond), r.Told, r.ToldMost, r.Reported)
+					agents, instances, r.All.Round(time.Millisecond), r.Each[len(r.Each)/2].Round(time.Millisecond), r.Each[len(r.Each)-1].Round(time.Millisecond), r.SentBytes, r.MaxSentBytes, r.ReportedBytes)
 				return nil
 			})
 		},
@@ -148,7 +148,7 @@
 					sum := returns.Result{}
 					for n := range seeds {
 						opt.Seed = uint64(n + 1)
-						r, err := returns.Play(opt)
+						r, err := returns.Simulate(opt)
 						if err != nil {
 							return &cli.Exit{Code: cli.Usage, Err: err}
 						}
@@ -180,8 +180,8 @@
 	f.IntVar(&opt.Pace.Burst, "burst", 20, "starts at once of the paced case")
 	f.DurationVar(&opt.Within, "within", time.Second, "in which the agents start")
 	f.DurationVar(&opt.Council, "council", time.Second, "from when on the council answers; negative: there is none")
-	f.DurationVar(&opt.Away, "away", 0, "until when discovery is away")
-	f.DurationVar(&opt.Service, "service", 10*time.Millisecond, "of one call of discovery")
+	f.DurationVar(&opt.DiscoveryDown, "away", 0, "until when discovery is away")
+	f.DurationVar(&opt.CallTime, "service", 10*time.Millisecond, "of one call of discovery")
 	f.DurationVar(&opt.Limit, "limit", 3*time.Minute, "of virtual time")
 	f.BoolVar(&opt.Naive, "naive", false, "agents go by their own record alone, as before there was any recovery")
 	return c
@@ -190,20 +190,20 @@
 // herdCases are what nodes find of what they kept.
 var herdCases = []struct {
 	name    string
-	kept    *sim.Kept
+	kept    *sim.SavedState
 	believe bool
 }{
 	{"nothing", nil, false},
-	{"fresh", &sim.Kept{}, false},
-	{"hour", &sim.Kept{Older: time.Hour}, false},
-	{"weeks", &sim.Kept{Older: 21 * 24 * time.Hour}, false},
-	{"broken", &sim.Kept{Spoilt: 0.5}, false},
-	{"believed", &sim.Kept{}, true},
+	{"fresh", &sim.SavedState{}, false},
+	{"hour", &sim.SavedState{ExtraAge: time.Hour}, false},
+	{"weeks", &sim.SavedState{ExtraAge: 21 * 24 * time.Hour}, false},
+	{"broken", &sim.SavedState{UnusableShare: 0.5}, false},
+	{"believed", &sim.SavedState{}, true},
 }
 
 // herd plays the return of whole tiers with their servers in virtual time, by what the nodes kept.
 func herd() *cobra.Command {
-	h := sim.Herd{}
+	h := sim.TierRestart{}
 	seeds, abreast, file, names := 0, 0, "", []string(nil)
 	var all []string
 	for _, c := range herdCases {
@@ -225,14 +225,14 @@
 					return fmt.Errorf("--kept: %q is none of %s", name, strings.Join(all, ", "))
 				}
 				k := herdCases[n]
-				h.Kept, h.Believe = k.kept, k.believe
-				rs := make([]sim.HerdResult, seeds)
+				h.SavedState, h.TrustSavedState = k.kept, k.believe
+				rs := make([]sim.TierRestartResult, seeds)
 				g, ctx := errgroup.WithContext(c.Context())
 				g.SetLimit(abreast)
 				for i := range rs {
 					g.Go(func() (err error) {
 						if ctx.Err() == nil {
-							rs[i], err = h.Play(uint64(i + 1))
+							rs[i], err = h.Run(uint64(i + 1))
 						}
 						return err
 					})
@@ -243,7 +243,7 @@
 				if err := c.Context().Err(); err != nil {
 					return err
 				}
-				of := func(what func(r sim.HerdResult) float64) string {
+				of := func(what func(r sim.TierRestartResult) float64) string {
 					var x []float64
 					for _, r := range rs {
 						x = append(x, what(r))
@@ -253,22 +253,22 @@
 				}
 				broken, down := 0, 0
 				for _, r := range rs {
-					broken, down = broken+r.Broken, down+r.Fell
+					broken, down = broken+r.OtherViolations, down+r.PushedOver
 				}
 				if !k.believe {
 					fell += down
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", name,
-					of(func(r sim.HerdResult) float64 { return r.First.Seconds() }), of(func(r sim.HerdResult) float64 { return r.Half.Seconds() }),
-					of(func(r sim.HerdResult) float64 { return r.Most.Seconds() }), of(func(r sim.HerdResult) float64 { return r.Full.Seconds() }),
-					of(func(r sim.HerdResult) float64 { return r.Attempts }), of(func(r sim.HerdResult) float64 { return r.Refusals }),
-					of(func(r sim.HerdResult) float64 { return r.Pushed[len(r.Pushed)-1] }), down, broken)
+					of(func(r sim.TierRestartResult) float64 { return r.First.Seconds() }), of(func(r sim.TierRestartResult) float64 { return r.Half.Seconds() }),
+					of(func(r sim.TierRestartResult) float64 { return r.Most.Seconds() }), of(func(r sim.TierRestartResult) float64 { return r.Full.Seconds() }),
+					of(func(r sim.TierRestartResult) float64 { return r.Attempts }), of(func(r sim.TierRestartResult) float64 { return r.Refusals }),
+					of(func(r sim.TierRestartResult) float64 { return r.ColdLoads[len(r.ColdLoads)-1] }), down, broken)
 				share, push := lab.Series{Name: name, Color: len(shares), Dashed: k.believe}, lab.Series{Name: name, Color: len(shares), Dashed: k.believe}
 				for i, s := range rs[0].Served {
 					share.X, share.Y = append(share.X, float64(i+1)/10), append(share.Y, s)
 				}
-				for i, p := range rs[0].Pushed {
-					push.X, push.Y = append(push.X, float64(i+1)/float64(len(rs[0].Pushed))), append(push.Y, p)
+				for i, p := range rs[0].ColdLoads {
+					push.X, push.Y = append(push.X, float64(i+1)/float64(len(rs[0].ColdLoads))), append(push.Y, p)
 				}
 				shares, pushed = append(shares, share), append(pushed, push)
 			}
@@ -291,16 +291,16 @@
 	f.IntVar(&h.Nodes, "nodes", 80, "how many")
 	f.IntVar(&h.Servers, "servers", 60, "how many")
 	f.Float64Var(&h.Load, "load", 0.7, "of what the servers can do warm; may be over 1")
-	f.DurationVar(&h.Away, "away", 6*time.Second, "how long discovery is away")
-	f.DurationVar(&h.Call, "call", 10*time.Millisecond, "of discovery; one at a time, and what would wait for over 2 s is turned away")
-	f.DurationVar(&h.For, "for", 20*time.Second, "of virtual time, from the return on")
-	f.IntVar(&h.Comeback.Tries, "tries", 1, "of each client's request")
-	f.Float64Var(&h.Comeback.Rash, "rash", 0.3, "share of the clients that ask again at once")
-	f.Float64Var(&h.Comeback.Heed, "heed", 0.7, "share of the rest that come back when they were told to")
-	f.Float64Var(&h.Fall, "fall", 2, "multiple of what a cold server can do that pushes it over")
+	f.DurationVar(&h.DiscoveryDown, "away", 6*time.Second, "how long discovery is away")
+	f.DurationVar(&h.CallTime, "call", 10*time.Millisecond, "of discovery; one at a time, and what would wait for over 2 s is turned away")
+	f.DurationVar(&h.Observe, "for", 20*time.Second, "of virtual time, from the return on")
+	f.IntVar(&h.ClientBehavior.MaxAttempts, "tries", 1, "of each client's request")
+	f.Float64Var(&h.ClientBehavior.RetryImmediately, "rash", 0.3, "share of the clients that ask again at once")
+	f.Float64Var(&h.ClientBehavior.HonorRetryAfter, "heed", 0.7, "share of the rest that come back when they were told to")
+	f.Float64Var(&h.FallMultiple, "fall", 2, "multiple of what a cold server can do that pushes it over")
 	f.IntVar(&h.Queue, "queue", 32, "requests that wait at a server; what comes beyond is turned away")
-	f.IntVar(&h.Again, "again", 0, "all nodes are killed again at so many of the first seconds")
-	f.BoolVar(&h.Cut, "cut", false, "every other server is cut off for the first 3 s")
+	f.IntVar(&h.ExtraRestarts, "again", 0, "all nodes are killed again at so many of the first seconds")
+	f.BoolVar(&h.CutServers, "cut", false, "every other server is cut off for the first 3 s")
 	f.StringSliceVar(&names, "kept", all, "what the nodes find")
 	f.IntVar(&seeds, "seeds", 20, "how many")
 	f.IntVar(&abreast, "abreast", 2, "seeds played at once")
--- a/cmd/otterlab/desired.go
+++ b/cmd/otterlab/desired.go
@@ -77,11 +77,11 @@
 					if err := os.Mkdir(opt.Dir, 0o700); err != nil {
 						return err
 					}
-					h, err := lab.HarmOf(c.Context(), opt, []string{slow}, trial)
+					h, err := lab.MeasureDefect(c.Context(), opt, []string{slow}, trial)
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "trial of %v: %d of %d instances had it at most, back after %v; clients: %d served, %d not; %s\n", trial, h.Had, o.lab.Instances, h.Back.Round(100*time.Millisecond), h.Served, h.Unserved, h.Note)
+					fmt.Fprintf(c.OutOrStdout(), "trial of %v: %d of %d instances had it at most, back after %v; clients: %d served, %d not; %s\n", trial, h.MaxInstances, o.lab.Instances, h.RollbackTime.Round(100*time.Millisecond), h.Served, h.Unserved, h.Note)
 				}
 				return nil
 			})
--- a/cmd/otterlab/experiment.go
+++ b/cmd/otterlab/experiment.go
@@ -49,7 +49,7 @@
 			return nil, err
 		}
 		err := l.inDir(func() error {
-			run, err := lab.Play(ctx, x, l.lab, o.seed+uint64(n))
+			run, err := lab.RunExperiment(ctx, x, l.lab, o.seed+uint64(n))
 			all = append(all, run)
 			p.played()
 			return err
--- a/cmd/otterlab/faults.go
+++ b/cmd/otterlab/faults.go
@@ -33,8 +33,8 @@
 			if err != nil {
 				return err
 			}
-			opt := faults.Options(os.Getenv(lab.OrdersVar))
-			opt.Launcher, opt.First, opt.Version = []string{"/proc/self/exe", launchWord}, first, buildinfo.Version()
+			opt := faults.AgentOptions(os.Getenv(lab.OrdersVar))
+			opt.Launcher, opt.FirstStart, opt.Version = []string{"/proc/self/exe", launchWord}, first, buildinfo.Version()
 			opt.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 			a, err := agent.New(cfg, opt)
 			if err != nil {
@@ -83,9 +83,9 @@
 	f.Lookup("rate").DefValue = "20"
 	o.lab.Rate = 20
 	f.BoolVar(&d.Losses, "losses", false, "also take agents' memories and the council's stores away, with power cuts; no clients send")
-	f.BoolVar(&d.Words, "words", false, "change what the fleet should be, with faults between that and the nodes, in place of jobs; no clients send")
+	f.BoolVar(&d.DesiredState, "words", false, "change what the fleet should be, with faults between that and the nodes, in place of jobs; no clients send")
 	f.IntVar(&d.Faults, "faults", 12, "faults of a schedule")
-	f.IntVar(&d.Most, "max-unavailable", 1, "instances that each job may have away")
+	f.IntVar(&d.MaxUnavailable, "max-unavailable", 1, "instances that each job may have away")
 	f.IntVar(&d.seeds, "seeds", 1, "how many seeds; 0: as many as fit --for")
 	f.IntVar(&d.abreast, "abreast", 1, "seeds that are played at once")
 	f.DurationVar(&d.limit, "for", 0, "begin no seed after this")
@@ -98,7 +98,7 @@
 		if d.limit > 0 && !c.Flags().Changed("seeds") {
 			d.seeds = 0
 		}
-		if d.abreast < 1 || d.Faults < 1 || d.Most < 1 || d.seeds < 1 && d.limit <= 0 {
+		if d.abreast < 1 || d.Faults < 1 || d.MaxUnavailable < 1 || d.seeds < 1 && d.limit <= 0 {
 			return errors.New("--abreast, --faults and --max-unavailable must be 1 or more; --seeds 0 needs --for")
 		}
 		return nil
@@ -141,7 +141,7 @@
 				err := os.MkdirAll(opt.Dir, 0o700)
 				var run lab.FaultRun
 				if err == nil {
-					run, err = lab.PlayFaults(ctx, opt, seed, d.Campaign)
+					run, err = lab.RunFaults(ctx, opt, seed, d.Campaign)
 				}
 				if err != nil {
 					stop(fmt.Errorf("seed %d: %w", seed, err))
@@ -155,7 +155,7 @@
 					broken++
 				}
 				sum.Add(run)
-				rests = append(rests, run.Rest)
+				rests = append(rests, run.RecoveryTime)
 				o.printRun(out, d, run)
 				mu.Unlock()
 			}
@@ -186,7 +186,7 @@
 	if len(run.Failed) > 0 {
 		word = "BROKEN"
 	}
-	fmt.Fprintf(out, "seed %d %s: %v, at rest after %v\n", run.Seed, word, run, run.Rest.Round(10*time.Millisecond))
+	fmt.Fprintf(out, "seed %d %s: %v, at rest after %v\n", run.Seed, word, run, run.RecoveryTime.Round(10*time.Millisecond))
 	if len(run.Failed) == 0 {
 		return
 	}
@@ -194,5 +194,5 @@
 		fmt.Fprintln(out, "  ", f)
 	}
 	fmt.Fprintf(out, "  its schedule:\n%s  again: otterlab faults --seed %d --faults %d --losses=%v --words=%v --max-unavailable %d --instances %d --agents %d --lease %v\n",
-		run.Schedule, run.Seed, d.Faults, d.Losses, d.Words, d.Most, o.lab.Instances, o.lab.Agents, o.lab.Council.Lease)
+		run.Schedule, run.Seed, d.Faults, d.Losses, d.DesiredState, d.MaxUnavailable, o.lab.Instances, o.lab.Agents, o.lab.Council.Lease)
 }
--- a/cmd/otterlab/load.go
+++ b/cmd/otterlab/load.go
@@ -148,7 +148,7 @@
 
 func (t telling) Close() {
 	t.Calls.Close()
-	if n := t.Unended(); n > 0 {
+	if n := t.FailedHangups(); n > 0 {
 		fmt.Fprintf(t.out, "%d calls: the BYE was not answered 200\n", n)
 	}
 }
--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -40,7 +40,7 @@
 	f.IntVar(&o.lab.Boxes, "boxes", 8, "app boxes")
 	f.Float64Var(&o.lab.Rate, "rate", 120, "clients' requests a second; 0 for none")
 	f.Uint64Var(&o.lab.Seed, "seed", 1, "seed of all that is random")
-	f.BoolVar(&o.lab.Asked, "asked", false, "discovery is asked, instead of pushing its list")
+	f.BoolVar(&o.lab.Pull, "asked", false, "discovery is asked, instead of pushing its list")
 	f.StringVar(&o.dir, "dir", "", "`folder` for configurations, logs and sockets; one that goes with the lab if not given")
 }
 
@@ -57,8 +57,8 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return o.with(c.Context(), func(l *lab.Lab, _ string) error {
-				held, err := l.Demo(c.Context(), lab.Story{
-					Calm: 5 * time.Second, Hang: 6 * time.Second, Healed: 2 * time.Second, After: 4 * time.Second,
+				held, err := l.Demo(c.Context(), lab.DemoTimes{
+					BeforeHang: 5 * time.Second, Hang: 6 * time.Second, AfterHang: 2 * time.Second, AfterRestart: 4 * time.Second,
 				}, c.OutOrStdout())
 				if err == nil && !held {
 					err = errors.New("a rule broke")
@@ -103,12 +103,12 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			return o.with(c.Context(), func(l *lab.Lab, bin string) error {
 				fmt.Fprintf(c.OutOrStdout(), "%d instances under %d agents serve %.0f requests a second from %d boxes. Now type, elsewhere:\n\n%s\nInterrupt to end it all.\n",
-					o.lab.Instances, o.lab.Agents, o.lab.Rate, o.lab.Boxes, l.Next(bin))
+					o.lab.Instances, o.lab.Agents, o.lab.Rate, o.lab.Boxes, l.ExampleCommands(bin))
 				if err := l.Serve(c.Context()); err != nil {
 					return err
 				}
-				l.Unload()
-				if !l.Print(c.OutOrStdout()) {
+				l.StopClients()
+				if !l.PrintReport(c.OutOrStdout()) {
 					return errors.New("a rule broke")
 				}
 				return nil
@@ -125,7 +125,7 @@
 		Use: "box BOX WORD [NUMBER]", Short: "Have a box of a running lab hang, slow 4, fail 0.5, heal, drain, leave, crash or return",
 		Args: cobra.RangeArgs(2, 3),
 		RunE: func(c *cobra.Command, words []string) error {
-			_, err := lab.Ask(c.Context(), dir, words)
+			_, err := lab.SendCommand(c.Context(), dir, words)
 			return err
 		},
 	}
@@ -138,7 +138,7 @@
 	c := &cobra.Command{
 		Use: "status", Short: "Show a running lab's boxes and what its clients got", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			text, err := lab.Ask(c.Context(), dir, nil)
+			text, err := lab.SendCommand(c.Context(), dir, nil)
 			fmt.Fprint(c.OutOrStdout(), text)
 			return err
 		},
--- a/cmd/otterlab/owners.go
+++ b/cmd/otterlab/owners.go
@@ -155,13 +155,13 @@
 				return fmt.Errorf("--agents %d: more than the %d voters are needed", o.lab.Agents, o.lab.Council.Voters)
 			}
 			return o.inDir(func() error {
-				r, err := lab.AtRest(c.Context(), o.lab, wait)
+				r, err := lab.MeasureIdle(c.Context(), o.lab, wait)
 				if err != nil {
 					return err
 				}
 				share := func(d time.Duration) float64 { return 100 * d.Seconds() / r.For.Seconds() }
 				fmt.Fprintf(c.OutOrStdout(), "%d voters, %d agents that ask, %v\na voter:  %.2f%% of a core, %.0f bytes/s, %.2f writes/s to its store\nan asker: %.2f%% of a core, %.0f bytes/s\n",
-					o.lab.Council.Voters, o.lab.Agents-o.lab.Council.Voters, r.For.Round(time.Second), share(r.VoterCPU), r.VoterByte, r.VoterWrites, share(r.AskerCPU), r.AskerByte)
+					o.lab.Council.Voters, o.lab.Agents-o.lab.Council.Voters, r.For.Round(time.Second), share(r.VoterCPU), r.VoterBytes, r.VoterWrites, share(r.NonVoterCPU), r.NonVoterBytes)
 				return nil
 			})
 		},
--- a/cmd/otterstep/serve.go
+++ b/cmd/otterstep/serve.go
@@ -64,7 +64,7 @@
 	}
 	web.CheckAll(f, file.Web)
 	if len(file.Web) == 0 {
-		f.Bad("web", "no [[web]] table: there is nothing to serve")
+		f.Errorf("web", "no [[web]] table: there is nothing to serve")
 	}
 	return file.Web, f.Err()
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -91,15 +91,15 @@
 	case wire.EventStop:
 		delete(h.instances, h.current)
 	case wire.EventMembers:
-		inst.Members(b.Now, e.Kind, e.Entries)
+		inst.UpdateServers(b.Now, e.Kind, e.Entries)
 	case wire.EventRequest:
 		inst.Request(b.Now, e.Request)
 	case wire.EventStarted:
-		inst.Started(b.Now, e.Outcome.ID, e.Outcome.Attempt)
+		inst.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
 	case wire.EventOutcome:
 		inst.Outcome(b.Now, e.Outcome)
 	case wire.EventLeft:
-		inst.Left(b.Now, e.Outcome.ID)
+		inst.ClientGone(b.Now, e.Outcome.ID)
 	case wire.EventTimer:
 		inst.Timer(b.Now, e.Token)
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,7 +18,7 @@
 	OK       = 0
 	Failed   = 1 // some or all of the work failed
 	Usage    = 2 // invalid command line; nothing was done
-	Silent   = 3 // some did not answer; nothing failed at those that did
+	NoAnswer = 3 // some did not answer; nothing failed at those that did
 	Conflict = 4 // another command came first; nothing was done
 )
 
--- a/internal/comeback/comeback.go
+++ b/internal/comeback/comeback.go
@@ -11,11 +11,11 @@
 // minTimeLeft is the least time before its deadline with which a client still retries.
 const minTimeLeft = 50 * time.Millisecond
 
-// Habits configures the retry behavior of the whole client population.
-type Habits struct {
-	Tries int     // attempts per request, including the first; 0 means 1
-	Heed  float64 // share of clients that retry after a refusal's Retry-After; the others give up
-	Rash  float64 // share of clients that retry immediately after a refusal or failure, ignoring Retry-After
+// Behavior configures the retry behavior of the whole client population.
+type Behavior struct {
+	MaxAttempts      int     // attempts per request, including the first; 0 means 1
+	HonorRetryAfter  float64 // share of clients that retry after a refusal's Retry-After; the others give up
+	RetryImmediately float64 // share of clients that retry immediately after a refusal or failure, ignoring Retry-After
 }
 
 // Client is the retry behavior of one client, created by Habits.Draw.
@@ -25,25 +25,25 @@
 }
 
 // Draw returns a randomly chosen client.
-func (h Habits) Draw(rng *rand.Rand) Client {
-	return Client{maxAttempts: max(1, h.Tries), honorsRetryAfter: rng.Float64() < h.Heed, retriesImmediately: rng.Float64() < h.Rash}
+func (h Behavior) Draw(rng *rand.Rand) Client {
+	return Client{maxAttempts: max(1, h.MaxAttempts), honorsRetryAfter: rng.Float64() < h.HonorRetryAfter, retriesImmediately: rng.Float64() < h.RetryImmediately}
 }
 
 // Answer describes the outcome of a client's latest attempt.
 type Answer struct {
-	Tries      int  // attempts made so far
+	Attempts   int  // attempts made so far
 	Refused    bool // the request did not run, so a retry is safe; false means that it failed
 	Unsafe     bool // the request must not run twice, so only a refusal permits a retry
 	RetryAfter time.Duration
-	Left       time.Duration // until the client's deadline
+	TimeLeft   time.Duration // until the client's deadline
 }
 
-// Again reports whether the client retries and how long it waits first. The wait is
+// Retry reports whether the client retries and how long it waits first. The wait is
 // Retry-After plus up to 50% random jitter, so that clients refused at the same time do
 // not retry at the same time.
-func (c Client) Again(a Answer, rng *rand.Rand) (wait time.Duration, again bool) {
+func (c Client) Retry(a Answer, rng *rand.Rand) (wait time.Duration, again bool) {
 	switch {
-	case a.Tries >= c.maxAttempts || a.Left <= minTimeLeft || a.Unsafe && !a.Refused:
+	case a.Attempts >= c.maxAttempts || a.TimeLeft <= minTimeLeft || a.Unsafe && !a.Refused:
 		return 0, false
 	case c.retriesImmediately:
 		return 0, true
@@ -51,5 +51,5 @@
 		return 0, false
 	}
 	wait = a.RetryAfter + time.Duration(float64(a.RetryAfter)*rng.Float64()/2)
-	return wait, wait+minTimeLeft < a.Left
+	return wait, wait+minTimeLeft < a.TimeLeft
 }
--- a/internal/comeback/comeback_test.go
+++ b/internal/comeback/comeback_test.go
@@ -12,20 +12,20 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	outcomes := map[string]int{}
 	for range 200_000 {
-		h := Habits{Tries: rng.IntN(4), Heed: rng.Float64(), Rash: rng.Float64() / 2}
+		h := Behavior{MaxAttempts: rng.IntN(4), HonorRetryAfter: rng.Float64(), RetryImmediately: rng.Float64() / 2}
 		a := Answer{
-			Tries: 1 + rng.IntN(4), Refused: rng.IntN(2) == 0, Unsafe: rng.IntN(2) == 0,
-			RetryAfter: time.Duration(rng.Int64N(int64(time.Second))), Left: time.Duration(rng.Int64N(int64(2 * time.Second))),
+			Attempts: 1 + rng.IntN(4), Refused: rng.IntN(2) == 0, Unsafe: rng.IntN(2) == 0,
+			RetryAfter: time.Duration(rng.Int64N(int64(time.Second))), TimeLeft: time.Duration(rng.Int64N(int64(2 * time.Second))),
 		}
 		c := h.Draw(rng)
-		wait, again := c.Again(a, rng)
+		wait, again := c.Retry(a, rng)
 		if !again {
 			outcomes["left"]++
 			continue
 		}
-		late := a.Left-wait < minTimeLeft
+		late := a.TimeLeft-wait < minTimeLeft
 		switch {
-		case a.Tries >= max(1, h.Tries), late, a.Unsafe && !a.Refused:
+		case a.Attempts >= max(1, h.MaxAttempts), late, a.Unsafe && !a.Refused:
 			t.Fatalf("client %+v retries after %v following %+v", c, wait, a)
 		case wait == 0 && c.retriesImmediately:
 			outcomes["at once"]++
@@ -40,7 +40,7 @@
 			t.Errorf("outcome %q drawn %d times, want at least 1000", how, outcomes[how])
 		}
 	}
-	if _, again := (Client{maxAttempts: 3, honorsRetryAfter: true}).Again(Answer{Tries: 1, Refused: true, RetryAfter: 100 * time.Millisecond, Left: time.Second}, rng); !again {
+	if _, again := (Client{maxAttempts: 3, honorsRetryAfter: true}).Retry(Answer{Attempts: 1, Refused: true, RetryAfter: 100 * time.Millisecond, TimeLeft: time.Second}, rng); !again {
 		t.Error("a client that honors Retry-After and has attempts and time left does not retry")
 	}
 }
--- a/internal/confidence/confidence.go
+++ b/internal/confidence/confidence.go
@@ -32,8 +32,8 @@
 
 // Age is the age of saved data.
 type Age struct {
-	For  time.Duration
-	Sure bool // the age is known, as far as can be determined
+	Elapsed time.Duration
+	Known   bool // the age is known, as far as can be determined
 }
 
 // AgeBetween returns the age at now of data saved at then. Within one boot of the machine it is measured by the
@@ -67,15 +67,15 @@
 	return [...]string{"unconfirmed", "confirmed", "gone", "contradicted", "too old"}[s]
 }
 
-// Line is a server's entry in a list.
-type Line struct {
+// ListEntry is a server's entry in a list.
+type ListEntry struct {
 	UID, Endpoint string
 	BootMs        int64
 }
 
-// Judge returns the status of the saved entry l. named and at are discovery's entries for its UID and for
+// Classify returns the status of the saved entry l. named and at are discovery's entries for its UID and for
 // its address, nil if there are none; heard reports whether discovery has answered at all.
-func Judge(l Line, age Age, heard bool, named, at *Line) Status {
+func Classify(l ListEntry, age Age, heard bool, named, at *ListEntry) Status {
 	switch {
 	case heard && named == nil && at != nil && at.UID != l.UID:
 		return Contradicted
@@ -85,7 +85,7 @@
 		return Contradicted
 	case heard:
 		return Confirmed
-	case !age.Sure || age.For > maxAddressAge:
+	case !age.Known || age.Elapsed > maxAddressAge:
 		return Expired
 	}
 	return Unconfirmed
@@ -93,45 +93,45 @@
 
 // Weight returns the weight of statistics of the given age, from 1 to 0.
 func Weight(a Age) float64 {
-	if !a.Sure {
+	if !a.Known {
 		return 0
 	}
-	w := math.Exp2(-float64(a.For) / float64(halfLife))
+	w := math.Exp2(-float64(a.Elapsed) / float64(halfLife))
 	if w < minWeight {
 		return 0
 	}
 	return w
 }
 
-// Fade returns the saved memory m of a stopped node, decayed to age a. fresh is the memory of a node that has
+// Decay returns the saved memory m of a stopped node, decayed to age a. fresh is the memory of a node that has
 // learnt nothing; with decreasing weight, values move towards it.
 //
 // An open breaker stays open for its remaining time and is then followed by a single trial: decay never closes
 // a breaker. What depends on a server's life at that time (credit earned, cold-start protection) or on load is
 // dropped, because the server may have restarted and the load is over. ages maps each server that is still
 // listed, by the list saved with the memory, to how long it has been running; 0 means that it started long ago.
-func Fade(m, fresh policy.Memory, a Age, ages map[policy.ServerID]time.Duration) policy.Memory {
+func Decay(m, fresh policy.Memory, a Age, ages map[policy.ServerID]time.Duration) policy.Memory {
 	w := Weight(a)
 	out := fresh // including the admitted share
 	blend := func(from, to float64) float64 { return from + (to-from)*w }
 	if w > 0 && len(m.Classes) == len(fresh.Classes) {
 		out.Limit = blend(fresh.Limit, m.Limit)
-		out.LimitKnown = m.LimitKnown * w
-		out.Bore = m.Bore * w
-		out.LoneSeen = int(float64(m.LoneSeen) * w)
-		out.Typical = blend(fresh.Typical, m.Typical)
+		out.GoodLimit = m.GoodLimit * w
+		out.PeakServedRate = m.PeakServedRate * w
+		out.UnloadedSamples = int(float64(m.UnloadedSamples) * w)
+		out.TypicalLatency = blend(fresh.TypicalLatency, m.TypicalLatency)
 		out.MeanSuccess, out.MeanLatency = blend(fresh.MeanSuccess, m.MeanSuccess), blend(fresh.MeanLatency, m.MeanLatency)
 		out.Classes = nil
 		for i, c := range m.Classes {
 			f := fresh.Classes[i]
 			out.Classes = append(out.Classes, policy.ClassMemory{
-				Lone: blend(f.Lone, c.Lone), Yardstick: blend(f.Yardstick, c.Yardstick), LoneSeen: c.LoneSeen * w,
-				Work: blend(f.Work, c.Work), Seen: c.Seen * w, Hint: blend(f.Hint, c.Hint), Hinted: c.Hinted * w,
+				Unloaded: blend(f.Unloaded, c.Unloaded), Baseline: blend(f.Baseline, c.Baseline), UnloadedSamples: c.UnloadedSamples * w,
+				Work: blend(f.Work, c.Work), Samples: c.Samples * w, MeanHint: blend(f.MeanHint, c.MeanHint), HintSamples: c.HintSamples * w,
 			})
 		}
 		out.Kinds = nil
 		for _, k := range m.Kinds {
-			out.Kinds = append(out.Kinds, policy.KindMemory{Kind: k.Kind, Latency: k.Latency, Seen: k.Seen * w})
+			out.Kinds = append(out.Kinds, policy.KindMemory{Kind: k.Kind, Latency: k.Latency, Samples: k.Samples * w})
 		}
 		out.Keys = m.Keys
 	}
@@ -141,7 +141,7 @@
 		out.Classes = nil
 		for i, c := range m.Classes {
 			f := fresh.Classes[i]
-			f.Lone, f.Work = c.Lone, c.Work
+			f.Unloaded, f.Work = c.Unloaded, c.Work
 			out.Classes = append(out.Classes, f)
 		}
 	}
@@ -153,13 +153,13 @@
 		}
 		decayed := policy.ServerMemory{Server: s.Server, Age: age}
 		if w > 0 {
-			decayed.Lone, decayed.LoneSeen = s.Lone, s.LoneSeen*w
+			decayed.Unloaded, decayed.UnloadedSamples = s.Unloaded, s.UnloadedSamples*w
 		}
 		if s.Open {
 			decayed.Open, decayed.OpenFor, decayed.Failures = true, s.OpenFor, s.Failures
 			decayed.ReopenIn = s.ReopenIn
-			if a.Sure {
-				decayed.ReopenIn = max(0, s.ReopenIn-a.For)
+			if a.Known {
+				decayed.ReopenIn = max(0, s.ReopenIn-a.Elapsed)
 			}
 		}
 		out.Servers = append(out.Servers, decayed)
--- a/internal/confidence/confidence_test.go
+++ b/internal/confidence/confidence_test.go
@@ -28,21 +28,21 @@
 		a := AgeBetween(then, now)
 		switch {
 		case now.Boot == "a":
-			if !a.Sure || a.For != elapsed {
+			if !a.Known || a.Elapsed != elapsed {
 				t.Fatalf("age %v, want %v", a, elapsed)
 			}
 		case elapsed+clockChange < -clockTolerance:
-			if a.Sure || Weight(a) != 0 || Judge(Line{}, a, false, nil, nil) != Expired {
+			if a.Known || Weight(a) != 0 || Classify(ListEntry{}, a, false, nil, nil) != Expired {
 				t.Fatalf("wall clock went back, but the age is used: %v", a)
 			}
 		default:
-			if !a.Sure || (a.For-max(0, elapsed+clockChange)).Abs() > 0 {
+			if !a.Known || (a.Elapsed-max(0, elapsed+clockChange)).Abs() > 0 {
 				t.Fatalf("age %v, the wall clock says %v", a, elapsed+clockChange)
 			}
 		}
 		later := now
 		later.SinceBoot, later.Wall = now.SinceBoot+time.Minute, now.Wall.Add(time.Minute)
-		if older := AgeBetween(then, later); older.Sure && a.Sure && (older.For < a.For || Weight(older) > Weight(a)) {
+		if older := AgeBetween(then, later); older.Known && a.Known && (older.Elapsed < a.Elapsed || Weight(older) > Weight(a)) {
 			t.Fatalf("age %v has less weight than the greater age %v", a, older)
 		}
 	})
@@ -50,13 +50,13 @@
 
 // What discovery lists overrides saved entries; without discovery an entry of unknown or too great an age is unused.
 func TestStatuses(t *testing.T) {
-	l := Line{"s1", "10.0.0.1:80", 7}
-	restarted, moved, other := Line{"s1", "10.0.0.1:80", 9}, Line{"s1", "10.0.0.2:80", 7}, Line{"s2", "10.0.0.1:80", 7}
+	l := ListEntry{"s1", "10.0.0.1:80", 7}
+	restarted, moved, other := ListEntry{"s1", "10.0.0.1:80", 9}, ListEntry{"s1", "10.0.0.2:80", 7}, ListEntry{"s2", "10.0.0.1:80", 7}
 	minute := Age{time.Minute, true}
 	for want, all := range map[Status][]struct {
 		age       Age
 		heard     bool
-		named, at *Line
+		named, at *ListEntry
 	}{
 		Unconfirmed:  {{minute, false, nil, nil}, {Age{maxAddressAge, true}, false, nil, nil}},
 		Expired:      {{Age{}, false, nil, nil}, {Age{maxAddressAge + 1, true}, false, nil, nil}},
@@ -65,7 +65,7 @@
 		Contradicted: {{minute, true, &restarted, &restarted}, {minute, true, &moved, nil}, {minute, true, nil, &other}},
 	} {
 		for _, c := range all {
-			if got := Judge(l, c.age, c.heard, c.named, c.at); got != want {
+			if got := Classify(l, c.age, c.heard, c.named, c.at); got != want {
 				t.Errorf("%+v: %v, want %v", c, got, want)
 			}
 		}
@@ -79,13 +79,13 @@
 		age := Age{time.Duration(rapid.Int64Range(0, int64(3*time.Hour)).Draw(t, "age")), rapid.IntRange(0, 4).Draw(t, "sure") > 0}
 		f := func(name string) float64 { return rapid.Float64Range(0.01, 100).Draw(t, name) }
 		class := func(name string) policy.ClassMemory {
-			return policy.ClassMemory{Lone: f(name), Yardstick: f(name), LoneSeen: f(name), Work: f(name), Seen: f(name)}
+			return policy.ClassMemory{Unloaded: f(name), Baseline: f(name), UnloadedSamples: f(name), Work: f(name), Samples: f(name)}
 		}
-		fresh := policy.Memory{Limit: 1, Typical: 1, Admitted: 1, Classes: []policy.ClassMemory{class("fresh")}}
-		m := policy.Memory{Limit: f("limit"), Typical: f("typical"), Admitted: 0.5, Pressure: 3, Demand: 100, LoneSeen: 60, Classes: []policy.ClassMemory{class("old")}}
+		fresh := policy.Memory{Limit: 1, TypicalLatency: 1, Admitted: 1, Classes: []policy.ClassMemory{class("fresh")}}
+		m := policy.Memory{Limit: f("limit"), TypicalLatency: f("typical"), Admitted: 0.5, Pressure: 3, Demand: 100, UnloadedSamples: 60, Classes: []policy.ClassMemory{class("old")}}
 		ages := map[policy.ServerID]time.Duration{}
 		for id := range policy.ServerID(rapid.IntRange(0, 5).Draw(t, "servers")) {
-			s := policy.ServerMemory{Server: id, Earned: f("earned"), ColdSaved: f("saved"), Rate: f("rate"), Done: f("done"), Good: 3, Bad: 2, Lone: f("lone"), LoneSeen: f("seen")}
+			s := policy.ServerMemory{Server: id, Earned: f("earned"), ColdSaved: f("saved"), SentRate: f("rate"), ServedRate: f("done"), Successes: 3, Failed: 2, Unloaded: f("lone"), UnloadedSamples: f("seen")}
 			if rapid.Bool().Draw(t, "open") {
 				s.Open, s.ReopenIn, s.OpenFor = true, time.Minute, time.Minute
 			}
@@ -94,7 +94,7 @@
 				ages[id] = time.Hour
 			}
 		}
-		out := Fade(m, fresh, age, ages)
+		out := Decay(m, fresh, age, ages)
 		if out.Pressure != 0 || out.Demand != 0 || out.Admitted != 1 {
 			t.Fatalf("load was carried over: %+v", out)
 		}
@@ -102,8 +102,8 @@
 			t.Fatalf("limit %v, saved %v, fresh 1", out.Limit, m.Limit)
 		}
 		guess := fresh.Classes[0]
-		guess.Lone, guess.Work = m.Classes[0].Lone, m.Classes[0].Work
-		if Weight(age) == 0 && (out.Limit != 1 || out.Classes[0] != guess || out.Bore != 0) {
+		guess.Unloaded, guess.Work = m.Classes[0].Unloaded, m.Classes[0].Work
+		if Weight(age) == 0 && (out.Limit != 1 || out.Classes[0] != guess || out.PeakServedRate != 0) {
 			t.Fatalf("age %v has weight 0, but values were carried over: %+v", age, out)
 		}
 		if len(out.Servers) != len(ages) {
@@ -114,7 +114,7 @@
 			if s.Open != was.Open || s.ReopenIn > was.ReopenIn || s.OpenFor != was.OpenFor {
 				t.Fatalf("breaker changed: %+v, was %+v", s, was)
 			}
-			if s.Earned != 0 || s.ColdSaved != 0 || s.Rate != 0 || s.Done != 0 || s.Good+s.Bad != 0 || s.Age != time.Hour {
+			if s.Earned != 0 || s.ColdSaved != 0 || s.SentRate != 0 || s.ServedRate != 0 || s.Successes+s.Failed != 0 || s.Age != time.Hour {
 				t.Fatalf("per-server state was carried over: %+v", s)
 			}
 		}
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -22,16 +22,16 @@
 
 // Options configures a Pool.
 type Options struct {
-	// IdleFor is the maximum idle time of a connection. It should be well below the servers'
+	// MaxIdle is the maximum idle time of a connection. It should be well below the servers'
 	// own, because a request that races with a server's close ends in a reset and may have run.
-	IdleFor time.Duration
-	Connect time.Duration // timeout for connecting, including the TLS handshake
-	// Settle is the minimum idle time of a connection before its next request. Bytes that a
+	MaxIdle        time.Duration
+	ConnectTimeout time.Duration // timeout for connecting, including the TLS handshake
+	// SettleTime is the minimum idle time of a connection before its next request. Bytes that a
 	// server sent after its response have arrived by then and are detected; on a connection
 	// reused immediately they would be read as the next request's response.
-	Settle time.Duration
-	Most   int         // maximum number of connections, including idle ones
-	TLS    *tls.Config // nil for plain TCP
+	SettleTime time.Duration
+	MaxConns   int         // maximum number of connections, including idle ones
+	TLS        *tls.Config // nil for plain TCP
 }
 
 // Pool holds connections to many servers. It is safe for concurrent use.
@@ -46,8 +46,8 @@
 // Conn is a connection to one incarnation of a server: a restart makes it another one.
 type Conn struct {
 	net.Conn
-	In     *bufio.Reader    // buffers reads from Budget
-	Budget io.LimitedReader // limits the bytes read; N is set before each response
+	In        *bufio.Reader    // buffers reads from Budget
+	ReadLimit io.LimitedReader // limits the bytes read; N is set before each response
 
 	to        core.Server
 	tcp       *net.TCPConn
@@ -56,8 +56,8 @@
 
 const readBuffer = 4 << 10
 
-// ErrNone means that the pool's limit is reached; it says nothing about the server.
-var ErrNone = errors.New("connection pool exhausted: all connections to servers are in use")
+// ErrExhausted means that the pool's limit is reached; it says nothing about the server.
+var ErrExhausted = errors.New("connection pool exhausted: all connections to servers are in use")
 
 // New returns an empty pool.
 func New(o Options) *Pool { return &Pool{opt: o, idle: map[core.Server][]*Conn{}} }
@@ -69,7 +69,7 @@
 	for {
 		list := p.idle[to]
 		i := len(list) - 1
-		for i >= 0 && time.Since(list[i].idleSince) < p.opt.Settle {
+		for i >= 0 && time.Since(list[i].idleSince) < p.opt.SettleTime {
 			i--
 		}
 		if i < 0 {
@@ -77,15 +77,15 @@
 		}
 		c := list[i]
 		p.idle[to] = slices.Delete(list, i, i+1)
-		if time.Since(c.idleSince) < p.opt.IdleFor && c.reusable() {
+		if time.Since(c.idleSince) < p.opt.MaxIdle && c.reusable() {
 			p.mu.Unlock()
 			return c, nil
 		}
 		p.close(c)
 	}
-	if p.open >= p.opt.Most && !p.evict() {
+	if p.open >= p.opt.MaxConns && !p.evict() {
 		p.mu.Unlock()
-		return nil, ErrNone
+		return nil, ErrExhausted
 	}
 	p.open++
 	p.mu.Unlock()
@@ -101,7 +101,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, to core.Server) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.opt.Connect)
+	ctx, cancel := context.WithTimeout(ctx, p.opt.ConnectTimeout)
 	defer cancel()
 	nc, err := new(net.Dialer).DialContext(ctx, "tcp", to.Addr)
 	if err != nil {
@@ -116,8 +116,8 @@
 		}
 		c.Conn = secure
 	}
-	c.Budget.R = c.Conn
-	c.In = bufio.NewReaderSize(&c.Budget, readBuffer)
+	c.ReadLimit.R = c.Conn
+	c.In = bufio.NewReaderSize(&c.ReadLimit, readBuffer)
 	return c, nil
 }
 
@@ -130,7 +130,7 @@
 		return
 	}
 	c.idleSince = time.Now()
-	if p.idle[c.to] = append(p.idle[c.to], c); p.open > p.opt.Most { // the limit was lowered meanwhile
+	if p.idle[c.to] = append(p.idle[c.to], c); p.open > p.opt.MaxConns { // the limit was lowered meanwhile
 		p.evict()
 	}
 }
@@ -176,7 +176,7 @@
 	for to, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if time.Since(c.idleSince) < p.opt.IdleFor && c.reusable() {
+			if time.Since(c.idleSince) < p.opt.MaxIdle && c.reusable() {
 				kept = append(kept, c)
 			} else {
 				p.close(c)
@@ -201,12 +201,12 @@
 	clear(p.idle)
 }
 
-// SetMost changes the maximum number of connections. Idle connections beyond it are closed
+// SetMaxConns changes the maximum number of connections. Idle connections beyond it are closed
 // immediately; those in use stay open until they are returned.
-func (p *Pool) SetMost(n int) {
+func (p *Pool) SetMaxConns(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opt.Most = n
+	p.opt.MaxConns = n
 	for p.open > n && p.evict() {
 	}
 }
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -62,7 +62,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			to, came := startListener(t)
-			p := New(Options{IdleFor: c.idleFor, Connect: 10 * time.Second, Settle: c.settle, Most: 8})
+			p := New(Options{MaxIdle: c.idleFor, ConnectTimeout: 10 * time.Second, SettleTime: c.settle, MaxConns: 8})
 			defer p.Close()
 			first := get(t, p, to)
 			remote := <-came
@@ -91,10 +91,10 @@
 func TestConnectionLimit(t *testing.T) {
 	to, _ := startListener(t)
 	other, _ := startListener(t)
-	p := New(Options{IdleFor: time.Hour, Connect: 10 * time.Second, Most: 2})
+	p := New(Options{MaxIdle: time.Hour, ConnectTimeout: 10 * time.Second, MaxConns: 2})
 	defer p.Close()
 	one, two := get(t, p, to), get(t, p, to)
-	if _, err := p.Get(t.Context(), other); !errors.Is(err, ErrNone) {
+	if _, err := p.Get(t.Context(), other); !errors.Is(err, ErrExhausted) {
 		t.Errorf("Get beyond the limit: %v, want ErrNone", err)
 	}
 	p.Put(one, true)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -66,13 +66,13 @@
 	Memory      Memory                      `json:"memory"`
 	Counts      map[string]map[string]int64 `json:"counts"` // by class and outcome, since the start
 	SIP         *SIP                        `json:"sip,omitempty"`
-	Return      *Return                     `json:"return,omitempty"` // if state is saved
-	Fleet       *Fleet                      `json:"fleet,omitempty"`  // if fleet bans are accepted
+	Return      *SavedState                 `json:"return,omitempty"` // if state is saved
+	Fleet       *FleetStatus                `json:"fleet,omitempty"`  // if fleet bans are accepted
 	Web         []Web                       `json:"web,omitempty"`
 }
 
-// Return describes the state that the node saves for a restart, and the state it found at its start.
-type Return struct {
+// SavedState describes the state that the node saves for a restart, and the state it found at its start.
+type SavedState struct {
 	Heard    bool      `json:"heard"` // discovery has answered since the start
 	Used     bool      `json:"used"`  // the node started with the saved servers
 	Servers  int       `json:"servers"`
@@ -87,15 +87,15 @@
 	Doubted  int       `json:"doubted"`           // servers in use that discovery has not confirmed
 }
 
-// Word is the fleet's bans as known to the machine's agent.
-type Word struct {
-	cordon.Word
+// FleetBans is the fleet's bans as known to the machine's agent.
+type FleetBans struct {
+	cordon.FleetBans
 	// Sure means that the agent has just confirmed that there is no later version.
 	Sure bool `json:"sure"`
 }
 
-// Fleet is a node's view of the fleet's bans, and the manual cordons of this node.
-type Fleet struct {
+// FleetStatus is a node's view of the fleet's bans, and the manual cordons of this node.
+type FleetStatus struct {
 	Version uint64    `json:"version"`
 	Token   uint64    `json:"token"`
 	Since   time.Time `json:"since,omitzero"` // when this process received this version
@@ -107,35 +107,35 @@
 	Hand    []string  `json:"by_hand,omitempty"` // servers cordoned manually at this node
 }
 
-// Errors of ApplyFleetBans and Tell. ErrOldWord means that a later version or a later owner's token has been seen.
+// Errors of ApplyFleetBans and Tell. ErrOutdatedBans means that a later version or a later owner's token has been seen.
 var (
-	ErrOldWord = errors.New("a later version or token has already been received")
-	ErrNoFleet = errors.New("this node accepts no fleet bans: its operator's file has no [fleet]")
+	ErrOutdatedBans = errors.New("a later version or token has already been received")
+	ErrNoFleet      = errors.New("this node accepts no fleet bans: its operator's file has no [fleet]")
 )
 
-// Keep is a command on the node's saved state.
-type Keep struct {
+// StateCommand is a command on the node's saved state.
+type StateCommand struct {
 	Do string `json:"do"` // one of the constants below
 }
 
 // The values of Keep.Do.
 const (
-	KeepForget  = "forget"  // delete servers and statistics from the disk; manual cordons and fleet bans stay
-	KeepHold    = "hold"    // freeze the files, except for manual cordons and fleet bans
-	KeepRelease = "release" // undo hold
+	StateForget  = "forget"  // delete servers and statistics from the disk; manual cordons and fleet bans stay
+	StateHold    = "hold"    // freeze the files, except for manual cordons and fleet bans
+	StateRelease = "release" // undo hold
 )
 
 // Check validates the command.
-func (k Keep) Check() error {
+func (k StateCommand) Check() error {
 	switch k.Do {
-	case KeepForget, KeepHold, KeepRelease:
+	case StateForget, StateHold, StateRelease:
 		return nil
 	}
-	return fmt.Errorf("do: %q is none of %s, %s, %s", k.Do, KeepForget, KeepHold, KeepRelease)
+	return fmt.Errorf("do: %q is none of %s, %s, %s", k.Do, StateForget, StateHold, StateRelease)
 }
 
-// ErrNothingKept means that the node does not save its state.
-var ErrNothingKept = errors.New("this node saves no state: its operator's file has no kept.file")
+// ErrNoSavedState means that the node does not save its state.
+var ErrNoSavedState = errors.New("this node saves no state: its operator's file has no kept.file")
 
 // Web is a front for ordinary HTTP. Counters start at zero with the process.
 type Web struct {
@@ -208,9 +208,9 @@
 	// share the answer.
 	Inspect(ctx context.Context) (Inspection, error)
 	// ApplyStateCommand carries out a valid command on the saved state; it returns once the change is on disk.
-	ApplyStateCommand(k Keep) error
+	ApplyStateCommand(k StateCommand) error
 	// ApplyFleetBans applies the fleet's bans; it returns once they are in force and, if the node saves state, on disk.
-	ApplyFleetBans(ctx context.Context, w Word) (Fleet, error)
+	ApplyFleetBans(ctx context.Context, w FleetBans) (FleetStatus, error)
 }
 
 // Serve serves the socket at path until ctx ends.
@@ -223,7 +223,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /v1/inspect", h)
 	mux.HandleFunc("POST /v1/kept", func(w http.ResponseWriter, r *http.Request) {
-		var k Keep
+		var k StateCommand
 		err := json.NewDecoder(io.LimitReader(r.Body, maxKeepSize)).Decode(&k)
 		if err = errors.Join(err, k.Check()); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -234,7 +234,7 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/fleet", func(w http.ResponseWriter, r *http.Request) {
-		var bans Word
+		var bans FleetBans
 		text, err := io.ReadAll(io.LimitReader(r.Body, maxWordSize+1))
 		if err == nil && len(text) > maxWordSize {
 			err = fmt.Errorf("larger than %d bytes", maxWordSize)
@@ -253,7 +253,7 @@
 		defer cancel()
 		status, err := node.ApplyFleetBans(ctx, bans)
 		switch {
-		case errors.Is(err, ErrOldWord):
+		case errors.Is(err, ErrOutdatedBans):
 			http.Error(w, err.Error(), http.StatusConflict)
 		case errors.Is(err, ErrNoFleet):
 			http.Error(w, err.Error(), http.StatusNotFound)
@@ -399,20 +399,20 @@
 	return resp.StatusCode, answer, nil
 }
 
-// TellKept sends a command on the saved state to the node whose control socket is at path.
-func TellKept(ctx context.Context, path string, k Keep) error {
+// SendStateCommand sends a command on the saved state to the node whose control socket is at path.
+func SendStateCommand(ctx context.Context, path string, k StateCommand) error {
 	if _, _, err := call(ctx, path, http.MethodPost, "kept", k); err != nil {
 		return fmt.Errorf("kept: %w", err)
 	}
 	return nil
 }
 
-// Tell sends the fleet's bans to the node whose control socket is at path.
-func Tell(ctx context.Context, path string, w Word) (is Fleet, err error) {
+// SendFleetBans sends the fleet's bans to the node whose control socket is at path.
+func SendFleetBans(ctx context.Context, path string, w FleetBans) (is FleetStatus, err error) {
 	status, answer, err := call(ctx, path, http.MethodPost, "fleet", w)
 	switch {
 	case status == http.StatusConflict:
-		return is, fmt.Errorf("%w: %w", ErrOldWord, err)
+		return is, fmt.Errorf("%w: %w", ErrOutdatedBans, err)
 	case status == http.StatusNotFound:
 		return is, fmt.Errorf("%w: %w", ErrNoFleet, err)
 	case err != nil:
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -24,13 +24,15 @@
 // node is a Node made of functions.
 type node struct {
 	inspect           func(context.Context) (Inspection, error)
-	applyStateCommand func(Keep) error
-	applyFleetBans    func(Word) (Fleet, error)
+	applyStateCommand func(StateCommand) error
+	applyFleetBans    func(FleetBans) (FleetStatus, error)
 }
 
-func (n node) Inspect(ctx context.Context) (Inspection, error)         { return n.inspect(ctx) }
-func (n node) ApplyStateCommand(k Keep) error                          { return n.applyStateCommand(k) }
-func (n node) ApplyFleetBans(_ context.Context, w Word) (Fleet, error) { return n.applyFleetBans(w) }
+func (n node) Inspect(ctx context.Context) (Inspection, error) { return n.inspect(ctx) }
+func (n node) ApplyStateCommand(k StateCommand) error          { return n.applyStateCommand(k) }
+func (n node) ApplyFleetBans(_ context.Context, w FleetBans) (FleetStatus, error) {
+	return n.applyFleetBans(w)
+}
 
 func serve(t *testing.T, inspect func(context.Context) (Inspection, error)) string {
 	t.Helper()
@@ -106,22 +108,22 @@
 // A command on the saved state has to be one of the known ones; the node's error reaches the caller.
 func TestKeep(t *testing.T) {
 	var received []string
-	path := serveNode(t, node{applyStateCommand: func(k Keep) error {
-		if received = append(received, k.Do); k.Do == KeepHold {
-			return ErrNothingKept
+	path := serveNode(t, node{applyStateCommand: func(k StateCommand) error {
+		if received = append(received, k.Do); k.Do == StateHold {
+			return ErrNoSavedState
 		}
 		return nil
 	}})
-	if err := TellKept(t.Context(), path, Keep{KeepForget}); err != nil {
+	if err := SendStateCommand(t.Context(), path, StateCommand{StateForget}); err != nil {
 		t.Error(err)
 	}
-	if err := TellKept(t.Context(), path, Keep{KeepHold}); err == nil || !strings.Contains(err.Error(), "saves no state") {
+	if err := SendStateCommand(t.Context(), path, StateCommand{StateHold}); err == nil || !strings.Contains(err.Error(), "saves no state") {
 		t.Errorf("%v", err)
 	}
-	if err := TellKept(t.Context(), path, Keep{"burn"}); err == nil || !strings.Contains(err.Error(), `"burn" is none of`) {
+	if err := SendStateCommand(t.Context(), path, StateCommand{"burn"}); err == nil || !strings.Contains(err.Error(), `"burn" is none of`) {
 		t.Errorf("%v", err)
 	}
-	if !slices.Equal(received, []string{KeepForget, KeepHold}) {
+	if !slices.Equal(received, []string{StateForget, StateHold}) {
 		t.Errorf("the node received %v", received)
 	}
 }
@@ -157,26 +159,26 @@
 
 // Invalid or oversized bans are rejected as a whole, and the node's errors keep their identity.
 func TestFleetBans(t *testing.T) {
-	var received []Word
+	var received []FleetBans
 	answer := error(nil)
-	path := serveNode(t, node{applyFleetBans: func(w Word) (Fleet, error) {
+	path := serveNode(t, node{applyFleetBans: func(w FleetBans) (FleetStatus, error) {
 		received = append(received, w)
-		return Fleet{Version: w.Version, Listed: 3}, answer
+		return FleetStatus{Version: w.Version, Listed: 3}, answer
 	}})
-	bans := Word{cordon.Word{Version: 7, Token: 2, Bans: []cordon.Ban{{ID: "s/1", Reason: "disk", By: "ada"}}}, true}
-	if status, err := Tell(t.Context(), path, bans); err != nil || status.Version != 7 || status.Listed != 3 || len(received) != 1 || !reflect.DeepEqual(received[0], bans) {
+	bans := FleetBans{cordon.FleetBans{Version: 7, Token: 2, Bans: []cordon.Ban{{ID: "s/1", Reason: "disk", By: "ada"}}}, true}
+	if status, err := SendFleetBans(t.Context(), path, bans); err != nil || status.Version != 7 || status.Listed != 3 || len(received) != 1 || !reflect.DeepEqual(received[0], bans) {
 		t.Errorf("%+v, %v; received %+v", status, err, received)
 	}
-	for _, answer = range []error{ErrOldWord, ErrNoFleet} {
-		if _, err := Tell(t.Context(), path, bans); !errors.Is(err, answer) {
+	for _, answer = range []error{ErrOutdatedBans, ErrNoFleet} {
+		if _, err := SendFleetBans(t.Context(), path, bans); !errors.Is(err, answer) {
 			t.Errorf("%v, want %v", err, answer)
 		}
 	}
 	received, answer = nil, nil
-	many := Word{Word: cordon.Word{Bans: make([]cordon.Ban, cordon.BansMost+1)}}
-	long := Word{Word: cordon.Word{Bans: []cordon.Ban{{ID: "s1", Reason: strings.Repeat("x", maxWordSize)}}}}
-	for _, bad := range []Word{many, long, {Word: cordon.Word{Bans: []cordon.Ban{{ID: "s1"}, {ID: "s1"}}}}} {
-		if _, err := Tell(t.Context(), path, bad); err == nil || len(received) > 0 {
+	many := FleetBans{FleetBans: cordon.FleetBans{Bans: make([]cordon.Ban, cordon.MaxBans+1)}}
+	long := FleetBans{FleetBans: cordon.FleetBans{Bans: []cordon.Ban{{ID: "s1", Reason: strings.Repeat("x", maxWordSize)}}}}
+	for _, bad := range []FleetBans{many, long, {FleetBans: cordon.FleetBans{Bans: []cordon.Ban{{ID: "s1"}, {ID: "s1"}}}}} {
+		if _, err := SendFleetBans(t.Context(), path, bad); err == nil || len(received) > 0 {
 			t.Errorf("%d bans: %v, the node received %d", len(bad.Bans), err, len(received))
 		}
 	}
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -48,7 +48,7 @@
 	entries   map[string]Entry
 	stamp     uint64
 
-	fleetBans Word           // latest fleet bans
+	fleetBans FleetBans      // latest fleet bans
 	banned    map[string]Ban // the same by server ID
 }
 
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -124,9 +124,9 @@
 	ids := []string{"a", "b", "c"}
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		updates := []Word{{}}
+		updates := []FleetBans{{}}
 		for v := range uint64(6) {
-			w := Word{Version: v + 1, Token: updates[v].Token + rng.Uint64N(2)}
+			w := FleetBans{Version: v + 1, Token: updates[v].Token + rng.Uint64N(2)}
 			for _, id := range ids {
 				if rng.IntN(2) == 0 {
 					w.Bans = append(w.Bans, Ban{ID: id, Reason: fmt.Sprint(v)})
@@ -146,7 +146,7 @@
 				cordoned[id] = leave
 			} else {
 				w := updates[rng.IntN(len(updates))]
-				began, ended, err := s.Take(w)
+				began, ended, err := s.ApplyFleetBans(w)
 				if old := w.Version < version || w.Token < token; old != errors.Is(err, ErrOutdated) {
 					t.Fatalf("seed %d: version %d with token %d after version %d with token %d: %v", seed, w.Version, w.Token, version, token, err)
 				} else if !old {
--- a/internal/cordon/fleet.go
+++ b/internal/cordon/fleet.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BansMost is the maximum number of servers that can be banned fleet-wide.
-const BansMost = 256
+// MaxBans is the maximum number of servers that can be banned fleet-wide.
+const MaxBans = 256
 
 // Ban is a server that the fleet's operators have excluded at all nodes.
 type Ban struct {
@@ -17,9 +17,9 @@
 	At     time.Time `json:"at,omitzero"` // by the operator's clock, for display only
 }
 
-// Word is the complete list of fleet-wide bans at a version. Versions never decrease, whatever happens to the
+// FleetBans is the complete list of fleet-wide bans at a version. Versions never decrease, whatever happens to the
 // fleet's council, so the higher one is the later; Token is the fencing token of the sender.
-type Word struct {
+type FleetBans struct {
 	Version uint64 `json:"version"`
 	Token   uint64 `json:"token"`
 	Bans    []Ban  `json:"bans,omitempty"`
@@ -29,9 +29,9 @@
 var ErrOutdated = errors.New("outdated fleet bans")
 
 // Check validates the bans.
-func (w Word) Check() error {
-	if len(w.Bans) > BansMost {
-		return fmt.Errorf("%d servers are banned, at most %d are allowed", len(w.Bans), BansMost)
+func (w FleetBans) Check() error {
+	if len(w.Bans) > MaxBans {
+		return fmt.Errorf("%d servers are banned, at most %d are allowed", len(w.Bans), MaxBans)
 	}
 	seen := make(map[string]bool, len(w.Bans))
 	for _, b := range w.Bans {
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// Take applies the fleet's bans, unless a later version or a later sender's token has been seen, and returns the
+// ApplyFleetBans applies the fleet's bans, unless a later version or a later sender's token has been seen, and returns the
 // servers whose ban begins or ends. Manual calls are not affected.
-func (s *Set) Take(w Word) (began, ended []string, err error) {
+func (s *Set) ApplyFleetBans(w FleetBans) (began, ended []string, err error) {
 	switch {
 	case w.Token < s.fleetBans.Token:
 		return nil, nil, fmt.Errorf("%w: token %d is older than token %d", ErrOutdated, w.Token, s.fleetBans.Token)
@@ -75,8 +75,8 @@
 	return began, ended, nil
 }
 
-// Word returns the latest fleet bans, or the zero Word if there were none.
-func (s *Set) Word() Word { return s.fleetBans }
+// FleetBans returns the latest fleet bans, or the zero Word if there were none.
+func (s *Set) FleetBans() FleetBans { return s.fleetBans }
 
 // Banned returns the fleet's ban of a server.
 func (s *Set) Banned(id string) (Ban, bool) {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -23,7 +23,7 @@
 	for i := range entries {
 		entries[i] = policy.Entry{Server: policy.ServerID(i + 1), State: policy.Ready, Weight: 1}
 	}
-	l.Members(policy.ListFull, entries, addrs)
+	l.UpdateServers(policy.ListFull, entries, addrs)
 	names := make([]string, b.N)
 	for i := range names {
 		names[i] = fmt.Sprint(i)
@@ -34,7 +34,7 @@
 	for i := range b.N {
 		answers := make(chan Answer, 1)
 		l.Submit(Request{Name: names[i], Deadline: l.Clock().Now() + time.Second, Message: m, Answers: answers})
-		if a := <-answers; a.Kind != Served {
+		if a := <-answers; a.Outcome != Served {
 			b.Fatalf("%+v", a)
 		}
 	}
@@ -42,7 +42,7 @@
 
 type okMessage struct{}
 
-func (okMessage) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (okMessage) Attempt(_ context.Context, _ Server, _ time.Time, turn AttemptHandle) AttemptResult {
 	turn.Begin()
-	return Reply{Status: policy.OK}
+	return AttemptResult{Status: policy.OK}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,30 +23,30 @@
 	backstopMargin = 4 * time.Millisecond
 )
 
-// Kind is how a request ended for its client.
-type Kind uint8
+// Outcome is how a request ended for its client.
+type Outcome uint8
 
 // The ways in which a request can end.
 const (
-	Served Kind = iota
+	Served Outcome = iota
 	Refused
 	Failed
-	Overdue   // failed because its deadline passed
-	Duplicate // another request has the same name
-	Left      // the client disconnected; there is no answer
-	Kinds     // number of kinds
+	DeadlineExceeded // failed because its deadline passed
+	Duplicate        // another request has the same name
+	ClientGone       // the client disconnected; there is no answer
+	NumOutcomes      // number of outcomes
 )
 
-// String returns the kind as it appears in metrics and operator output.
-func (k Kind) String() string {
-	return [Kinds]string{"served", "refused", "failed", "overdue", "duplicate", "left"}[k]
+// String returns the outcome as it appears in metrics and operator output.
+func (k Outcome) String() string {
+	return [NumOutcomes]string{"served", "refused", "failed", "overdue", "duplicate", "left"}[k]
 }
 
 // Answer is the single final answer to a request.
 type Answer struct {
-	Kind       Kind
+	Outcome    Outcome
 	RetryAfter time.Duration // Refused
-	Body       any           // Served: Reply.Body
+	Body       any           // Served: AttemptResult.Body
 }
 
 // Server is one incarnation of a server process. Fronts key their connections by it rather
@@ -58,14 +58,14 @@
 	Started time.Duration
 }
 
-// Reply is the result of an attempt.
-type Reply struct {
+// AttemptResult is the result of an attempt.
+type AttemptResult struct {
 	Status   policy.Status
 	Body     any  // OK: what the front forwards to the client
 	Rejected bool // the server rejected the request as invalid
-	// Spent is set if no further attempt can be made because the request's body was streamed
+	// BodyConsumed is set if no further attempt can be made because the request's body was streamed
 	// and is no longer available.
-	Spent bool
+	BodyConsumed bool
 }
 
 // Message is a front's representation of a request, which knows how to make an attempt at a
@@ -76,7 +76,7 @@
 	// first byte is written; if it returns false, nothing may be sent. The status says whether
 	// the server may have processed the request. Attempt is called on its own goroutine,
 	// possibly several times concurrently.
-	Attempt(ctx context.Context, to Server, end time.Time, turn Turn) Reply
+	Attempt(ctx context.Context, to Server, end time.Time, turn AttemptHandle) AttemptResult
 }
 
 // Request is a client's request as submitted by a front.
@@ -88,6 +88,6 @@
 	Deadline time.Duration // when the client gives up, in the pool's clock
 	Message  Message
 	Answers  chan<- Answer // for a Loop: must have room for the answer
-	// While policy.Request.Coming is set, Deadline bounds only the wait for a server: an
-	// attempt that has one continues for as long as the client sends, and then calls Sent.
+	// While policy.Request.Uploading is set, Deadline bounds only the wait for a server: an
+	// attempt that has one continues for as long as the client sends, and then calls RequestSent.
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -44,7 +44,7 @@
 		entries = append(entries, policy.Entry{Server: policy.ServerID(i + 1), State: policy.Ready, Weight: 1})
 		addrs = append(addrs, fmt.Sprint("server ", i+1))
 	}
-	l.Members(policy.ListFull, entries, addrs)
+	l.UpdateServers(policy.ListFull, entries, addrs)
 	return l, func() {
 		cancel()
 		<-l.Stopped()
@@ -59,9 +59,9 @@
 	attempt func(ctx context.Context, to Server, wait time.Duration) (policy.Status, bool)
 }
 
-func (m *testMessage) Attempt(ctx context.Context, to Server, end time.Time, turn Turn) Reply {
+func (m *testMessage) Attempt(ctx context.Context, to Server, end time.Time, turn AttemptHandle) AttemptResult {
 	if !turn.Begin() {
-		return Reply{Status: policy.Moot}
+		return AttemptResult{Status: policy.NotSent}
 	}
 	m.mu.Lock()
 	m.begun = append(m.begun, to)
@@ -72,7 +72,7 @@
 		m.ran++
 		m.mu.Unlock()
 	}
-	return Reply{Status: status, Body: to.Addr}
+	return AttemptResult{Status: status, Body: to.Addr}
 }
 
 // respondWith returns an attempt function that answers immediately with the given status.
@@ -136,7 +136,7 @@
 					clients.Go(func() {
 						if leaves {
 							time.Sleep(time.Duration(chance(50)) * time.Millisecond)
-							l.Leave(ticket)
+							l.ClientGone(ticket)
 							time.Sleep(5 * time.Second)
 							if len(answers) > 1 {
 								t.Errorf("%d: %d answers", n, len(answers))
@@ -153,10 +153,10 @@
 						if len(answers) > 0 {
 							t.Errorf("%d: a second answer", n)
 						}
-						if class == 2 && (m.ran > 1 || a.Kind == Refused && m.ran > 0) {
-							t.Errorf("%d: an unsafe request ran %d times and ended as %v", n, m.ran, a.Kind)
+						if class == 2 && (m.ran > 1 || a.Outcome == Refused && m.ran > 0) {
+							t.Errorf("%d: an unsafe request ran %d times and ended as %v", n, m.ran, a.Outcome)
 						}
-						if a.Kind == Served && a.Body == nil {
+						if a.Outcome == Served && a.Body == nil {
 							t.Errorf("%d: served without a body", n)
 						}
 					})
@@ -197,14 +197,14 @@
 		l, stop := start(t, 1, 1)
 		defer stop()
 		m := &testMessage{attempt: respondWith(policy.OK)}
-		if a := submitAndWait(t, l, "x", 0, m); a.Kind != Served || a.Body != "server 1" {
+		if a := submitAndWait(t, l, "x", 0, m); a.Outcome != Served || a.Body != "server 1" {
 			t.Errorf("first: %+v", a)
 		}
-		if a := submitAndWait(t, l, "x", 0, m); a.Kind != Duplicate || len(m.begun) != 1 {
+		if a := submitAndWait(t, l, "x", 0, m); a.Outcome != Duplicate || len(m.begun) != 1 {
 			t.Errorf("second: %+v, %d attempts", a, len(m.begun))
 		}
 		time.Sleep(time.Minute)
-		if a := submitAndWait(t, l, "x", 0, m); a.Kind != Served {
+		if a := submitAndWait(t, l, "x", 0, m); a.Outcome != Served {
 			t.Errorf("a minute later: %+v", a)
 		}
 	})
@@ -217,7 +217,7 @@
 		l, stop := start(t, 1, 3)
 		defer stop()
 		for n := range 10 {
-			if a := submitAndWait(t, l, fmt.Sprint(n), 0, rejectedMessage{}); a.Kind != Failed {
+			if a := submitAndWait(t, l, fmt.Sprint(n), 0, rejectedMessage{}); a.Outcome != Failed {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -235,9 +235,9 @@
 
 type rejectedMessage struct{}
 
-func (rejectedMessage) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (rejectedMessage) Attempt(_ context.Context, _ Server, _ time.Time, turn AttemptHandle) AttemptResult {
 	turn.Begin()
-	return Reply{Status: policy.Error, Rejected: true}
+	return AttemptResult{Status: policy.Error, Rejected: true}
 }
 
 // No attempt begins at a server once the loop has abandoned it.
@@ -246,8 +246,8 @@
 		l, stop := start(t, 1, 1)
 		defer stop()
 		m := &slowConnect{began: make(chan bool, 1)}
-		if a := submitAndWait(t, l, "x", 2, m); a.Kind != Refused {
-			t.Errorf("ended as %v, want a refusal because nothing was sent", a.Kind)
+		if a := submitAndWait(t, l, "x", 2, m); a.Outcome != Refused {
+			t.Errorf("ended as %v, want a refusal because nothing was sent", a.Outcome)
 		}
 		if <-m.began {
 			t.Error("the attempt began after the client's deadline")
@@ -258,10 +258,10 @@
 // slowConnect is slow to connect and ignores its context.
 type slowConnect struct{ began chan bool }
 
-func (m *slowConnect) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *slowConnect) Attempt(_ context.Context, _ Server, _ time.Time, turn AttemptHandle) AttemptResult {
 	time.Sleep(3 * time.Second)
 	m.began <- turn.Begin()
-	return Reply{Status: policy.Moot}
+	return AttemptResult{Status: policy.NotSent}
 }
 
 func TestRemovedServersAreDropped(t *testing.T) {
@@ -275,7 +275,7 @@
 		defer cancel()
 		go l.Run(ctx)
 		list := func(kind policy.ListKind, addr string, e policy.Entry) {
-			l.Members(kind, []policy.Entry{e}, []string{addr})
+			l.UpdateServers(kind, []policy.Entry{e}, []string{addr})
 		}
 		list(policy.ListFull, "a", policy.Entry{Server: 1, State: policy.Ready})
 		list(policy.ListDelta, "a", policy.Entry{Server: 1, State: policy.Draining})
@@ -301,11 +301,11 @@
 		if _, err := l.Inspect(t.Context()); err == nil {
 			t.Error("a stopped loop was inspected")
 		}
-		l.Members(policy.ListFull, nil, nil) // must return
+		l.UpdateServers(policy.ListFull, nil, nil) // must return
 	})
 }
 
-// Taken and Started reach the decision module until the attempt is over.
+// Accepted and StreamStarted reach the decision module until the attempt is over.
 func TestTurnEventsReachTheModule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := settings()
@@ -317,40 +317,40 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go l.Run(ctx)
-		l.Members(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{"a"})
+		l.UpdateServers(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{"a"})
 		for n := range 3 {
-			m := &turnReporter{turns: make(chan Turn, 1), answer: make(chan struct{})}
+			m := &turnReporter{turns: make(chan AttemptHandle, 1), answer: make(chan struct{})}
 			answers := make(chan Answer, 1)
 			l.Submit(Request{Request: policy.Request{Class: 2}, Name: fmt.Sprint(n), Deadline: l.Clock().Now() + time.Second, Message: m, Answers: answers})
 			turn := <-m.turns // the next request is sent only if this one counts as no load
-			turn.Taken()
-			turn.Started()
+			turn.Accepted()
+			turn.StreamStarted()
 			if n < 2 {
 				defer close(m.answer)
 				continue
 			}
 			close(m.answer)
 			<-answers
-			turn.Started() // the attempt is over: has no effect
+			turn.StreamStarted() // the attempt is over: has no effect
 		}
 		v, err := l.Inspect(t.Context())
-		if err != nil || v.Servers[0].InFlight != 0 || v.Servers[0].Judged != 3 || v.Out != 0 || v.Requests != 2 {
+		if err != nil || v.Servers[0].InFlight != 0 || v.Servers[0].Judged != 3 || v.InFlight != 0 || v.Requests != 2 {
 			t.Errorf("%+v, %v", v, err)
 		}
 	})
 }
 
-// turnReporter passes its Turn to the test and answers when the test says so.
+// turnReporter passes its AttemptHandle to the test and answers when the test says so.
 type turnReporter struct {
-	turns  chan Turn
+	turns  chan AttemptHandle
 	answer chan struct{}
 }
 
-func (m *turnReporter) Attempt(_ context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *turnReporter) Attempt(_ context.Context, _ Server, _ time.Time, turn AttemptHandle) AttemptResult {
 	turn.Begin()
 	m.turns <- turn
 	<-m.answer
-	return Reply{Status: policy.OK}
+	return AttemptResult{Status: policy.OK}
 }
 
 // An attempt is given the time at which it ends, not the time left. When it was given the time left, it counted that from
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -21,16 +21,16 @@
 	return &gatedMessage{make(chan struct{}, 8), make(chan struct{}), make(chan bool, 8)}
 }
 
-func (m *gatedMessage) Attempt(ctx context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *gatedMessage) Attempt(ctx context.Context, _ Server, _ time.Time, turn AttemptHandle) AttemptResult {
 	m.connecting <- struct{}{}
 	<-m.gate // ignores ctx: the connection is established at the moment of cancellation
 	began := turn.Begin()
 	m.begun <- began
 	if !began {
-		return Reply{Status: policy.Moot}
+		return AttemptResult{Status: policy.NotSent}
 	}
 	<-ctx.Done()
-	return Reply{Status: policy.Cancelled}
+	return AttemptResult{Status: policy.Cancelled}
 }
 
 // No request may be lost when a node shuts down: the process is killed at a fixed time that no client's deadline
@@ -60,9 +60,9 @@
 			})
 		}
 		const due = 3600 * time.Millisecond
-		l.EndIn(due)
+		l.ShutDownIn(due)
 		for n, answers := range all {
-			if a := <-answers; a.Kind == Served {
+			if a := <-answers; a.Outcome == Served {
 				t.Errorf("%d: served although no server answers", n)
 			}
 		}
@@ -86,7 +86,7 @@
 					Deadline: l.Clock().Now() + 2*time.Second, Message: m, Answers: make(chan Answer, 1),
 				})
 				<-m.connecting
-				l.Leave(ticket)
+				l.ClientGone(ticket)
 				synctest.Wait()
 				close(m.gate)
 				if <-m.begun {
@@ -118,10 +118,10 @@
 					Deadline: l.Clock().Now() + 2*time.Second, Message: m, Answers: answers,
 				})
 				<-m.connecting
-				l.Members(policy.ListDelta, []policy.Entry{{Server: 2, State: policy.Ready, Weight: 1}}, []string{"server 2"})
+				l.UpdateServers(policy.ListDelta, []policy.Entry{{Server: 2, State: policy.Ready, Weight: 1}}, []string{"server 2"})
 				e, at := policy.Entry{Server: 1, State: policy.Ready, Weight: 1}, "server 1"
 				kind := change(&e, &at)
-				l.Members(kind, []policy.Entry{e}, []string{at})
+				l.UpdateServers(kind, []policy.Entry{e}, []string{at})
 				synctest.Wait()
 				close(m.gate)
 				if <-m.begun {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -47,19 +47,19 @@
 // Ticket identifies a submitted request.
 type Ticket struct{ request *Pending }
 
-// Turn is a front's handle on one attempt. Its methods may be called on any goroutine.
-type Turn struct {
+// AttemptHandle is a front's handle on one attempt. Its methods may be called on any goroutine.
+type AttemptHandle struct {
 	loop    *Loop
 	attempt *Attempt
 }
 
 // Begin claims the right to write the request; it returns false once the loop has abandoned
 // the attempt.
-func (t Turn) Begin() bool { return t.attempt.Begin() }
+func (t AttemptHandle) Begin() bool { return t.attempt.Begin() }
 
-// Pass claims the right to relay the answer to the client as it arrives; see
+// ClaimAnswer claims the right to relay the answer to the client as it arrives; see
 // Attempt.ClaimAnswer.
-func (t Turn) Pass() bool {
+func (t AttemptHandle) ClaimAnswer() bool {
 	if !t.attempt.ClaimAnswer() {
 		return false
 	}
@@ -67,18 +67,18 @@
 	return true
 }
 
-// Sent posts Machine.RequestSent.
-func (t Turn) Sent(left time.Duration) {
+// RequestSent posts Machine.RequestSent.
+func (t AttemptHandle) RequestSent(left time.Duration) {
 	t.loop.post(func() { t.loop.machine.RequestSent(t.loop.clock.Now(), t.attempt, left) })
 }
 
-// Taken posts Machine.Accepted.
-func (t Turn) Taken() {
+// Accepted posts Machine.Accepted.
+func (t AttemptHandle) Accepted() {
 	t.loop.post(func() { t.loop.machine.Accepted(t.loop.clock.Now(), t.attempt) })
 }
 
-// Started posts Machine.StreamStarted.
-func (t Turn) Started() {
+// StreamStarted posts Machine.StreamStarted.
+func (t AttemptHandle) StreamStarted() {
 	t.loop.post(func() { t.loop.machine.StreamStarted(t.loop.clock.Now(), t.attempt) })
 }
 
@@ -89,9 +89,9 @@
 // that get no answer.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Members applies a server list, or changes to it, with the entries' addresses, and returns
+// UpdateServers applies a server list, or changes to it, with the entries' addresses, and returns
 // once it is in effect.
-func (l *Loop) Members(kind policy.ListKind, entries []policy.Entry, addrs []string) {
+func (l *Loop) UpdateServers(kind policy.ListKind, entries []policy.Entry, addrs []string) {
 	placed := make(chan struct{})
 	if l.post(func() { l.machine.UpdateServers(l.clock.Now(), kind, entries, addrs); close(placed) }) {
 		select {
@@ -113,22 +113,22 @@
 	})
 }
 
-// Pass returns what the decision module has learned, for another process of the same node
+// HandOver returns what the decision module has learned, for another process of the same node
 // that takes over.
-func (l *Loop) Pass(ctx context.Context) (mem policy.Memory, err error) {
+func (l *Loop) HandOver(ctx context.Context) (mem policy.Memory, err error) {
 	err = l.postAndWait(ctx, func() { mem = l.machine.HandOver(l.clock.Now()) })
 	return mem, err
 }
 
-// Learnt returns a copy of what the decision module has learned, to be persisted. It does not
+// Learned returns a copy of what the decision module has learned, to be persisted. It does not
 // change the module's state.
-func (l *Loop) Learnt(ctx context.Context) (mem policy.Memory, err error) {
+func (l *Loop) Learned(ctx context.Context) (mem policy.Memory, err error) {
 	err = l.postAndWait(ctx, func() { mem = l.machine.Learned(l.clock.Now()) })
 	return mem, err
 }
 
-// Recall restores what another process of the same node has learned.
-func (l *Loop) Recall(ctx context.Context, mem policy.Memory) (err error) {
+// Restore restores what another process of the same node has learned.
+func (l *Loop) Restore(ctx context.Context, mem policy.Memory) (err error) {
 	var bad error
 	if err := l.postAndWait(ctx, func() { bad = l.machine.Restore(l.clock.Now(), mem) }); err != nil {
 		return err
@@ -156,26 +156,26 @@
 	}
 }
 
-// Share sets the share of its node's traffic that this process gets; see
-// policy.Balancer.Share.
-func (l *Loop) Share(part float64) {
+// SetNodePart sets the share of its node's traffic that this process gets; see
+// policy.Balancer.SetNodePart.
+func (l *Loop) SetNodePart(part float64) {
 	l.post(func() { l.machine.SetNodePart(l.clock.Now(), part) })
 }
 
 // Submit submits a request; it returns false once the loop has stopped. The answer is sent
-// on the request's channel exactly once, unless Leave is called first.
+// on the request's channel exactly once, unless ClientGone is called first.
 func (l *Loop) Submit(q Request) (*Ticket, bool) {
 	t := &Ticket{}
 	return t, l.post(func() { t.request = l.machine.Submit(l.clock.Now(), q) })
 }
 
-// Leave reports that a request's client has disconnected.
-func (l *Loop) Leave(t *Ticket) {
+// ClientGone reports that a request's client has disconnected.
+func (l *Loop) ClientGone(t *Ticket) {
 	l.post(func() { l.machine.ClientGone(l.clock.Now(), t.request) })
 }
 
-// EndIn announces that the pool shuts down after d: all answers are due by then.
-func (l *Loop) EndIn(d time.Duration) {
+// ShutDownIn announces that the pool shuts down after d: all answers are due by then.
+func (l *Loop) ShutDownIn(d time.Duration) {
 	l.post(func() { l.machine.ShutDownIn(l.clock.Now(), d) })
 }
 
@@ -257,7 +257,7 @@
 
 // runAttempt makes one attempt and reports its result. It runs on its own goroutine.
 func (l *Loop) runAttempt(ctx context.Context, a *Attempt) {
-	p := a.Message.Attempt(ctx, a.To, l.clock.Wall(a.End), Turn{l, a})
+	p := a.Message.Attempt(ctx, a.To, l.clock.Wall(a.End), AttemptHandle{l, a})
 	at := l.clock.Now()
 	l.post(func() { l.machine.Finished(l.clock.Now(), a, p, at) })
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -124,10 +124,10 @@
 	servers    map[policy.ServerID]Server
 	lastID     policy.RequestID
 	ids        recentIDs
-	counts     [][Kinds]int64  // by class
-	aims       []time.Duration // by class; 0: none, or one that scales with the request's work
-	late       []int64         // by class: requests served after the class's aim
-	shutdownAt time.Duration   // shutdown time by which answers are due; 0: no shutdown announced
+	counts     [][NumOutcomes]int64 // by class
+	aims       []time.Duration      // by class; 0: none, or one that scales with the request's work
+	late       []int64              // by class: requests served after the class's aim
+	shutdownAt time.Duration        // shutdown time by which answers are due; 0: no shutdown announced
 	timers     timerHeap
 	queue      []func()
 	actions    []Action
@@ -137,7 +137,7 @@
 func NewMachine(set policy.Settings, seed uint64) (*Machine, error) {
 	m := &Machine{
 		ids:    newRecentIDs(set.Classes),
-		counts: make([][Kinds]int64, len(set.Classes)),
+		counts: make([][NumOutcomes]int64, len(set.Classes)),
 		aims:   make([]time.Duration, len(set.Classes)), late: make([]int64, len(set.Classes)),
 		requests: map[policy.RequestID]*Pending{}, servers: map[policy.ServerID]Server{},
 	}
@@ -207,26 +207,26 @@
 // HandOver returns what the decision module has learned, for another process of the same node
 // that takes over.
 func (m *Machine) HandOver(now time.Duration) (mem policy.Memory) {
-	m.step(now, func() { mem = m.balancer.Pass(m.now) })
+	m.step(now, func() { mem = m.balancer.HandOver(m.now) })
 	return mem
 }
 
 // Learned returns a copy of what the decision module has learned, to be persisted.
 func (m *Machine) Learned(now time.Duration) (mem policy.Memory) {
-	m.step(now, func() { mem = m.balancer.Learnt(m.now) })
+	m.step(now, func() { mem = m.balancer.Learned(m.now) })
 	return mem
 }
 
 // Restore restores what another process of the same node has learned.
 func (m *Machine) Restore(now time.Duration, mem policy.Memory) (err error) {
-	m.step(now, func() { err = m.balancer.Recall(m.now, mem) })
+	m.step(now, func() { err = m.balancer.Restore(m.now, mem) })
 	return err
 }
 
 // SetNodePart sets the share of its node's traffic that this process gets; see
-// policy.Balancer.Share.
+// policy.Balancer.SetNodePart.
 func (m *Machine) SetNodePart(now time.Duration, part float64) {
-	m.step(now, func() { m.balancer.Share(m.now, part) })
+	m.step(now, func() { m.balancer.SetNodePart(m.now, part) })
 }
 
 // Submit accepts a request. It is answered exactly once, unless ClientGone is called first.
@@ -239,23 +239,23 @@
 func (m *Machine) ClientGone(now time.Duration, p *Pending) { m.step(now, func() { m.clientGone(p) }) }
 
 // Finished reports the result of an attempt and when it ended.
-func (m *Machine) Finished(now time.Duration, a *Attempt, r Reply, at time.Duration) {
+func (m *Machine) Finished(now time.Duration, a *Attempt, r AttemptResult, at time.Duration) {
 	m.step(now, func() { m.finished(a, r, at) })
 }
 
 // Accepted reports that a server has accepted a request and is working on it; see
-// policy.Balancer.Taken.
+// policy.Balancer.Accepted.
 func (m *Machine) Accepted(now time.Duration, a *Attempt) {
-	m.attemptEvent(now, a, (*policy.Balancer).Taken)
+	m.attemptEvent(now, a, (*policy.Balancer).Accepted)
 }
 
 // StreamStarted reports that an answer, such as a stream, has begun: from then on the request is
 // not tried at another server. Repeated calls have no effect.
 func (m *Machine) StreamStarted(now time.Duration, a *Attempt) {
-	m.attemptEvent(now, a, (*policy.Balancer).Started)
+	m.attemptEvent(now, a, (*policy.Balancer).StreamStarted)
 }
 
-// RequestSent reports that the last byte of a request with Coming set has been sent to the server,
+// RequestSent reports that the last byte of a request with Uploading set has been sent to the server,
 // and that its client waits for at most left from now on.
 func (m *Machine) RequestSent(now time.Duration, a *Attempt, left time.Duration) {
 	m.step(now, func() {
@@ -265,7 +265,7 @@
 		}
 		r.uploading, a.sent = false, m.now
 		left = m.setDeadline(r, m.now+left)
-		m.balancer.Sent(m.now, r.id, a.index, left)
+		m.balancer.RequestSent(m.now, r.id, a.index, left)
 		m.scheduleDeadline(r)
 	})
 }
@@ -277,8 +277,8 @@
 		if a.ended {
 			return
 		}
-		m.answer(a.Pending, Answer{Kind: Served})
-		m.balancer.Started(m.now, a.Pending.id, a.index)
+		m.answer(a.Pending, Answer{Outcome: Served})
+		m.balancer.StreamStarted(m.now, a.Pending.id, a.index)
 		m.release(a.Pending)
 	})
 }
@@ -298,7 +298,7 @@
 		m.shutdownAt = m.now + d
 		for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 			if r := m.requests[id]; !r.answered && !r.uploading && r.deadline > m.shutdownAt { // RequestSent sets the deadline of a request still being received
-				m.balancer.Shorten(m.now, id, m.setDeadline(r, r.deadline))
+				m.balancer.ShortenDeadline(m.now, id, m.setDeadline(r, r.deadline))
 				m.scheduleDeadline(r)
 			}
 		}
@@ -309,7 +309,7 @@
 type View struct {
 	policy.View
 	Listed   map[policy.ServerID]Server // the servers in View.Servers
-	Counts   [][Kinds]int64             // ended requests, by class and Kind
+	Counts   [][NumOutcomes]int64       // ended requests, by class and Outcome
 	Late     []int64                    // requests served after their class's aim, by class
 	Requests int                        // unanswered or with attempts in flight
 	Timers   int
@@ -380,7 +380,7 @@
 			changed = true
 		}
 	}
-	m.balancer.Members(m.now, kind, entries)
+	m.balancer.UpdateServers(m.now, kind, entries)
 	if changed {
 		m.cancelUnsentAll(func(a *Attempt) bool { return drains[a.server] || m.servers[a.server] != a.To })
 	}
@@ -410,7 +410,7 @@
 		if which(a) && !a.ended && a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned) {
 			m.queue = append(m.queue, func() {
 				if !a.ended {
-					m.reportOutcome(a, policy.Moot, m.now)
+					m.reportOutcome(a, policy.NotSent, m.now)
 				}
 			})
 		}
@@ -422,16 +422,16 @@
 func (m *Machine) submit(q Request) *Pending {
 	if !m.ids.add(m.now, q.Name) {
 		r := &Pending{class: q.Class, Answers: q.Answers}
-		m.answer(r, Answer{Kind: Duplicate})
+		m.answer(r, Answer{Outcome: Duplicate})
 		return r
 	}
 	for m.lastID++; m.requests[m.lastID] != nil; m.lastID++ { // IDs eventually wrap around
 	}
-	r := &Pending{id: m.lastID, class: q.Class, message: q.Message, Answers: q.Answers, uploading: q.Coming}
+	r := &Pending{id: m.lastID, class: q.Class, message: q.Message, Answers: q.Answers, uploading: q.Uploading}
 	if aim := m.aims[q.Class]; aim > 0 {
 		r.lateFrom = m.now + aim
 	}
-	q.ID, q.Left = r.id, m.setDeadline(r, q.Deadline)
+	q.ID, q.TimeLeft = r.id, m.setDeadline(r, q.Deadline)
 	m.requests[r.id] = r
 	m.balancer.Request(m.now, q.Request)
 	if !r.answered {
@@ -478,8 +478,8 @@
 		return
 	}
 	if !r.answered {
-		m.answer(r, Answer{Kind: Overdue})
-		m.balancer.Left(m.now, r.id)
+		m.answer(r, Answer{Outcome: DeadlineExceeded})
+		m.balancer.ClientGone(m.now, r.id)
 		m.release(r)
 	}
 }
@@ -489,28 +489,28 @@
 	if !r.answered {
 		r.answered = true
 		r.claimed.Store(true)
-		m.counts[r.class][Left]++
-		m.balancer.Left(m.now, r.id)
+		m.counts[r.class][ClientGone]++
+		m.balancer.ClientGone(m.now, r.id)
 		m.release(r)
 	}
 }
 
 // finished handles the result of an attempt.
-func (m *Machine) finished(a *Attempt, p Reply, at time.Duration) {
+func (m *Machine) finished(a *Attempt, p AttemptResult, at time.Duration) {
 	if a.ended {
 		return
 	}
 	switch {
 	case p.Status == policy.OK:
-		m.answer(a.Pending, Answer{Kind: Served, Body: p.Body})
+		m.answer(a.Pending, Answer{Outcome: Served, Body: p.Body})
 	case p.Rejected:
 		// The request is invalid, and any other server would reject it as well: do not
 		// count it against this server and do not retry.
-		m.answer(a.Pending, Answer{Kind: Failed})
+		m.answer(a.Pending, Answer{Outcome: Failed})
 		p.Status = policy.Cancelled
 	}
-	if p.Spent {
-		m.balancer.Last(a.Pending.id)
+	if p.BodyConsumed {
+		m.balancer.DisallowRetry(a.Pending.id)
 	}
 	m.reportOutcome(a, p.Status, at)
 }
@@ -521,7 +521,7 @@
 func (m *Machine) abandon(a *Attempt, status policy.Status) {
 	switch {
 	case a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned):
-		status = policy.Moot
+		status = policy.NotSent
 	case !a.phase.CompareAndSwap(phaseWriting, phaseAbandoned) && a.phase.Load() == phaseRelaying:
 		return
 	}
@@ -549,14 +549,14 @@
 	}
 	r.answered = true
 	claimed := r.claimed.Swap(true)
-	if r.lateFrom != 0 && m.now >= r.lateFrom && (claimed || a.Kind == Served) {
+	if r.lateFrom != 0 && m.now >= r.lateFrom && (claimed || a.Outcome == Served) {
 		m.late[r.class]++
 	}
 	if claimed {
 		m.counts[r.class][Served]++
 		return
 	}
-	m.counts[r.class][a.Kind]++
+	m.counts[r.class][a.Outcome]++
 	m.emit(Action{Kind: ActionRespond, Pending: r, Answer: a})
 }
 
@@ -587,7 +587,7 @@
 	to, listed := m.servers[server]
 	if r.answered || !listed {
 		a.phase.Store(phaseAbandoned)
-		m.queue = append(m.queue, func() { m.reportOutcome(a, policy.Moot, m.now) })
+		m.queue = append(m.queue, func() { m.reportOutcome(a, policy.NotSent, m.now) })
 		return
 	}
 	a.To, a.End = to, r.attemptDeadline
@@ -618,11 +618,11 @@
 
 // Refuse implements policy.Host.
 func (m *Machine) Refuse(id policy.RequestID, retryAfter time.Duration) {
-	m.endRequest(id, Answer{Kind: Refused, RetryAfter: retryAfter})
+	m.endRequest(id, Answer{Outcome: Refused, RetryAfter: retryAfter})
 }
 
 // Fail implements policy.Host.
-func (m *Machine) Fail(id policy.RequestID) { m.endRequest(id, Answer{Kind: Failed}) }
+func (m *Machine) Fail(id policy.RequestID) { m.endRequest(id, Answer{Outcome: Failed}) }
 
 func (m *Machine) endRequest(id policy.RequestID, a Answer) {
 	if r := m.requests[id]; r != nil {
--- a/internal/core/pass_test.go
+++ b/internal/core/pass_test.go
@@ -27,16 +27,16 @@
 	return m.rng.IntN(n)
 }
 
-func (m *streamingMessage) Attempt(ctx context.Context, _ Server, _ time.Time, turn Turn) Reply {
+func (m *streamingMessage) Attempt(ctx context.Context, _ Server, _ time.Time, turn AttemptHandle) AttemptResult {
 	if !turn.Begin() {
-		return Reply{Status: policy.Moot}
+		return AttemptResult{Status: policy.NotSent}
 	}
-	time.Sleep(time.Duration(m.chance(1100)) * time.Millisecond) // ignores ctx: Pass must detect that the attempt was abandoned
+	time.Sleep(time.Duration(m.chance(1100)) * time.Millisecond) // ignores ctx: ClaimAnswer must detect that the attempt was abandoned
 	if m.chance(4) == 0 {
-		return Reply{Status: policy.Error}
+		return AttemptResult{Status: policy.Error}
 	}
-	if !turn.Pass() {
-		return Reply{Status: policy.Cancelled}
+	if !turn.ClaimAnswer() {
+		return AttemptResult{Status: policy.Cancelled}
 	}
 	m.mu.Lock()
 	m.relayed++
@@ -46,13 +46,13 @@
 		m.mu.Lock()
 		m.cutOff = true
 		m.mu.Unlock()
-		return Reply{Status: policy.Cancelled}
+		return AttemptResult{Status: policy.Cancelled}
 	case <-time.After(5 * time.Second):
 	}
 	if m.chance(3) == 0 {
-		return Reply{Status: policy.Reset}
+		return AttemptResult{Status: policy.Reset}
 	}
-	return Reply{Status: policy.OK}
+	return AttemptResult{Status: policy.OK}
 }
 
 // An answer that is relayed to the client as it arrives is the request's only answer, whatever
@@ -81,7 +81,7 @@
 				clients.Go(func() {
 					if leaves {
 						time.Sleep(100 * time.Millisecond)
-						l.Leave(ticket)
+						l.ClientGone(ticket)
 					}
 					time.Sleep(10 * time.Second)
 					m.mu.Lock()
@@ -98,7 +98,7 @@
 			}
 			clients.Wait()
 			v, err := l.Inspect(t.Context())
-			if err != nil || v.Requests != 0 || v.Open != 0 || v.Out != 0 {
+			if err != nil || v.Requests != 0 || v.Open != 0 || v.InFlight != 0 {
 				t.Errorf("seed %d: state left over: %+v, %v", seed, v, err)
 			}
 			if passed < 20 || answered < 5 {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -147,7 +147,7 @@
 			d.Duration = or
 		}
 		if d.Duration < least {
-			f.Bad(key, "%v, at least %v is needed", d.Duration, least)
+			f.Errorf(key, "%v, at least %v is needed", d.Duration, least)
 		}
 		return d.Duration
 	}
@@ -156,20 +156,20 @@
 			*n = or
 		}
 		if *n < 1 || *n > most {
-			f.Bad(key, "%d is not 1 to %d", *n, most)
+			f.Errorf(key, "%d is not 1 to %d", *n, most)
 		}
 		return min(max(*n, 1), most)
 	}
 	share := func(key string, v float64) float64 {
 		if !(v >= 0 && v <= 1) {
-			f.Bad(key, "%v is no share from 0 to 1", v)
+			f.Errorf(key, "%v is no share from 0 to 1", v)
 		}
 		return v
 	}
 	o.For = duration("for", &file.For, 20*time.Second, time.Second)
-	o.Warm = duration("warm", &file.Warm, 2*time.Second, 0)
-	if o.Warm >= o.For {
-		f.Bad("warm", "%v leaves nothing of the %v", o.Warm, o.For)
+	o.WarmUp = duration("warm", &file.Warm, 2*time.Second, 0)
+	if o.WarmUp >= o.For {
+		f.Errorf("warm", "%v leaves nothing of the %v", o.WarmUp, o.For)
 	}
 	o.Nodes = number("fleet.nodes", &file.Fleet.Nodes, 2, mostNodes)
 	servers := number("fleet.servers", &file.Fleet.Servers, 8, mostServers)
@@ -177,15 +177,15 @@
 	parallel := number("fleet.parallel", &file.Fleet.Parallel, 4, 10_000)
 	queue := number("fleet.queue", &file.Fleet.Queue, 32, 1_000_000)
 	o.Net = sim.Network{
-		Latency: sim.Times{Kind: "exponential", Mean: duration("network.latency", &file.Network.Latency, time.Millisecond, 0)},
+		Latency: sim.Distribution{Kind: "exponential", Mean: duration("network.latency", &file.Network.Latency, time.Millisecond, 0)},
 		Loss:    share("network.loss", file.Network.Loss),
 	}
-	o.ClientNet = sim.Times{Kind: "constant", Mean: duration("network.clients", &file.Network.Clients, time.Millisecond, 0)}
-	o.Told = sim.Times{Kind: "uniform", Mean: duration("network.told", &file.Network.Told, 100*time.Millisecond, 0)}
+	o.ClientNet = sim.Distribution{Kind: "constant", Mean: duration("network.clients", &file.Network.Clients, time.Millisecond, 0)}
+	o.ListDelay = sim.Distribution{Kind: "uniform", Mean: duration("network.told", &file.Network.Told, 100*time.Millisecond, 0)}
 
-	o.Asked = file.Discovery.Asked
+	o.Pull = file.Discovery.Asked
 	o.Call = duration("discovery.call", &file.Discovery.Call, 5*time.Millisecond, 0)
-	o.AskWait = duration("discovery.wait", &file.Discovery.Wait, 2*time.Second, 0)
+	o.MaxWait = duration("discovery.wait", &file.Discovery.Wait, 2*time.Second, 0)
 
 	s := policy.Defaults()
 	s.Limits = policy.Limits{
@@ -193,30 +193,30 @@
 		MaxRetryAfter: duration("node.retry_after", &file.Node.RetryAfter, time.Second, 0),
 	}
 	if len(file.Class) == 0 || len(file.Class) > mostClasses {
-		f.Bad("class", "%d are given, 1 to %d are needed", len(file.Class), mostClasses)
+		f.Errorf("class", "%d are given, 1 to %d are needed", len(file.Class), mostClasses)
 	}
-	service := map[int]sim.Times{}
+	service := map[int]sim.Distribution{}
 	for i := range file.Class {
 		c := &file.Class[i]
 		key := func(name string) string { return fmt.Sprintf("class[%d].%s", i+1, name) }
 		effect, ok := effects[c.Effect]
 		if !ok {
-			f.Bad(key("effect"), "%q is none of safe, keyed and unsafe", c.Effect)
+			f.Errorf(key("effect"), "%q is none of safe, keyed and unsafe", c.Effect)
 		}
 		if c.Name == "" {
-			f.Bad(key("name"), "none given")
+			f.Errorf(key("name"), "none given")
 		}
 		p := policy.Class{
 			Aim: duration(key("aim"), &c.Aim, 300*time.Millisecond, time.Millisecond), Worth: max(c.Worth, 1),
 			Effect: effect, Scope: policy.ScopeAll, Window: c.Window.Duration,
 		}
 		p.Deadline = duration(key("deadline"), &c.Deadline, 2*time.Second, p.Aim)
-		times := sim.Times{Kind: "constant", Mean: duration(key("service"), &c.Service, 20*time.Millisecond, 0)}
+		times := sim.Distribution{Kind: "constant", Mean: duration(key("service"), &c.Service, 20*time.Millisecond, 0)}
 		if c.Spread != 0 {
 			times.Kind, times.Sigma = "lognormal", c.Spread
 		}
 		if err := times.Check(); err != nil {
-			f.Bad(key("spread"), "%v", err)
+			f.Errorf(key("spread"), "%v", err)
 		}
 		s.Classes = append(s.Classes, p)
 		service[i] = times
@@ -233,7 +233,7 @@
 		})
 	}
 	if !(file.Load.Rate > 0 && file.Load.Rate <= mostLoads) && file.Load.Trace == "" {
-		f.Bad("load.rate", "%v requests a second: above 0 and at most %d", file.Load.Rate, mostLoads)
+		f.Errorf("load.rate", "%v requests a second: above 0 and at most %d", file.Load.Rate, mostLoads)
 	}
 	heed := 1.0
 	if file.Load.Heed != nil {
@@ -241,13 +241,13 @@
 	}
 	o.Load = sim.Load{
 		Rate: file.Load.Rate, Shares: o.Load.Shares, Tenants: number("load.tenants", &file.Load.Tenants, 1, 1_000_000), Skew: file.Load.Skew,
-		Keys: file.Load.Keys, Bursts: file.Load.Bursts, Habits: comeback.Habits{Heed: heed, Rash: share("load.rash", file.Load.Rash), Tries: number("load.tries", &file.Load.Tries, 1, 100)},
+		Keys: file.Load.Keys, Bursts: file.Load.Bursts, Behavior: comeback.Behavior{HonorRetryAfter: heed, RetryImmediately: share("load.rash", file.Load.Rash), MaxAttempts: number("load.tries", &file.Load.Tries, 1, 100)},
 		Impatient: share("load.impatient", file.Load.Impatient), Patience: duration("load.patience", &file.Load.Patience, 200*time.Millisecond, 0),
 	}
 	if file.Load.Trace != "" {
 		trace, err := ReadTrace(filepath.Join(filepath.Dir(path), file.Load.Trace), file.Class, o.Load.Tenants)
 		if err != nil {
-			f.Bad("load.trace", "%v", err)
+			f.Errorf("load.trace", "%v", err)
 		}
 		o.Load.Trace = trace
 	}
@@ -271,19 +271,19 @@
 		}
 	}
 	if len(file.Fault) > mostFaults {
-		f.Bad("fault", "%d are given, at most %d are taken", len(file.Fault), mostFaults)
+		f.Errorf("fault", "%d are given, at most %d are taken", len(file.Fault), mostFaults)
 	}
 	for i, g := range file.Fault {
 		key := func(name string) string { return fmt.Sprintf("fault[%d].%s", i+1, name) }
 		if !slices.Contains(sim.Faults, g.What) {
-			f.Bad(key("what"), "%q is none of %v", g.What, sim.Faults)
+			f.Errorf(key("what"), "%q is none of %v", g.What, sim.Faults)
 		}
 		fault := sim.Fault{At: g.At.Duration, For: g.For.Duration, What: g.What, Servers: g.Servers, Amount: g.Amount}
 		most := servers
 		if g.What == "node-crash" {
 			fault.Servers, most = g.Nodes, o.Nodes
 		} else if len(g.Nodes) > 0 {
-			f.Bad(key("nodes"), "only node-crash has nodes")
+			f.Errorf(key("nodes"), "only node-crash has nodes")
 		}
 		for n := range most {
 			if g.All || g.Zone != nil && n%zones == *g.Zone && g.What != "node-crash" {
@@ -291,14 +291,14 @@
 			}
 		}
 		if g.What == "flap" && g.Amount < 0.05 {
-			f.Bad(key("amount"), "%v s from one turn to the next, at least 0.05 are needed", g.Amount)
+			f.Errorf(key("amount"), "%v s from one turn to the next, at least 0.05 are needed", g.Amount)
 		}
-		if len(fault.Servers) == 0 && !sim.Broad(g.What) {
-			f.Bad(key("servers"), "none: name servers, nodes, a zone, or all")
+		if len(fault.Servers) == 0 && !sim.AffectsDiscovery(g.What) {
+			f.Errorf(key("servers"), "none: name servers, nodes, a zone, or all")
 		}
 		for _, n := range fault.Servers {
 			if n < 0 || n >= most {
-				f.Bad(key("servers"), "%d is not 0 to %d", n, most-1)
+				f.Errorf(key("servers"), "%d is not 0 to %d", n, most-1)
 				break
 			}
 		}
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	got.Options.Policy, got.Options.Planted = x.Options.Policy, x.Options.Planted
+	got.Options.Policy, got.Options.Defects = x.Options.Policy, x.Options.Defects
 	return got, nil
 }
 
@@ -132,7 +132,7 @@
 	switch {
 	case f.What == "node-crash":
 		f.Nodes = some(h.base.Options.Nodes)
-	case !sim.Broad(f.What):
+	case !sim.AffectsDiscovery(f.What):
 		f.Servers = some(len(h.base.Options.Servers))
 	}
 	return f
--- a/internal/experiment/search_test.go
+++ b/internal/experiment/search_test.go
@@ -28,18 +28,18 @@
 // (here: one without the fault) is told apart.
 func TestHuntFindsAndShrinks(t *testing.T) {
 	racing.Skip(t)
-	for rule, plant := range map[ledger.Breach]sim.Planted{
+	for rule, plant := range map[ledger.Violation]sim.Defects{
 		ledger.PushedOver:   {}, // random choice does that: it sends cold servers as much as others
-		ledger.SecondAnswer: {Echo: true},
-		ledger.RanTwice:     {Again: true},
-		ledger.AfterDrain:   {Deaf: true},
-		ledger.NoAnswer:     {Swallow: 400},
+		ledger.SecondAnswer: {DuplicateAnswers: true},
+		ledger.RanTwice:     {DuplicateUnsafe: true},
+		ledger.AfterDrain:   {IgnoreChanges: true},
+		ledger.NoAnswer:     {DropEvery: 400},
 	} {
 		t.Run(string(rule), func(t *testing.T) {
 			t.Parallel()
 			x := load(t, "calm")
 			x.File.For.Duration, x.File.Load.Rate = 5*time.Second, 150
-			x.Options.Planted = plant
+			x.Options.Defects = plant
 			if rule == ledger.PushedOver {
 				x.Options.Policy, x.File.Load.Rate = "random", 600
 			}
@@ -62,7 +62,7 @@
 			if _, err := again.Replay(); err == nil || !strings.Contains(err.Error(), "another build") {
 				t.Errorf("without the fault: %v", err)
 			}
-			again.Options.Planted, again.Options.Policy = plant, x.Options.Policy
+			again.Options.Defects, again.Options.Policy = plant, x.Options.Policy
 			if _, err := again.Replay(); err != nil {
 				t.Error(err)
 			}
@@ -188,8 +188,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if x.Options.Warm != 0 || x.Options.Net.Latency.Mean != time.Millisecond {
-		t.Errorf("warm %v, latency %v", x.Options.Warm, x.Options.Net.Latency.Mean)
+	if x.Options.WarmUp != 0 || x.Options.Net.Latency.Mean != time.Millisecond {
+		t.Errorf("warm %v, latency %v", x.Options.WarmUp, x.Options.Net.Latency.Mean)
 	}
 	for at, want := range map[time.Duration]float64{0: 0, 2500 * time.Millisecond: 0, 5 * time.Second: 0.5, 8 * time.Second: 1} {
 		if got := x.Options.Load.Curve(at); got < want-0.01 || got > want+0.01 {
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -43,15 +43,15 @@
 	FS       record.FS       // the operating system's if nil
 	Runner   instance.Runner // operating system processes if nil
 
-	// First is set when the operator starts this agent for the first time: an empty state folder is
+	// FirstStart is set when the operator starts this agent for the first time: an empty state folder is
 	// then expected and not a loss. The voters of a council bootstrap it.
-	First bool
+	FirstStart bool
 	// The following fields are used only if the agent's file has [council].
 	Clock boottime.Clock // the system's if nil
-	// Disk opens the council's stores; the default ones if nil.
-	Disk func(dir string) (council.Stores, error)
-	// Steps, if set, is called before each step of an order given by a duty's owner.
-	Steps func(step, instance string)
+	// OpenStores opens the council's stores; the default ones if nil.
+	OpenStores func(dir string) (council.Stores, error)
+	// StepHook, if set, is called before each step of an order given by a duty's owner.
+	StepHook func(step, instance string)
 }
 
 // Agent supervises the instances on one machine. Start it with Run.
@@ -77,7 +77,7 @@
 	recordCopy      *record.Log // second copy of the desired state, outside the state folder
 
 	mu             sync.RWMutex // guards the following fields; never held during I/O
-	book           *book.Book
+	book           *book.State
 	recovery       recoveryTracker
 	leases         map[string]time.Time // expiry times of the open commands' leases
 	operationEnded chan struct{}        // closed and replaced whenever an operation ends
@@ -95,8 +95,8 @@
 	a := &Agent{
 		cfg: cfg, log: opt.Log, runner: opt.Runner, started: time.Now(), version: opt.Version,
 		leases: map[string]time.Time{}, operationEnded: make(chan struct{}),
-		units: map[string]*unit{}, stepHook: opt.Steps,
-		recovery: recoveryTracker{sources: map[string][]recovery.Word{}, held: map[string]*heldInstance{}, startTimes: map[string]time.Time{}, unwanted: map[string]bool{}, reportNeeded: make(chan struct{}, 1)},
+		units: map[string]*unit{}, stepHook: opt.StepHook,
+		recovery: recoveryTracker{sources: map[string][]recovery.Claim{}, held: map[string]*heldInstance{}, startTimes: map[string]time.Time{}, unwanted: map[string]bool{}, reportNeeded: make(chan struct{}, 1)},
 	}
 	if a.log == nil {
 		a.log = slog.New(slog.DiscardHandler)
@@ -119,7 +119,7 @@
 	}
 	slices.Sort(a.unitNames)
 	a.book = book.New(a.unitNames)
-	if err := a.openRecord(opt.FS, opt.First); err != nil {
+	if err := a.openRecord(opt.FS, opt.FirstStart); err != nil {
 		a.lockFile.Close()
 		return nil, err
 	}
@@ -165,15 +165,15 @@
 		return fmt.Errorf("agent: %w", err)
 	}
 	a.record = log
-	running, err := a.runner.Names()
+	running, err := a.runner.RunningInstances()
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	if found.Aside != "" {
-		a.log.Error("the record was damaged; the damaged file is kept", "aside", found.Aside, "why", found.Why)
+	if found.MovedTo != "" {
+		a.log.Error("the record was damaged; the damaged file is kept", "aside", found.MovedTo, "why", found.Reason)
 	}
-	if found.Torn > 0 {
-		a.log.Warn("the record's last line was incomplete and is dropped", "bytes", found.Torn)
+	if found.TornBytes > 0 {
+		a.log.Warn("the record's last line was incomplete and is dropped", "bytes", found.TornBytes)
 	}
 	if err := a.initRecovery(fsys, found, running, first); err != nil {
 		return err
@@ -184,7 +184,7 @@
 	}
 	now := time.Now()
 	for _, id := range a.book.OpenCommands() {
-		a.leases[id] = now.Add(protocol.LeaseFor)
+		a.leases[id] = now.Add(protocol.LeaseDuration)
 	}
 	for _, op := range a.book.Unfinished() {
 		last, step := op.Began, "begun"
@@ -280,7 +280,7 @@
 			}
 			a.mu.RUnlock()
 			for _, id := range expired {
-				reason := fmt.Sprintf("lease not renewed for %v: its tool is gone", protocol.LeaseFor)
+				reason := fmt.Sprintf("lease not renewed for %v: its tool is gone", protocol.LeaseDuration)
 				if _, err := a.commit(book.Entry{Close: &book.Close{ID: id, State: protocol.Expired, Reason: reason}}); err == nil {
 					a.log.Warn("a command's lease has expired", "command", id)
 				}
@@ -369,7 +369,7 @@
 	a.book.Apply(e)
 	switch {
 	case e.Open != nil:
-		a.leases[e.Open.Request.ID] = time.Now().Add(protocol.LeaseFor)
+		a.leases[e.Open.Request.ID] = time.Now().Add(protocol.LeaseDuration)
 	case e.Close != nil:
 		delete(a.leases, e.Close.ID)
 	case e.Begin != nil:
@@ -411,7 +411,7 @@
 func (a *Agent) tokenAtBegin(op *protocol.Operation) string {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	return a.book.RunAt(op.Command, op.Instance)
+	return a.book.RunTokenAt(op.Command, op.Instance)
 }
 
 // ---- requests from tools
@@ -439,7 +439,7 @@
 		i.Desired = "up"
 	}
 	if h := a.recovery.held[u.def.Name]; h != nil && v.token == "" {
-		i.State, i.Desired, i.Message = protocol.StateHeld, "unknown", h.verdict.Why
+		i.State, i.Desired, i.Message = protocol.StateHeld, "unknown", h.verdict.Reason
 	}
 	return i
 }
@@ -456,11 +456,11 @@
 
 // raiseFence raises a duty's fencing token and returns the instances' state after it.
 // Operations begun under a lower token are shown as running until they have ended.
-func (a *Agent) raiseFence(f protocol.Fence, by string) (*protocol.Raised, error) {
+func (a *Agent) raiseFence(f protocol.Fence, by string) (*protocol.FenceAnswer, error) {
 	if _, err := a.commit(book.Entry{Fence: &book.Fence{Fence: f, By: by}}); err != nil {
 		return nil, err
 	}
-	return &protocol.Raised{Instances: a.instances()}, nil
+	return &protocol.FenceAnswer{Instances: a.instances()}, nil
 }
 
 func (a *Agent) openCommand(r protocol.CommandRequest, who caller) (*protocol.Command, error) {
@@ -468,7 +468,7 @@
 	switch {
 	case r.Fence == nil && r.OnBehalf != "":
 		return nil, protocol.Errorf(protocol.CodeUsage, "on_behalf: only the owner of a duty may act for somebody else")
-	case r.Fence != nil && !protocol.Operator.MatchString(r.OnBehalf):
+	case r.Fence != nil && !protocol.OperatorPattern.MatchString(r.OnBehalf):
 		return nil, protocol.Errorf(protocol.CodeUsage, "on_behalf: %q is not a valid operator name", r.OnBehalf)
 	case r.Fence != nil:
 		operator, who.fence = r.OnBehalf, r.Fence
@@ -509,7 +509,7 @@
 }
 
 // checkNotHeld refuses a duty's orders to instances whose desired state is not known yet.
-func (a *Agent) checkNotHeld(all []protocol.Seen) error {
+func (a *Agent) checkNotHeld(all []protocol.InstanceGeneration) error {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	for _, s := range all {
@@ -544,7 +544,7 @@
 	return c, nil
 }
 
-// renew extends a command's lease by protocol.LeaseFor from now.
+// renew extends a command's lease by protocol.LeaseDuration from now.
 func (a *Agent) renew(id string, who caller) (*protocol.Command, error) {
 	c, err := a.authorizedCommand(id, who)
 	if err != nil {
@@ -553,7 +553,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, open := a.leases[id]; open {
-		a.leases[id] = time.Now().Add(protocol.LeaseFor)
+		a.leases[id] = time.Now().Add(protocol.LeaseDuration)
 	} else if c.State == protocol.Open {
 		return nil, protocol.Errorf(protocol.CodeConflict, "command %s has just ended", id)
 	}
@@ -598,7 +598,7 @@
 
 // waitOperation waits until an operation has ended, at most for wait.
 func (a *Agent) waitOperation(ctx context.Context, id, instance string, wait time.Duration) (*protocol.Operation, error) {
-	limit := time.NewTimer(min(wait, protocol.WaitMost))
+	limit := time.NewTimer(min(wait, protocol.MaxWait))
 	defer limit.Stop()
 	for {
 		a.mu.RLock()
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -58,9 +58,9 @@
 	w.t.Helper()
 	l := &runningAgent{runner: w.machine.Runner(), died: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
-	opt := Options{Runner: l.runner, First: true}
+	opt := Options{Runner: l.runner, FirstStart: true}
 	if fsys != nil {
-		fsys.onCrash = func() { l.runner.Cut(); cancel(); close(l.died) }
+		fsys.onCrash = func() { l.runner.Detach(); cancel(); close(l.died) }
 		opt.FS = fsys
 	}
 	a, err := New(w.cfg, opt)
@@ -105,7 +105,7 @@
 	w.lastCommand++
 	r := protocol.CommandRequest{ID: protocol.NewID(time.Now(), uint64(w.lastCommand)), Kind: kind}
 	for _, i := range l.instances() {
-		r.Instances = append(r.Instances, protocol.Seen{Name: i.Name, Generation: i.Generation})
+		r.Instances = append(r.Instances, protocol.InstanceGeneration{Name: i.Name, Generation: i.Generation})
 	}
 	if kind == protocol.Upgrade { // an upgrade is always ordered by a duty's owner
 		r.Program, r.Fence, r.OnBehalf = "v2", &protocol.Fence{Duty: "rollouts", Token: 1}, ada.name
@@ -133,7 +133,7 @@
 			case <-waiting.Done():
 			}
 		}()
-		o, e := l.waitOperation(waiting, r.ID, i.Name, protocol.WaitMost)
+		o, e := l.waitOperation(waiting, r.ID, i.Name, protocol.MaxWait)
 		stop()
 		err = errors.Join(err, e)
 		ends[i.Name] = o
@@ -326,7 +326,7 @@
 			t.Errorf("%s was started %d times, want %d", i.Name, got, want)
 		}
 	}
-	if twice := w.machine.Twice(); len(twice) > 0 {
+	if twice := w.machine.StartedTwice(); len(twice) > 0 {
 		t.Errorf("%v were started while they ran", twice)
 	}
 	// The tool did not get the answer and sends the same command again.
@@ -373,7 +373,7 @@
 			l := w.start(nil)
 			defer l.stop()
 			w.waitSettled(l)
-			w.machine.Deaf("a", true)
+			w.machine.IgnoreTerm("a", true)
 			go func() {
 				time.Sleep(time.Second)
 				w.machine.Crash("a")
@@ -389,7 +389,7 @@
 			l := w.start(nil)
 			defer l.stop()
 			w.waitSettled(l)
-			w.machine.Deaf("a", true)
+			w.machine.IgnoreTerm("a", true)
 			ends, err := w.runCommand(l, w.request(l, protocol.Restart))
 			if err != nil || ends["a"].State != protocol.Failed || !strings.Contains(ends["a"].Reason, "was killed") || w.machine.Running("a") == "" {
 				t.Errorf("%+v, %v, want it killed, reported and restarted", ends["a"], err)
@@ -404,12 +404,12 @@
 			l := w.start(nil)
 			defer l.stop()
 			w.waitSettled(l)
-			w.machine.Fail("a", errors.New("no such program"))
+			w.machine.FailStarts("a", errors.New("no such program"))
 			ends, err := w.runCommand(l, w.request(l, protocol.Restart))
 			if err != nil || ends["a"].State != protocol.Failed || !strings.Contains(ends["a"].Reason, "no such program") {
 				t.Errorf("%+v, %v", ends["a"], err)
 			}
-			w.machine.Fail("a", nil) // its desired state is up, so it is restarted
+			w.machine.FailStarts("a", nil) // its desired state is up, so it is restarted
 			w.waitSettled(l)
 		})
 	})
@@ -418,7 +418,7 @@
 			l := w.start(nil)
 			defer l.stop()
 			w.waitSettled(l)
-			w.machine.Stuck("a", true)
+			w.machine.NeverServe("a", true)
 			ends, err := w.runCommand(l, w.request(l, protocol.Restart))
 			if err != nil || ends["a"].State != protocol.Failed || !strings.Contains(ends["a"].Reason, "does not serve") {
 				t.Errorf("%+v, %v", ends["a"], err)
@@ -473,12 +473,12 @@
 		l := w.start(nil)
 		defer l.stop()
 		w.waitSettled(l)
-		w.machine.Stuck("a", true)
+		w.machine.NeverServe("a", true)
 		time.Sleep(steadyCheckInterval + time.Second)
 		if a := l.instances()[0]; a.State != protocol.StateRunning || !strings.Contains(a.Message, "/up has ceased") || w.machine.Starts("a") != 1 {
 			t.Errorf("%+v, started %d times", a, w.machine.Starts("a"))
 		}
-		w.machine.Stuck("a", false)
+		w.machine.NeverServe("a", false)
 		time.Sleep(time.Second)
 		if a := l.instances()[0]; a.State != protocol.StateUp || a.Message != "" {
 			t.Errorf("%+v", a)
@@ -486,7 +486,7 @@
 	})
 }
 
-// The lease of a tool that has died expires after protocol.LeaseFor and not before.
+// The lease of a tool that has died expires after protocol.LeaseDuration and not before.
 func TestDeadToolLeaseExpires(t *testing.T) {
 	withFixture(t, func(t *testing.T, w *fixture) {
 		l := w.start(nil)
@@ -495,14 +495,14 @@
 		if _, err := l.openCommand(r, ada); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(protocol.LeaseFor / 2)
+		time.Sleep(protocol.LeaseDuration / 2)
 		if _, err := l.renew(r.ID, ada); err != nil {
 			t.Fatal(err)
 		}
 		l.stop() // a restart of the agent keeps the lease
 		l = w.start(nil)
 		defer l.stop()
-		time.Sleep(protocol.LeaseFor - time.Second)
+		time.Sleep(protocol.LeaseDuration - time.Second)
 		if h := l.instances()[0].Holder; h == nil || h.Operator != "ada" {
 			t.Errorf("lease holder is %+v before the lease expires", h)
 		}
@@ -580,7 +580,7 @@
 			withFixture(t, func(t *testing.T, w *fixture) {
 				fsys := &failingFS{}
 				l := &runningAgent{runner: w.machine.Runner(), died: make(chan struct{})}
-				a, e := New(w.cfg, Options{Runner: l.runner, FS: fsys, First: true})
+				a, e := New(w.cfg, Options{Runner: l.runner, FS: fsys, FirstStart: true})
 				if e != nil {
 					t.Fatal(e)
 				}
@@ -597,14 +597,14 @@
 					t.Fatal(e)
 				}
 				fsys.setErr(err) // while an operation is running
-				o, e := l.waitOperation(context.Background(), open.ID, "b", protocol.WaitMost)
+				o, e := l.waitOperation(context.Background(), open.ID, "b", protocol.MaxWait)
 				if e != nil || o.State != protocol.Interrupted || !strings.Contains(o.Reason, err.Error()) {
 					t.Errorf("running operation: %+v, %v, want it interrupted with the reason", o, e)
 				}
 				for range 3 {
 					w.lastCommand++
 					if _, e := l.openCommand(protocol.CommandRequest{
-						ID: protocol.NewID(time.Now(), uint64(w.lastCommand)), Kind: protocol.Drain, Instances: []protocol.Seen{{Name: "a"}},
+						ID: protocol.NewID(time.Now(), uint64(w.lastCommand)), Kind: protocol.Drain, Instances: []protocol.InstanceGeneration{{Name: "a"}},
 					}, caller{name: "ben", role: "operator"}); e == nil || code(e) != protocol.CodeRecord && code(e) != protocol.CodeConflict {
 						t.Errorf("a command was accepted: %v", e)
 					}
@@ -615,7 +615,7 @@
 				w.crash("a")
 				w.waitSettled(l) // b is restarted as well: its desired state is up
 				fsys.setErr(nil)
-				time.Sleep(protocol.LeaseFor + 3*time.Second)
+				time.Sleep(protocol.LeaseDuration + 3*time.Second)
 				if s := l.recordState(); s != "ok" {
 					t.Errorf("record after the disk works again: %q", s)
 				}
@@ -678,7 +678,7 @@
 				)
 				l = w.start(nil)
 				defer l.stop()
-				time.Sleep(protocol.LeaseFor + 5*time.Second)
+				time.Sleep(protocol.LeaseDuration + 5*time.Second)
 				switch c.then {
 				case "resume":
 					r.Resume = true
@@ -812,7 +812,7 @@
 		for range 5000 {
 			w.lastCommand++
 			large.ID = protocol.NewID(time.Now(), uint64(w.lastCommand))
-			large.Instances = []protocol.Seen{{Name: "a", Generation: l.instances()[0].Generation}}
+			large.Instances = []protocol.InstanceGeneration{{Name: "a", Generation: l.instances()[0].Generation}}
 			if _, err := l.openCommand(large, ada); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -95,23 +95,23 @@
 // check reports errors in the table.
 func (c *Fleet) check(f *tomlfile.File, cfg *Config) {
 	if cfg.Council == nil {
-		f.Bad("fleet", "there is no [council], which keeps the fleet's desired state")
+		f.Errorf("fleet", "there is no [council], which keeps the fleet's desired state")
 	}
 	if len(c.Programs) > maxPrograms {
-		f.Bad("fleet.program", "%d are given, at most %d are allowed", len(c.Programs), maxPrograms)
+		f.Errorf("fleet.program", "%d are given, at most %d are allowed", len(c.Programs), maxPrograms)
 	}
 	names := map[string]bool{}
 	for n, p := range c.Programs {
 		key := func(name string) string { return fmt.Sprintf("fleet.program[%d].%s", n+1, name) }
 		switch {
-		case !protocol.Name.MatchString(p.Name):
-			f.Bad(key("name"), "%q is not a valid name", p.Name)
+		case !protocol.NamePattern.MatchString(p.Name):
+			f.Errorf(key("name"), "%q is not a valid name", p.Name)
 		case names[p.Name]:
-			f.Bad(key("name"), "%q is given twice", p.Name)
+			f.Errorf(key("name"), "%q is given twice", p.Name)
 		}
 		names[p.Name] = true
 		if len(p.Command) == 0 {
-			f.Bad(key("command"), "none given")
+			f.Errorf(key("command"), "none given")
 		}
 	}
 }
@@ -184,42 +184,42 @@
 	if c.Lease.Duration == 0 {
 		c.Lease.Duration = defaultLease
 	}
-	if !protocol.Name.MatchString(c.Cluster) {
-		f.Bad("council.cluster", "%q is not a valid name; all agents of the fleet use the same one", c.Cluster)
+	if !protocol.NamePattern.MatchString(c.Cluster) {
+		f.Errorf("council.cluster", "%q is not a valid name; all agents of the fleet use the same one", c.Cluster)
 	}
 	if c.Lease.Duration < minLease || c.Lease.Duration > maxLease {
-		f.Bad("council.lease", "%v is outside the range %v to %v", c.Lease.Duration, minLease, maxLease)
+		f.Errorf("council.lease", "%v is outside the range %v to %v", c.Lease.Duration, minLease, maxLease)
 	}
 	if err := duty.CheckVoters(c.Voters); err != nil {
-		f.Bad("council.voters", "%v", err)
+		f.Errorf("council.voters", "%v", err)
 	}
 	if len(c.Agent) == 0 || len(c.Agent) > maxAgents {
-		f.Bad("council.agent", "%d are given, 1 to %d are allowed", len(c.Agent), maxAgents)
+		f.Errorf("council.agent", "%d are given, 1 to %d are allowed", len(c.Agent), maxAgents)
 	}
 	names := map[string]bool{}
 	for n := range c.Agent {
 		a := &c.Agent[n]
 		key := func(name string) string { return fmt.Sprintf("council.agent[%d].%s", n+1, name) }
 		switch {
-		case !protocol.Name.MatchString(a.Name):
-			f.Bad(key("name"), "%q is not a valid name", a.Name)
+		case !protocol.NamePattern.MatchString(a.Name):
+			f.Errorf(key("name"), "%q is not a valid name", a.Name)
 		case names[a.Name]:
-			f.Bad(key("name"), "%q is given twice", a.Name)
+			f.Errorf(key("name"), "%q is given twice", a.Name)
 		}
 		names[a.Name] = true
 		if strings.HasPrefix(a.Address, "https://") && cfg.TLS.Cert == "" {
-			f.Bad(key("address"), "%s needs tls.ca, tls.cert and tls.key", a.Address)
+			f.Errorf(key("address"), "%s needs tls.ca, tls.cert and tls.key", a.Address)
 		} else if _, err := client.New(a.Name, a.Address, &tls.Config{MinVersion: tls.VersionTLS13}); err != nil {
-			f.Bad(key("address"), "%v", err)
+			f.Errorf(key("address"), "%v", err)
 		}
 	}
 	for _, name := range c.Voters {
 		if !names[name] {
-			f.Bad("council.voters", "%q is not among council.agent", name)
+			f.Errorf("council.voters", "%q is not among council.agent", name)
 		}
 	}
 	if !names[cfg.Name] {
-		f.Bad("council.agent", "%q, which is this agent, is not among them", cfg.Name)
+		f.Errorf("council.agent", "%q, which is this agent, is not among them", cfg.Name)
 	}
 }
 
@@ -265,37 +265,37 @@
 	for _, p := range []*string{&c.State, &c.Copy, &c.Socket, &c.TLS.CA, &c.TLS.Cert, &c.TLS.Key} {
 		resolve(p)
 	}
-	if !protocol.Name.MatchString(c.Name) {
-		f.Bad("name", "%q is not a valid name: letters, digits, '.', '_' and '-', 63 at most", c.Name)
+	if !protocol.NamePattern.MatchString(c.Name) {
+		f.Errorf("name", "%q is not a valid name: letters, digits, '.', '_' and '-', 63 at most", c.Name)
 	}
 	if c.State == "" {
-		f.Bad("state", "none given: the folder of the record")
+		f.Errorf("state", "none given: the folder of the record")
 	}
 	if c.Socket == "" && c.Listen == "" {
-		f.Bad("socket", "neither socket nor listen is given: no tool could reach this agent")
+		f.Errorf("socket", "neither socket nor listen is given: no tool could reach this agent")
 	}
 	if c.Listen != "" {
 		if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-			f.Bad("listen", "%v", err)
+			f.Errorf("listen", "%v", err)
 		}
 		for key, file := range map[string]string{"tls.ca": c.TLS.CA, "tls.cert": c.TLS.Cert, "tls.key": c.TLS.Key} {
 			if file == "" {
-				f.Bad(key, "none given, but listen requires it")
+				f.Errorf(key, "none given, but listen requires it")
 			}
 		}
 	}
 	if c.Pace.Rate < 0 || c.Pace.Agents < 0 || c.Pace.Burst < 0 {
-		f.Bad("pace", "rate, agents and burst must not be negative")
+		f.Errorf("pace", "rate, agents and burst must not be negative")
 	}
 	if c.Pace.Rate > 0 && c.agentCount() == 0 {
-		f.Bad("pace.agents", "none given: rate needs the number of agents that share it")
+		f.Errorf("pace.agents", "none given: rate needs the number of agents that share it")
 	}
 	if _, err := parseUnknownPolicy(c.Recovery.Unknown); err != nil {
-		f.Bad("recovery.unknown", "%v", err)
+		f.Errorf("recovery.unknown", "%v", err)
 	}
 	for n, g := range c.Recovery.Group {
 		if _, err := parseUnknownPolicy(g.Unknown); err != nil {
-			f.Bad(fmt.Sprintf("recovery.group[%d].unknown", n+1), "%v", err)
+			f.Errorf(fmt.Sprintf("recovery.group[%d].unknown", n+1), "%v", err)
 		}
 	}
 	if c.Council != nil {
@@ -311,13 +311,13 @@
 		c.Fleet.check(f, &c)
 	}
 	if c.Restart.Limit < 1 {
-		f.Bad("restart.limit", "%d, at least 1 is needed", c.Restart.Limit)
+		f.Errorf("restart.limit", "%d, at least 1 is needed", c.Restart.Limit)
 	}
 	if c.Restart.First.Duration <= 0 || c.Restart.Most.Duration < c.Restart.First.Duration {
-		f.Bad("restart.first", "must be above 0 and at most restart.most")
+		f.Errorf("restart.first", "must be above 0 and at most restart.most")
 	}
-	if len(c.Instance) > protocol.InstancesMost {
-		f.Bad("instance", "%d are given, at most %d are allowed", len(c.Instance), protocol.InstancesMost)
+	if len(c.Instance) > protocol.MaxInstances {
+		f.Errorf("instance", "%d are given, at most %d are allowed", len(c.Instance), protocol.MaxInstances)
 	}
 	names := map[string]bool{}
 	for n := range c.Instance {
@@ -327,26 +327,26 @@
 			resolve(p)
 		}
 		switch {
-		case !protocol.Name.MatchString(i.Name):
-			f.Bad(key("name"), "%q is not a valid name: letters, digits, '.', '_' and '-', 63 at most", i.Name)
+		case !protocol.NamePattern.MatchString(i.Name):
+			f.Errorf(key("name"), "%q is not a valid name: letters, digits, '.', '_' and '-', 63 at most", i.Name)
 		case names[i.Name]:
-			f.Bad(key("name"), "%q is given twice", i.Name)
+			f.Errorf(key("name"), "%q is given twice", i.Name)
 		}
 		names[i.Name] = true
-		if i.Group != "" && !protocol.Name.MatchString(i.Group) {
-			f.Bad(key("group"), "%q is not a valid name", i.Group)
+		if i.Group != "" && !protocol.NamePattern.MatchString(i.Group) {
+			f.Errorf(key("group"), "%q is not a valid name", i.Group)
 		}
 		if i.SIP != "" {
 			if err := sip.CheckTarget(i.SIP); err != nil {
-				f.Bad(key("sip"), "%v", err)
+				f.Errorf(key("sip"), "%v", err)
 			}
 		}
 		if len(i.Program) == 0 {
-			f.Bad(key("program"), "none given")
+			f.Errorf(key("program"), "none given")
 		}
 		if i.Listen == "" {
 			if i.Listen, err = readListen(i.Config); err != nil {
-				f.Bad(key("config"), "%v", err)
+				f.Errorf(key("config"), "%v", err)
 			}
 		}
 	}
--- a/internal/fleet/agent/council.go
+++ b/internal/fleet/agent/council.go
@@ -49,7 +49,7 @@
 
 // newParticipant requires that the agent's file has [council].
 func newParticipant(a *Agent, opt Options) (*participant, error) {
-	c := &participant{agent: a, peers: map[string]*client.Client{}, clock: opt.Clock, firstStart: opt.First, openStores: opt.Disk, voters: a.cfg.Council.Voters}
+	c := &participant{agent: a, peers: map[string]*client.Client{}, clock: opt.Clock, firstStart: opt.FirstStart, openStores: opt.OpenStores, voters: a.cfg.Council.Voters}
 	if c.clock == nil {
 		c.clock = boottime.System{}
 	}
@@ -60,7 +60,7 @@
 	for _, k := range clients {
 		c.peers[k.Name()] = k
 	}
-	if _, err := os.Stat(council.Folder(a.cfg.State)); err == nil || slices.Contains(c.voters, a.cfg.Name) {
+	if _, err := os.Stat(council.Dir(a.cfg.State)); err == nil || slices.Contains(c.voters, a.cfg.Name) {
 		c.startVoter()
 	}
 	return c, nil
@@ -72,8 +72,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.voter = council.New(council.Config{
-		Name: cfg.Name, Cluster: cfg.Council.Cluster, Dir: council.Folder(cfg.State), Witness: cfg.Copy + ".council", Voters: cfg.Council.Voters,
-		First: c.firstStart, Lease: cfg.Council.Lease.Duration, Clock: c.clock, Peers: c, Log: c.agent.log, Disk: c.openStores,
+		Name: cfg.Name, Cluster: cfg.Council.Cluster, Dir: council.Dir(cfg.State), ProgressFile: cfg.Copy + ".council", Voters: cfg.Council.Voters,
+		First: c.firstStart, Lease: cfg.Council.Lease.Duration, Clock: c.clock, Peers: c, Log: c.agent.log, OpenStores: c.openStores,
 	})
 	return c.voter
 }
@@ -119,12 +119,12 @@
 	}
 	opt := owner.Options{
 		Name: c.agent.cfg.Name, Lease: c.agent.cfg.Council.Lease.Duration, Clock: c.clock,
-		Council: c, Fleet: group.New(all), Log: c.agent.log, Step: c.agent.stepHook,
+		Council: c, Fleet: group.New(all), Log: c.agent.log, Hook: c.agent.stepHook,
 	}
 	var owners sync.WaitGroup
 	owners.Go(func() { owner.New(opt).Run(ctx) })
 	if c.agent.cfg.Fleet != nil {
-		owners.Go(func() { owner.NewKeeper(opt).Run(ctx) })
+		owners.Go(func() { owner.NewFleetOwner(opt).Run(ctx) })
 	}
 	owners.Wait()
 	end()
@@ -178,7 +178,7 @@
 func (c *participant) callLeader(ctx context.Context, local func(*council.Council) error, remote func(context.Context, *client.Client) error) error {
 	voter := c.currentVoter()
 	var failures []string
-	if voter != nil && voter.Leads() {
+	if voter != nil && voter.IsLeader() {
 		err := local(voter)
 		if !isNoCouncil(err) {
 			return err
@@ -214,12 +214,12 @@
 
 // Do submits a command to the council.
 func (c *participant) Do(ctx context.Context, k duty.Command) (a duty.Answer, err error) {
-	k.Form = duty.Form
+	k.FormatVersion = duty.FormatVersion
 	err = c.callLeader(ctx, func(voter *council.Council) (err error) {
 		a, err = voter.Do(k)
 		return err
 	}, func(ctx context.Context, peer *client.Client) (err error) {
-		a, err = peer.CouncilDo(ctx, k, true)
+		a, err = peer.CouncilSubmit(ctx, k, true)
 		return err
 	})
 	return a, err
@@ -272,7 +272,7 @@
 }
 
 // Memories returns the data that the council keeps for all agents, as known to the agent's own voter.
-func (c *participant) Memories() map[string]duty.Memory { return c.currentVoter().Memories() }
+func (c *participant) Memories() map[string]duty.AgentData { return c.currentVoter().Memories() }
 
 // Changed returns a channel that signals changes of the result of Known.
 func (c *participant) Changed() <-chan struct{} { return c.currentVoter().Changed() }
@@ -324,11 +324,11 @@
 		if err := by.setOperator(&k); err != nil {
 			return nil, err
 		}
-		if (k.Change != nil || k.Note != nil) && a.fleetBans == nil {
+		if (k.Change != nil || k.Observation != nil) && a.fleetBans == nil {
 			return nil, protocol.Errorf(protocol.CodeOff, "this agent's file has no [fleet]")
 		}
-		if k.Form != duty.Form {
-			return nil, protocol.Errorf(protocol.CodeVersion, "the command has format version %d, but %s supports %d: bring tool and agents to one version", k.Form, a.cfg.Name, duty.Form)
+		if k.FormatVersion != duty.FormatVersion {
+			return nil, protocol.Errorf(protocol.CodeVersion, "the command has format version %d, but %s supports %d: bring tool and agents to one version", k.FormatVersion, a.cfg.Name, duty.FormatVersion)
 		}
 		if r.URL.Query().Get("direct") == "" {
 			return c.Do(r.Context(), k)
@@ -457,10 +457,10 @@
 	switch {
 	case k.Submit != nil:
 		by = &k.Submit.Operator
-	case k.Turn != nil && k.Turn.Token == 0:
-		by = &k.Turn.By
-	case k.Voter != nil:
-		by = &k.Voter.By
+	case k.SetJobState != nil && k.SetJobState.Token == 0:
+		by = &k.SetJobState.By
+	case k.VoterChange != nil:
+		by = &k.VoterChange.By
 	case k.Restore != nil:
 		by = &k.Restore.By
 	case k.Change != nil && k.Change.Token == 0:
@@ -481,7 +481,7 @@
 	if *by == "" || c.role == pki.Operator {
 		*by = c.name
 	}
-	if !protocol.Operator.MatchString(*by) {
+	if !protocol.OperatorPattern.MatchString(*by) {
 		return protocol.Errorf(protocol.CodeUsage, "%q is not a valid operator name", *by)
 	}
 	return nil
@@ -490,22 +490,22 @@
 // handleStream upgrades a request to a stream between two voters.
 func (a *Agent) handleStream(w http.ResponseWriter, r *http.Request, who caller) error {
 	q := r.URL.Query()
-	h := duty.Hello{Cluster: q.Get("cluster"), Founding: q.Get("founding"), From: q.Get("from"), To: q.Get("to")}
+	h := duty.Hello{Cluster: q.Get("cluster"), CouncilID: q.Get("founding"), From: q.Get("from"), To: q.Get("to")}
 	voter := a.council.currentVoter()
 	var err error
 	if h.Epoch, err = strconv.ParseUint(q.Get("epoch"), 10, 64); err != nil {
 		return protocol.Errorf(protocol.CodeUsage, "epoch: %q is not a number", q.Get("epoch"))
 	}
 	switch {
-	case !who.may(pki.Agent) || who.role == pki.Agent && who.name != duty.NameOf(h.From):
+	case !who.may(pki.Agent) || who.role == pki.Agent && who.name != duty.AgentName(h.From):
 		a.refused.add("role")
 		return protocol.Errorf(protocol.CodeForbidden, "%q may not open a stream for the voter %q", who.name, h.From)
 	case voter == nil:
 		return protocol.Errorf(protocol.CodeNoCouncil, "%s does not vote", a.cfg.Name)
-	case r.Header.Get("Upgrade") != client.StreamWord:
-		return protocol.Errorf(protocol.CodeUsage, "a stream needs Upgrade: %s", client.StreamWord)
+	case r.Header.Get("Upgrade") != client.StreamProtocol:
+		return protocol.Errorf(protocol.CodeUsage, "a stream needs Upgrade: %s", client.StreamProtocol)
 	}
-	if err := voter.Check(h); err != nil {
+	if err := voter.CheckStream(h); err != nil {
 		return err
 	}
 	conn, buf, err := http.NewResponseController(w).Hijack()
@@ -515,13 +515,13 @@
 	// The HTTP server's deadlines do not apply to streams; raft has its own timeouts.
 	err = conn.SetDeadline(time.Time{})
 	if err == nil {
-		_, err = fmt.Fprintf(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", client.StreamWord)
+		_, err = fmt.Fprintf(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", client.StreamProtocol)
 	}
 	if err != nil {
 		conn.Close()
 		return nil // the peer is gone, so there is nobody to report the error to
 	}
-	if err := voter.Accept(bufferedConn{conn, buf.Reader}); err != nil {
+	if err := voter.AcceptStream(bufferedConn{conn, buf.Reader}); err != nil {
 		a.log.Debug("a stream was not accepted", "from", h.From, "err", err)
 	}
 	return nil
--- a/internal/fleet/agent/council_test.go
+++ b/internal/fleet/agent/council_test.go
@@ -85,7 +85,7 @@
 	dir := newAuthority(t, now)
 	names := []string{"m1", "m2", "m3"}
 	for _, name := range names[1:] {
-		if err := pki.Issue(dir, pki.Request{Name: name, Role: pki.Agent, Hosts: []string{"127.0.0.1"}, For: time.Hour}, now); err != nil {
+		if err := pki.Issue(dir, pki.Request{Name: name, Role: pki.Agent, Hosts: []string{"127.0.0.1"}, ValidFor: time.Hour}, now); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -103,7 +103,7 @@
 		cfg := newFixture(t).cfg
 		cfg.Name, cfg.Listen, cfg.Council = name, "127.0.0.1:0", table
 		cfg.TLS.CA, cfg.TLS.Cert, cfg.TLS.Key = filepath.Join(dir, "ca.pem"), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key")
-		a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), First: true, Log: slog.New(forwarders[name])})
+		a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), FirstStart: true, Log: slog.New(forwarders[name])})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -141,23 +141,23 @@
 		return e.Code
 	}
 	job := func() duty.Command {
-		return duty.Command{Form: duty.Form, Submit: &duty.Job{
+		return duty.Command{FormatVersion: duty.FormatVersion, Submit: &duty.Job{
 			ID: protocol.NewID(now, 1), Kind: protocol.Restart, MaxUnavailable: 1, Operator: "somebody else",
 			Targets: []duty.Target{{Agent: "m1", Instance: "a"}},
 		}}
 	}
 	fence := protocol.Fence{Duty: "x", Token: 1}
 	peer := at("m1", "m2")
-	_, viewerSubmits := vera.CouncilDo(ctx, job(), false)
-	_, operatorRaises := ada.Raise(ctx, fence)
-	_, operatorAcquires := ada.CouncilDo(ctx, duty.Command{Form: duty.Form, Acquire: &duty.Acquire{Duty: "x", Owner: "ada"}}, false)
+	_, viewerSubmits := vera.CouncilSubmit(ctx, job(), false)
+	_, operatorRaises := ada.RaiseToken(ctx, fence)
+	_, operatorAcquires := ada.CouncilSubmit(ctx, duty.Command{FormatVersion: duty.FormatVersion, Acquire: &duty.Acquire{Duty: "x", Owner: "ada"}}, false)
 	_, operatorFences := ada.Instances(client.WithFence(ctx, fence))
 	newer := job()
-	newer.Form++
-	_, newerForm := ada.CouncilDo(ctx, newer, false)
-	_, peerOrders := peer.Open(ctx, protocol.CommandRequest{ID: protocol.NewID(now, 2), Kind: protocol.Drain, Instances: []protocol.Seen{{Name: "a"}}})
-	_, bodyOnly := peer.Open(ctx, protocol.CommandRequest{ID: protocol.NewID(now, 2), Kind: protocol.Drain, Fence: &fence, OnBehalf: "ada", Instances: []protocol.Seen{{Name: "a"}}})
-	_, noOperator := peer.Open(client.WithFence(ctx, fence), protocol.CommandRequest{ID: protocol.NewID(now, 2), Kind: protocol.Drain, Fence: &fence, Instances: []protocol.Seen{{Name: "a"}}})
+	newer.FormatVersion++
+	_, newerForm := ada.CouncilSubmit(ctx, newer, false)
+	_, peerOrders := peer.Open(ctx, protocol.CommandRequest{ID: protocol.NewID(now, 2), Kind: protocol.Drain, Instances: []protocol.InstanceGeneration{{Name: "a"}}})
+	_, bodyOnly := peer.Open(ctx, protocol.CommandRequest{ID: protocol.NewID(now, 2), Kind: protocol.Drain, Fence: &fence, OnBehalf: "ada", Instances: []protocol.InstanceGeneration{{Name: "a"}}})
+	_, noOperator := peer.Open(client.WithFence(ctx, fence), protocol.CommandRequest{ID: protocol.NewID(now, 2), Kind: protocol.Drain, Fence: &fence, Instances: []protocol.InstanceGeneration{{Name: "a"}}})
 	status, err := peer.CouncilStatus(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -187,7 +187,7 @@
 		"a stream in another's name":             {stream(peer, func(h *duty.Hello) { h.From = "m3/x" }), protocol.CodeForbidden},
 		"a stream of an operator":                {stream(ada, func(*duty.Hello) {}), protocol.CodeForbidden},
 		"a stream of another fleet":              {stream(peer, func(h *duty.Hello) { h.Cluster = "other" }), protocol.CodeForbidden},
-		"a stream of another council":            {stream(peer, func(h *duty.Hello) { h.Founding = "other" }), protocol.CodeForbidden},
+		"a stream of another council":            {stream(peer, func(h *duty.Hello) { h.CouncilID = "other" }), protocol.CodeForbidden},
 		"a stream to a folder that is not there": {stream(peer, func(h *duty.Hello) { h.To = "m1/gone" }), protocol.CodeForbidden},
 		"a stream":                               {stream(peer, func(*duty.Hello) {}), ""},
 	} {
@@ -196,7 +196,7 @@
 		}
 	}
 	// A job's operator is the name in the certificate, at whichever agent it is submitted.
-	a, err := at("m2", "ada").CouncilDo(ctx, job(), false)
+	a, err := at("m2", "ada").CouncilSubmit(ctx, job(), false)
 	if err != nil || a.Job == nil || a.Job.Operator != "ada" {
 		t.Errorf("%+v, %v", a, err)
 	}
--- a/internal/fleet/agent/fleetbans.go
+++ b/internal/fleet/agent/fleetbans.go
@@ -48,7 +48,7 @@
 	wake chan struct{}
 
 	processToken string // token of the process that the following fields refer to; "" if none runs
-	answer       *control.Fleet
+	answer       *control.FleetStatus
 	since        time.Time // when this process first confirmed this version
 	lastErr      string    // why it has not confirmed
 }
@@ -86,14 +86,14 @@
 }
 
 // current returns the bans to send, and whether they are known to be the newest.
-func (h *banDistributor) current() control.Word {
+func (h *banDistributor) current() control.FleetBans {
 	h.agent.mu.RLock()
-	w, token := h.agent.book.Word(), h.agent.book.Fences()[duty.Fleet]
+	w, token := h.agent.book.FleetBans(), h.agent.book.Fences()[duty.Fleet]
 	h.agent.mu.RUnlock()
 	w.Token = uint64(token)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return control.Word{Word: w, Sure: h.isCurrent()}
+	return control.FleetBans{FleetBans: w, Sure: h.isCurrent()}
 }
 
 // isCurrent reports whether the bans were confirmed to be the newest within currentFor. The caller holds mu.
@@ -131,7 +131,7 @@
 	bans := h.current()
 	sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	answer, err := h.agent.runner.Tell(sendCtx, u.def, bans)
+	answer, err := h.agent.runner.SendFleetBans(sendCtx, u.def, bans)
 	if ctx.Err() != nil {
 		return true
 	}
@@ -150,7 +150,7 @@
 }
 
 // recordAnswer records a process's answer to the bans.
-func (h *banDistributor) recordAnswer(t *delivery, processToken string, answer *control.Fleet, err error) {
+func (h *banDistributor) recordAnswer(t *delivery, processToken string, answer *control.FleetStatus, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	same := t.processToken == processToken && t.answer != nil
@@ -190,14 +190,14 @@
 
 // update stores bans received from the council or the duty's owner. asked is the clock's time when they were
 // requested.
-func (h *banDistributor) update(bans cordon.Word, fence *protocol.Fence, asked time.Duration) error {
+func (h *banDistributor) update(bans cordon.FleetBans, fence *protocol.Fence, asked time.Duration) error {
 	h.agent.mu.RLock()
-	before := h.agent.book.Word().Version
+	before := h.agent.book.FleetBans().Version
 	h.agent.mu.RUnlock()
 	if fence == nil && bans.Version < before {
 		return nil // the leader is catching up, or the answer was delayed
 	}
-	if _, err := h.agent.commit(book.Entry{Fleet: &book.Fleet{Word: bans, Fence: fence}}); err != nil {
+	if _, err := h.agent.commit(book.Entry{FleetBans: &book.FleetBans{Bans: bans, Fence: fence}}); err != nil {
 		return err
 	}
 	h.markCurrent(asked)
@@ -209,10 +209,10 @@
 
 // handleOrder executes an order of the duty's owner: to distribute new bans, or to raise its token and
 // return the status.
-func (h *banDistributor) handleOrder(ctx context.Context, o protocol.FleetOrder, fence protocol.Fence) (*protocol.Fleet, error) {
+func (h *banDistributor) handleOrder(ctx context.Context, o protocol.FleetOrder, fence protocol.Fence) (*protocol.FleetStatus, error) {
 	asked := h.clock.Now()
-	if o.Word != nil {
-		if err := h.update(*o.Word, &fence, asked); err != nil {
+	if o.Bans != nil {
+		if err := h.update(*o.Bans, &fence, asked); err != nil {
 			return nil, err
 		}
 	} else {
@@ -220,7 +220,7 @@
 			return nil, err
 		}
 		h.agent.mu.RLock()
-		has := protocol.Token(h.agent.book.Word().Version)
+		has := protocol.Token(h.agent.book.FleetBans().Version)
 		h.agent.mu.RUnlock()
 		if has == o.Version {
 			h.markCurrent(asked)
@@ -233,7 +233,7 @@
 		changed := h.changed
 		h.mu.Unlock()
 		status := h.status()
-		if o.Word == nil || h.allConfirmed(status) {
+		if o.Bans == nil || h.allConfirmed(status) {
 			return status, nil
 		}
 		select {
@@ -247,9 +247,9 @@
 }
 
 // allConfirmed reports whether all running instances with a control socket have the agent's version.
-func (h *banDistributor) allConfirmed(status *protocol.Fleet) bool {
+func (h *banDistributor) allConfirmed(status *protocol.FleetStatus) bool {
 	for _, t := range status.Instances {
-		if t.Runs && t.Version != status.Version && h.deliveries[t.Instance] != nil {
+		if t.Running && t.Version != status.Version && h.deliveries[t.Instance] != nil {
 			return false
 		}
 	}
@@ -257,38 +257,38 @@
 }
 
 // status returns how far the bans have been distributed.
-func (h *banDistributor) status() *protocol.Fleet {
+func (h *banDistributor) status() *protocol.FleetStatus {
 	bans := h.current()
 	all := map[string]protocol.Instance{}
 	for _, i := range h.agent.instances() {
 		all[i.Name] = i
 	}
-	status := &protocol.Fleet{Agent: h.agent.cfg.Name, Version: protocol.Token(bans.Version), Token: protocol.Token(bans.Token), Instances: []protocol.Told{}}
+	status := &protocol.FleetStatus{Agent: h.agent.cfg.Name, Version: protocol.Token(bans.Version), Token: protocol.Token(bans.Token), Instances: []protocol.InstanceStatus{}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if status.Known = h.everCurrent; h.everCurrent {
-		status.Heard = max(0, h.clock.Now()-h.currentAt)
+	if status.SinceKnown = h.everCurrent; h.everCurrent {
+		status.SinceConfirmed = max(0, h.clock.Now()-h.currentAt)
 	}
 	for _, name := range h.agent.unitNames {
 		t := h.deliveries[name]
 		u := h.agent.units[name]
-		entry := protocol.Told{Instance: name, Group: u.def.Group, Zone: u.def.Labels["zone"], Desired: all[name].Desired, State: all[name].State, Program: all[name].Program}
+		entry := protocol.InstanceStatus{Instance: name, Group: u.def.Group, Zone: u.def.Labels["zone"], Desired: all[name].Desired, State: all[name].State, Program: all[name].Program}
 		token := u.currentView().token
-		entry.Runs = token != ""
+		entry.Running = token != ""
 		switch {
 		case t == nil:
-			entry.Waits = "the agent's file names no control socket for it: it can't be told"
+			entry.PendingReason = "the agent's file names no control socket for it: it can't be told"
 		case token == "":
-			entry.Waits = "does not run: it is told when it does"
+			entry.PendingReason = "does not run: it is told when it does"
 		case t.processToken != token || t.answer == nil && t.lastErr == "":
-			entry.Waits = "not asked yet"
+			entry.PendingReason = "not asked yet"
 		case t.answer == nil:
-			entry.Waits = t.lastErr
+			entry.PendingReason = t.lastErr
 		default:
 			entry.Version, entry.Since, entry.Listed = protocol.Token(t.answer.Version), t.since, t.answer.Listed
-			entry.Missing, entry.Hand, entry.Waits = t.answer.Missing, t.answer.Hand, t.answer.Waits
+			entry.Missing, entry.ManualCordons, entry.PendingReason = t.answer.Missing, t.answer.Hand, t.answer.Waits
 			if t.lastErr != "" {
-				entry.Waits = fmt.Sprintf("has not confirmed again: %s", t.lastErr)
+				entry.PendingReason = fmt.Sprintf("has not confirmed again: %s", t.lastErr)
 			}
 		}
 		status.Instances = append(status.Instances, entry)
--- a/internal/fleet/agent/recovery.go
+++ b/internal/fleet/agent/recovery.go
@@ -31,7 +31,7 @@
 // stateCopy is the content of the record's copy: the desired state and the fencing tokens seen,
 // which are needed if the record is lost.
 type stateCopy struct {
-	Life      book.Life                 `json:"life"`
+	Life      book.AgentStart           `json:"life"`
 	Instances map[string]copiedInstance `json:"instances"`
 	Fences    map[string]protocol.Token `json:"fences,omitempty"`
 }
@@ -46,17 +46,17 @@
 // recoveryTracker holds the state of the record as found at the start, and the instances that are
 // held until their desired state is known. It is guarded by the agent's mu.
 type recoveryTracker struct {
-	kind           recovery.Memory
+	kind           recovery.RecordState
 	began          time.Time
 	firstStart     bool
-	council        recovery.Council
+	council        recovery.CouncilState
 	knownToCouncil bool // the council has data about this agent
 	recentStarts   int  // agents that started at about the same time as this one
 	// sources are the desired states found in the record and its copy at the start and received
 	// from the council, by instance.
-	sources       map[string][]recovery.Word
+	sources       map[string][]recovery.Claim
 	held          map[string]*heldInstance
-	startSchedule *pace.Turns // start times relative to began
+	startSchedule *pace.Schedule // start times relative to began
 	startTimes    map[string]time.Time
 	// unwanted are running instances whose recovered desired state is down.
 	unwanted     map[string]bool
@@ -66,12 +66,12 @@
 // heldInstance is an instance that is neither started nor stopped, as its desired state is not known yet.
 type heldInstance struct {
 	since   time.Time
-	verdict recovery.Verdict
+	verdict recovery.Decision
 }
 
 // initRecovery reads the record's copy, determines whether the record is intact, and records this
 // start. All instances are held until resolveHeld releases them.
-func (a *Agent) initRecovery(fsys record.FS, found record.Found, running []string, first bool) error {
+func (a *Agent) initRecovery(fsys record.FS, found record.OpenReport, running []string, first bool) error {
 	var copied *stateCopy
 	log, copyFound, err := record.Open(fsys, a.cfg.Copy, a.cfg.Name, func(text json.RawMessage) error {
 		var k stateCopy
@@ -84,66 +84,66 @@
 	if err != nil {
 		return fmt.Errorf("agent: copy: %w", err)
 	}
-	if copyFound.Aside != "" {
-		a.log.Error("the record's copy was damaged; the damaged file is kept", "aside", copyFound.Aside, "why", copyFound.Why)
+	if copyFound.MovedTo != "" {
+		a.log.Error("the record's copy was damaged; the damaged file is kept", "aside", copyFound.MovedTo, "why", copyFound.Reason)
 		copied = nil
 	}
 	a.recordCopy = log
 	m := &a.recovery
 	m.began, m.firstStart = time.Now(), first
-	life := a.book.Life()
-	lost := found.New || found.Aside != ""
+	life := a.book.AgentStart()
+	lost := found.Created || found.MovedTo != ""
 	switch {
-	case found.New && copyFound.New && len(running) == 0:
-		m.kind = recovery.Blank
+	case found.Created && copyFound.Created && len(running) == 0:
+		m.kind = recovery.Empty
 	case lost:
 		m.kind = recovery.Lost
-	case copied != nil && (copied.Life.Folder != life.Folder || copied.Life.Starts > life.Starts || a.recordIsOlder(copied)):
-		m.kind = recovery.Older
+	case copied != nil && (copied.Life.StateDirID != life.StateDirID || copied.Life.Starts > life.Starts || a.recordIsOlder(copied)):
+		m.kind = recovery.Outdated
 	default:
-		m.kind = recovery.Whole
+		m.kind = recovery.Intact
 	}
 	if a.cfg.Council != nil {
-		m.council = recovery.Silent
+		m.council = recovery.Unanswered
 	}
-	next := book.Life{Folder: life.Folder, Starts: life.Starts + 1, Forgetful: life.Forgetful}
+	next := book.AgentStart{StateDirID: life.StateDirID, Starts: life.Starts + 1, MayLackState: life.MayLackState}
 	if copied != nil {
 		next.Starts = max(next.Starts, copied.Life.Starts+1)
-		next.Forgetful = next.Forgetful || copied.Life.Forgetful
+		next.MayLackState = next.MayLackState || copied.Life.MayLackState
 	}
-	if m.kind == recovery.Lost || m.kind == recovery.Blank || next.Folder == "" {
-		next.Folder = rand.Text()
+	if m.kind == recovery.Lost || m.kind == recovery.Empty || next.StateDirID == "" {
+		next.StateDirID = rand.Text()
 	}
-	whole := m.kind == recovery.Whole || m.kind == recovery.Blank && first
-	next.Forgetful = a.cfg.Council != nil && (next.Forgetful || !whole)
+	whole := m.kind == recovery.Intact || m.kind == recovery.Empty && first
+	next.MayLackState = a.cfg.Council != nil && (next.MayLackState || !whole)
 	for _, name := range a.unitNames {
 		m.held[name] = &heldInstance{since: m.began}
 		i, _ := a.book.Instance(name)
-		if i.Held == "" && (whole || i.Generation > 0) {
-			m.sources[name] = append(m.sources[name], recovery.Word{Source: "the record", Up: i.Up, Generation: i.Generation, Program: i.Program})
+		if i.HeldReason == "" && (whole || i.Generation > 0) {
+			m.sources[name] = append(m.sources[name], recovery.Claim{Source: "the record", Up: i.Up, Generation: i.Generation, Program: i.Program})
 		}
 		if copied == nil {
 			continue
 		}
 		if c, known := copied.Instances[name]; known && c.Held == "" {
-			m.sources[name] = append(m.sources[name], recovery.Word{Source: "its copy", Up: c.Up, Generation: c.Generation, Program: c.Program})
-		} else if known && i.Held == "" && !whole {
-			a.book.Apply(book.Entry{Hold: &book.Hold{Instances: []string{name}, Why: c.Held}})
+			m.sources[name] = append(m.sources[name], recovery.Claim{Source: "its copy", Up: c.Up, Generation: c.Generation, Program: c.Program})
+		} else if known && i.HeldReason == "" && !whole {
+			a.book.Apply(book.Entry{Hold: &book.Hold{Instances: []string{name}, Reason: c.Held}})
 		}
 	}
 	if !whole {
-		a.log.Error("the agent's record is lost or outdated: instances whose desired state is unknown are held", "memory", m.kind.String(), "forgetful", next.Forgetful)
-		a.book.Forgotten(time.Now())
-		a.book.Apply(book.Entry{Hold: &book.Hold{Instances: a.unitNames, Why: m.kind.String()}})
+		a.log.Error("the agent's record is lost or outdated: instances whose desired state is unknown are held", "memory", m.kind.String(), "forgetful", next.MayLackState)
+		a.book.RaiseHorizon(time.Now())
+		a.book.Apply(book.Entry{Hold: &book.Hold{Instances: a.unitNames, Reason: m.kind.String()}})
 		if copied != nil { // fencing tokens must never decrease
-			a.book.Apply(book.Entry{Learn: &book.Learn{Fences: copied.Fences, Source: "its copy"}})
+			a.book.Apply(book.Entry{Adopt: &book.Adopt{Fences: copied.Fences, Source: "its copy"}})
 		}
 	}
-	entry := book.Entry{At: time.Now(), Life: &next}
+	entry := book.Entry{At: time.Now(), AgentStart: &next}
 	a.book.Apply(entry)
 	b := pace.Bound{Parties: a.cfg.agentCount(), Rate: a.cfg.Pace.Rate, Burst: a.cfg.Pace.Burst}
-	m.startSchedule = b.Turns(randv2.Float64)
-	if whole && m.council == recovery.None && a.cfg.Pace.Rate == 0 && !slices.ContainsFunc(a.unitNames, a.wasHeld) {
+	m.startSchedule = b.NewSchedule(randv2.Float64)
+	if whole && m.council == recovery.NoCouncil && a.cfg.Pace.Rate == 0 && !slices.ContainsFunc(a.unitNames, a.wasHeld) {
 		clear(m.held) // there is no council to ask and no pace to keep
 	}
 	a.compactedSize = a.record.Size()
@@ -182,16 +182,16 @@
 // wasHeld reports whether an earlier run of the agent held an instance.
 func (a *Agent) wasHeld(name string) bool {
 	i, _ := a.book.Instance(name)
-	return i.Held != ""
+	return i.HeldReason != ""
 }
 
 // writeCopy writes the record's copy. The caller holds commitMu.
 func (a *Agent) writeCopy() error {
 	a.mu.RLock()
-	k := stateCopy{Life: a.book.Life(), Instances: map[string]copiedInstance{}, Fences: a.book.Fences()}
+	k := stateCopy{Life: a.book.AgentStart(), Instances: map[string]copiedInstance{}, Fences: a.book.Fences()}
 	for _, name := range a.unitNames {
 		i, _ := a.book.Instance(name)
-		k.Instances[name] = copiedInstance{i.Up, i.Generation, i.Held, i.Program}
+		k.Instances[name] = copiedInstance{i.Up, i.Generation, i.HeldReason, i.Program}
 	}
 	a.mu.RUnlock()
 	return a.recordCopy.Rewrite(k)
@@ -199,7 +199,7 @@
 
 // changesCopy reports whether an entry changes the content of the record's copy.
 func changesCopy(e book.Entry) bool {
-	return e.Begin != nil || e.Fence != nil || e.Life != nil || e.Hold != nil || e.Learn != nil || e.Fleet != nil && e.Fleet.Fence != nil || e.Open != nil && e.Open.Request.Fence != nil
+	return e.Begin != nil || e.Fence != nil || e.AgentStart != nil || e.Hold != nil || e.Adopt != nil || e.FleetBans != nil && e.FleetBans.Fence != nil || e.Open != nil && e.Open.Request.Fence != nil
 }
 
 // resolveHeld releases the held instances whose desired state is known by now, and updates the
@@ -208,32 +208,32 @@
 	now := time.Now()
 	a.mu.Lock()
 	m := &a.recovery
-	recovered := map[string]book.Word{}
+	recovered := map[string]book.DesiredState{}
 	cleared := []string{}
 	source := ""
 	for name, h := range m.held {
 		view := a.units[name].currentView()
 		i, _ := a.book.Instance(name)
 		f := recovery.Facts{
-			Memory: m.kind, First: m.firstStart, Council: m.council, Known: m.knownToCouncil, Words: slices.Clone(m.sources[name]),
-			Runs: view.token != "", Elapsed: now.Sub(m.began), StartAfter: a.cfg.unknownStartDelay(a.units[name].def.Group),
+			Record: m.kind, FirstStart: m.firstStart, Council: m.council, KnownToCouncil: m.knownToCouncil, Claims: slices.Clone(m.sources[name]),
+			Running: view.token != "", Elapsed: now.Sub(m.began), StartAfter: a.cfg.unknownStartDelay(a.units[name].def.Group),
 		}
-		if i.Held != "" && f.Memory == recovery.Whole {
-			f.Memory = recovery.Lost // held by an earlier run of the agent and not decided since
+		if i.HeldReason != "" && f.Record == recovery.Intact {
+			f.Record = recovery.Lost // held by an earlier run of the agent and not decided since
 		}
-		if f.Runs && f.Memory != recovery.Whole {
-			f.Words = append(f.Words, recovery.Word{Source: "its process", Up: true})
+		if f.Running && f.Record != recovery.Intact {
+			f.Claims = append(f.Claims, recovery.Claim{Source: "its process", Up: true})
 		}
 		v := recovery.Decide(f)
 		h.verdict = v
-		if v.Do != recovery.Follow {
+		if v.Action != recovery.Follow {
 			continue
 		}
 		cleared = append(cleared, name)
-		if w := (book.Word{Up: v.Word.Up, Generation: max(v.Word.Generation, i.Generation), Program: v.Word.Program}); i.Held != "" || w != (book.Word{Up: i.Up, Generation: i.Generation, Program: i.Program}) {
-			recovered[name], source = w, v.Word.Source
-			if f.Memory != recovery.Whole {
-				a.log.Warn("recovered the desired state", "instance", name, "why", v.Why)
+		if w := (book.DesiredState{Up: v.Claim.Up, Generation: max(v.Claim.Generation, i.Generation), Program: v.Claim.Program}); i.HeldReason != "" || w != (book.DesiredState{Up: i.Up, Generation: i.Generation, Program: i.Program}) {
+			recovered[name], source = w, v.Claim.Source
+			if f.Record != recovery.Intact {
+				a.log.Warn("recovered the desired state", "instance", name, "why", v.Reason)
 			}
 		}
 	}
@@ -242,7 +242,7 @@
 		return
 	}
 	if len(recovered) > 0 {
-		if _, err := a.commit(book.Entry{Learn: &book.Learn{Instances: recovered, Source: source}}); err != nil {
+		if _, err := a.commit(book.Entry{Adopt: &book.Adopt{Instances: recovered, Source: source}}); err != nil {
 			return // retried at the next interval
 		}
 	}
@@ -281,7 +281,7 @@
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	i, _ := a.book.Instance(name)
-	if !i.Up || i.Held != "" || a.recovery.held[name] != nil {
+	if !i.Up || i.HeldReason != "" || a.recovery.held[name] != nil {
 		return 0, false
 	}
 	return time.Until(a.recovery.startTimes[name]), true
@@ -323,21 +323,21 @@
 func (a *Agent) mayLackTokens() bool {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	return a.book.Life().Forgetful || a.recovery.council == recovery.Silent
+	return a.book.AgentStart().MayLackState || a.recovery.council == recovery.Unanswered
 }
 
 // report returns this agent's report to the council. An agent that may have lost tokens only asks for its data.
 func (a *Agent) report() duty.Report {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	life := a.book.Life()
-	r := duty.Report{Agent: a.cfg.Name, Folder: life.Folder, Starts: life.Starts, Asks: life.Forgetful}
-	if r.Asks {
+	life := a.book.AgentStart()
+	r := duty.Report{Agent: a.cfg.Name, StateDirID: life.StateDirID, Starts: life.Starts, QueryOnly: life.MayLackState}
+	if r.QueryOnly {
 		return r
 	}
 	r.Instances = map[string]duty.Desired{}
 	for _, name := range a.unitNames {
-		if i, _ := a.book.Instance(name); i.Held == "" && a.recovery.held[name] == nil {
+		if i, _ := a.book.Instance(name); i.HeldReason == "" && a.recovery.held[name] == nil {
 			r.Instances[name] = duty.Desired{Up: i.Up, Generation: i.Generation, Group: a.units[name].def.Group, Program: i.Program}
 		}
 	}
@@ -346,15 +346,15 @@
 
 // handleReportAnswer applies the council's answer to a report: fencing tokens, and on the first answer the
 // desired states that the council knows.
-func (a *Agent) handleReportAnswer(t duty.Told) error {
-	learn := book.Learn{Fences: t.Fences, Whole: true, Source: "the council"}
+func (a *Agent) handleReportAnswer(t duty.ReportAnswer) error {
+	learn := book.Adopt{Fences: t.Fences, StateComplete: true, Source: "the council"}
 	a.mu.RLock()
-	fences, asked := a.book.Fences(), a.recovery.council != recovery.Silent
-	forgetful := a.book.Life().Forgetful
+	fences, asked := a.book.Fences(), a.recovery.council != recovery.Unanswered
+	forgetful := a.book.AgentStart().MayLackState
 	a.mu.RUnlock()
 	maps.DeleteFunc(learn.Fences, func(d string, token protocol.Token) bool { return token <= fences[d] })
 	if len(learn.Fences) > 0 && !asked || forgetful {
-		if _, err := a.commit(book.Entry{Learn: &learn}); err != nil {
+		if _, err := a.commit(book.Entry{Adopt: &learn}); err != nil {
 			return err
 		}
 	}
@@ -363,9 +363,9 @@
 	}
 	a.mu.Lock()
 	m := &a.recovery
-	m.council, m.knownToCouncil, m.recentStarts = recovery.Answered, t.Known, t.Back
+	m.council, m.knownToCouncil, m.recentStarts = recovery.Answered, t.Known, t.RecentStarts
 	for name, d := range t.Instances {
-		m.sources[name] = append(m.sources[name], recovery.Word{Source: "the council", Up: d.Up, Generation: d.Generation, Program: d.Program})
+		m.sources[name] = append(m.sources[name], recovery.Claim{Source: "the council", Up: d.Up, Generation: d.Generation, Program: d.Program})
 	}
 	a.mu.Unlock()
 	a.resolveHeld()
@@ -381,14 +381,14 @@
 		asked := c.clock.Now()
 		answer, err := c.Do(callCtx, duty.Command{Report: &r})
 		cancel()
-		if err == nil && answer.Told != nil {
-			err = a.handleReportAnswer(*answer.Told)
+		if err == nil && answer.ReportAnswer != nil {
+			err = a.handleReportAnswer(*answer.ReportAnswer)
 			if err == nil && a.fleetBans != nil {
-				err = a.fleetBans.update(answer.Told.Word, nil, asked)
+				err = a.fleetBans.update(answer.ReportAnswer.Word, nil, asked)
 			}
 		}
 		wait := reportInterval
-		if err != nil || r.Asks {
+		if err != nil || r.QueryOnly {
 			wait = reportRetryDelay + time.Duration(randv2.Int64N(int64(reportRetryDelay)))
 			if err == nil {
 				wait = 0 // the agent has its tokens now and can send a full report
@@ -407,17 +407,17 @@
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	m := &a.recovery
-	life := a.book.Life()
+	life := a.book.AgentStart()
 	r := protocol.Recovery{
-		Agent: a.cfg.Name, Memory: m.kind.String(), Forgetful: life.Forgetful, Folder: life.Folder, Starts: life.Starts,
-		Council: [...]string{"none", "silent", "answered"}[m.council], Held: []protocol.Held{},
+		Agent: a.cfg.Name, Memory: m.kind.String(), Forgetful: life.MayLackState, StateDirID: life.StateDirID, Starts: life.Starts,
+		Council: [...]string{"none", "silent", "answered"}[m.council], Held: []protocol.HeldInstance{},
 	}
 	for _, name := range a.unitNames {
 		h := m.held[name]
 		if h == nil {
 			continue
 		}
-		held := protocol.Held{Instance: name, Since: h.since, Why: h.verdict.Why, Runs: a.units[name].currentView().token != ""}
+		held := protocol.HeldInstance{Instance: name, Since: h.since, Reason: h.verdict.Reason, Running: a.units[name].currentView().token != ""}
 		if h.verdict.Until > 0 {
 			held.Until = m.began.Add(h.verdict.Until)
 		}
@@ -447,7 +447,7 @@
 		a.commitMu.Unlock()
 		return &protocol.Error{Code: protocol.CodeConflict, Instance: name, Text: fmt.Sprintf("%s is not held: another operator or the council has decided; use start or drain", name)}
 	}
-	_, err := a.commitLocked(book.Entry{Learn: &book.Learn{Instances: map[string]book.Word{name: {Up: up, Generation: newest + 1, Program: program}}, Source: "operator " + by}})
+	_, err := a.commitLocked(book.Entry{Adopt: &book.Adopt{Instances: map[string]book.DesiredState{name: {Up: up, Generation: newest + 1, Program: program}}, Source: "operator " + by}})
 	a.commitMu.Unlock()
 	if err != nil {
 		return err
--- a/internal/fleet/agent/recovery_test.go
+++ b/internal/fleet/agent/recovery_test.go
@@ -95,7 +95,7 @@
 				defer l.stop()
 				time.Sleep(20 * time.Second)
 				r := l.recoveryState()
-				if len(r.Held) != 1 || r.Held[0].Instance != "a" || !strings.Contains(r.Held[0].Why, "nobody knows") || (c.starts == 2) == r.Held[0].Until.IsZero() {
+				if len(r.Held) != 1 || r.Held[0].Instance != "a" || !strings.Contains(r.Held[0].Reason, "nobody knows") || (c.starts == 2) == r.Held[0].Until.IsZero() {
 					t.Errorf("%+v", r)
 				}
 				if w.machine.Running("b") == "" || w.machine.Starts("b") != 1 {
--- a/internal/fleet/agent/server.go
+++ b/internal/fleet/agent/server.go
@@ -128,7 +128,7 @@
 // server returns a server for a listener; identify determines the caller of a request.
 func (a *Agent) server(l net.Listener, identify func(*http.Request) caller) *server {
 	return &server{l, &http.Server{
-		Handler: a.handler(identify), ReadHeaderTimeout: readTimeout, ReadTimeout: 2 * readTimeout, WriteTimeout: protocol.WaitMost + 2*readTimeout,
+		Handler: a.handler(identify), ReadHeaderTimeout: readTimeout, ReadTimeout: 2 * readTimeout, WriteTimeout: protocol.MaxWait + 2*readTimeout,
 		IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug),
 	}}
@@ -172,7 +172,7 @@
 	handle("GET /v1/instances", pki.Viewer, func(*http.Request, caller) (any, error) { return a.instances(), nil })
 	handle("GET /v1/instances/{name}/inspect", pki.Viewer, func(r *http.Request, _ caller) (any, error) { return a.inspect(r) })
 	handle("POST /v1/instances/{name}/kept", pki.Operator, func(r *http.Request, c caller) (any, error) {
-		var k control.Keep
+		var k control.StateCommand
 		if err := decodeStrict(r, &k); err != nil {
 			return nil, err
 		}
@@ -185,7 +185,7 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), inspectTimeout)
 		defer cancel()
-		if err := a.runner.Keep(ctx, u.def, k); err != nil {
+		if err := a.runner.SendStateCommand(ctx, u.def, k); err != nil {
 			return nil, protocol.Errorf(protocol.CodeFailed, "%s: %v", u.def.Name, err)
 		}
 		a.log.Info("sent an instance a command about its saved state", "instance", u.def.Name, "do", k.Do, "operator", c.name)
@@ -238,7 +238,7 @@
 			if err != nil || ms < 0 {
 				return nil, protocol.Errorf(protocol.CodeUsage, "wait: %q is not a number of milliseconds", text)
 			}
-			wait = time.Duration(min(ms, protocol.WaitMost.Milliseconds())) * time.Millisecond
+			wait = time.Duration(min(ms, protocol.MaxWait.Milliseconds())) * time.Millisecond
 		}
 		return a.waitOperation(r.Context(), r.PathValue("id"), r.PathValue("instance"), wait)
 	})
@@ -270,7 +270,7 @@
 	if a.cfg.Council == nil {
 		return nil, protocol.Errorf(protocol.CodeUsage, "%s: this agent's file has no [council], so it accepts no fences", protocol.FenceHeader)
 	}
-	return protocol.ReadFence(text)
+	return protocol.ParseFence(text)
 }
 
 // requestedVersion returns the protocol version of a request; "?" if its path has none or its
@@ -293,7 +293,7 @@
 	if r.TLS == nil {
 		return caller{name: r.RemoteAddr}
 	}
-	name, role := pki.Who(r.TLS)
+	name, role := pki.PeerIdentity(r.TLS)
 	return caller{name: name, role: role}
 }
 
@@ -302,16 +302,16 @@
 
 // decodeLenient is decodeStrict for messages between agents of different versions during an upgrade:
 // unknown fields that a newer agent adds are ignored. Changes that must not be ignored get a new
-// format version (duty.Form).
+// format version (duty.FormatVersion).
 func decodeLenient(r *http.Request, into any) error { return decodeBody(r, into, false) }
 
 func decodeBody(r *http.Request, into any, strict bool) error {
-	text, err := io.ReadAll(io.LimitReader(r.Body, protocol.BodyMost+1))
+	text, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodySize+1))
 	if err != nil {
 		return protocol.Errorf(protocol.CodeUsage, "body: %v", err)
 	}
-	if len(text) > protocol.BodyMost {
-		return protocol.Errorf(protocol.CodeUsage, "body: over %d bytes", protocol.BodyMost)
+	if len(text) > protocol.MaxBodySize {
+		return protocol.Errorf(protocol.CodeUsage, "body: over %d bytes", protocol.MaxBodySize)
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	if strict {
--- a/internal/fleet/agent/server_test.go
+++ b/internal/fleet/agent/server_test.go
@@ -52,7 +52,7 @@
 	for _, r := range []pki.Request{
 		{Name: "m1", Role: pki.Agent, Hosts: []string{"127.0.0.1"}}, {Name: "vera", Role: pki.Viewer}, {Name: "ada", Role: pki.Operator},
 	} {
-		r.For = time.Hour
+		r.ValidFor = time.Hour
 		if err := pki.Issue(dir, r, now); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 	cfg := newFixture(t).cfg
 	cfg.Listen = "127.0.0.1:0"
 	cfg.TLS.CA, cfg.TLS.Cert, cfg.TLS.Key = filepath.Join(dir, "ca.pem"), filepath.Join(dir, "m1.pem"), filepath.Join(dir, "m1.key")
-	a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), Version: "test", First: true})
+	a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), Version: "test", FirstStart: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	if _, err := clientAs(t, addr, dir, dir, "vera").Agent(ctx); err != nil {
 		t.Errorf("a viewer reads: %v", err)
 	}
-	drain := protocol.CommandRequest{ID: protocol.NewID(now, 1), Kind: protocol.Drain, Instances: []protocol.Seen{{Name: "a"}}}
+	drain := protocol.CommandRequest{ID: protocol.NewID(now, 1), Kind: protocol.Drain, Instances: []protocol.InstanceGeneration{{Name: "a"}}}
 	if _, err := clientAs(t, addr, dir, dir, "vera").Open(ctx, drain); code(err) != protocol.CodeForbidden {
 		t.Errorf("a viewer gives a command: %v", err)
 	}
@@ -120,7 +120,7 @@
 	if _, err := clientAs(t, addr, dir, other, "ada").Agent(ctx); err == nil {
 		t.Error("a certificate of another authority was accepted")
 	}
-	if err := pki.Issue(dir, pki.Request{Name: "old", Role: pki.Operator, For: time.Minute}, now.Add(-time.Hour)); err != nil {
+	if err := pki.Issue(dir, pki.Request{Name: "old", Role: pki.Operator, ValidFor: time.Minute}, now.Add(-time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := clientAs(t, addr, dir, dir, "old").Agent(ctx); err == nil {
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	cfg.Socket = filepath.Join(dir, "s")
-	a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), Version: "test", First: true})
+	a, err := New(cfg, Options{Runner: instances.NewMachine().Runner(), Version: "test", FirstStart: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,7 +259,7 @@
 		code   string
 		text   string
 	}{
-		"too large":     {"/v1/commands", nil, good + `,"plan":"` + strings.Repeat("x", protocol.BodyMost) + `"}`, protocol.CodeUsage, "over 1048576 bytes"},
+		"too large":     {"/v1/commands", nil, good + `,"plan":"` + strings.Repeat("x", protocol.MaxBodySize) + `"}`, protocol.CodeUsage, "over 1048576 bytes"},
 		"unknown field": {"/v1/commands", nil, good + `,"force":true}`, protocol.CodeUsage, "force"},
 		"two values":    {"/v1/commands", nil, good + `}{}`, protocol.CodeUsage, "more than one"},
 		"no JSON":       {"/v1/commands", nil, "restart a", protocol.CodeUsage, "body"},
--- a/internal/fleet/book/book.go
+++ b/internal/fleet/book/book.go
@@ -1,7 +1,7 @@
-// Package book is an agent's state: the desired state of each instance, which command
+// Package agentstate is an agent's state: the desired state of each instance, which command
 // holds it, and the commands and operations with their steps. It does no I/O and has no
 // clock. Each change is an Entry, which the agent writes to its record before it
-// applies it, so that replaying the record gives the same Book.
+// applies it, so that replaying the record gives the same State.
 package book
 
 import (
@@ -33,56 +33,56 @@
 
 // Entry is one change. Exactly one of its pointers is set.
 type Entry struct {
-	At        time.Time  `json:"at"`
-	Snapshot  *Snapshot  `json:"snapshot,omitempty"`
-	Open      *Open      `json:"open,omitempty"`
-	Close     *Close     `json:"close,omitempty"`
-	Begin     *Begin     `json:"begin,omitempty"`
-	Step      *Step      `json:"step,omitempty"`
-	End       *End       `json:"end,omitempty"`
-	FoundDown *FoundDown `json:"found,omitempty"`
-	Fence     *Fence     `json:"fence,omitempty"`
-	Life      *Life      `json:"life,omitempty"`
-	Hold      *Hold      `json:"hold,omitempty"`
-	Learn     *Learn     `json:"learn,omitempty"`
-	Fleet     *Fleet     `json:"fleet,omitempty"`
-}
-
-// Life is a start of an agent on a state directory.
-type Life struct {
-	Folder string `json:"folder"` // the directory's id, assigned at its creation
-	Starts uint64 `json:"starts"`
-	// Forgetful is set if state may have been lost: until the agent has the fleet's tokens
+	At         time.Time   `json:"at"`
+	Snapshot   *Snapshot   `json:"snapshot,omitempty"`
+	Open       *Open       `json:"open,omitempty"`
+	Close      *Close      `json:"close,omitempty"`
+	Begin      *Begin      `json:"begin,omitempty"`
+	Step       *Step       `json:"step,omitempty"`
+	End        *End        `json:"end,omitempty"`
+	FoundDown  *FoundDown  `json:"found,omitempty"`
+	Fence      *Fence      `json:"fence,omitempty"`
+	AgentStart *AgentStart `json:"life,omitempty"`
+	Hold       *Hold       `json:"hold,omitempty"`
+	Adopt      *Adopt      `json:"learn,omitempty"`
+	FleetBans  *FleetBans  `json:"fleet,omitempty"`
+}
+
+// AgentStart is a start of an agent on a state directory.
+type AgentStart struct {
+	StateDirID string `json:"folder"` // the directory's id, assigned at its creation
+	Starts     uint64 `json:"starts"`
+	// MayLackState is set if state may have been lost: until the agent has the fleet's tokens
 	// it accepts no order of a duty.
-	Forgetful bool `json:"forgetful,omitempty"`
+	MayLackState bool `json:"forgetful,omitempty"`
 }
 
 // Hold records instances whose desired state is unknown, and what became of the agent's record.
 type Hold struct {
 	Instances []string `json:"instances"`
-	Why       string   `json:"why"`
+	Reason    string   `json:"why"`
 }
 
-// Learn adopts desired states that others have kept or that an operator has decided. One of a lower
+// Adopt adopts desired states that others have kept or that an operator has decided. One of a lower
 // generation than the one here changes nothing.
-type Learn struct {
-	Instances map[string]Word           `json:"instances,omitempty"`
+type Adopt struct {
+	Instances map[string]DesiredState   `json:"instances,omitempty"`
 	Fences    map[string]protocol.Token `json:"fences,omitempty"`
-	// Whole clears Life.Forgetful.
-	Whole  bool   `json:"whole,omitempty"`
-	Source string `json:"source"`
+	// StateComplete clears AgentStart.MayLackState.
+	StateComplete bool   `json:"whole,omitempty"`
+	Source        string `json:"source"`
 }
 
-// Word is the desired state of an instance.
-type Word struct {
+// DesiredState is the desired state of an instance.
+type DesiredState struct {
 	Up         bool   `json:"up"`
 	Generation uint64 `json:"generation"`
 	Program    string `json:"program,omitempty"` // see protocol.Instance
 }
 
-// Fleet adopts the fleet's bans.
-type Fleet struct {
-	Word cordon.Word `json:"word"`
+// FleetBans adopts the fleet's bans.
+type FleetBans struct {
+	Bans cordon.FleetBans `json:"word"`
 	// Fence is the fence of the owner that sends them; nil if they come from the council itself.
 	Fence *protocol.Fence `json:"fence,omitempty"`
 }
@@ -141,15 +141,15 @@
 	Instances []string `json:"down"`
 }
 
-// Snapshot is a whole Book.
+// Snapshot is a whole State.
 type Snapshot struct {
 	Instances map[string]*Instance `json:"instances"`
 	Commands  []*Command           `json:"commands"`
 	Horizon   time.Time            `json:"horizon"`
 	// Fences has the highest token seen of each duty.
-	Fences map[string]protocol.Token `json:"fences,omitempty"`
-	Life   Life                      `json:"life,omitzero"`
-	Word   cordon.Word               `json:"word,omitzero"`
+	Fences     map[string]protocol.Token `json:"fences,omitempty"`
+	AgentStart AgentStart                `json:"life,omitzero"`
+	FleetBans  cordon.FleetBans          `json:"word,omitzero"`
 }
 
 // Instance is the state of an instance.
@@ -158,9 +158,9 @@
 	Generation uint64 `json:"generation"`
 	// Operation is the command whose operation is in progress here, "" for none.
 	Operation string `json:"operation,omitempty"`
-	// Held says why the desired state is unknown; "" if it is known.
-	Held    string `json:"held,omitempty"`
-	Program string `json:"program,omitempty"` // desired
+	// HeldReason says why the desired state is unknown; "" if it is known.
+	HeldReason string `json:"held,omitempty"`
+	Program    string `json:"program,omitempty"` // desired
 }
 
 // Command is a command with its operations.
@@ -174,34 +174,34 @@
 	LastTry map[string]int `json:"tries"`
 }
 
-// Book is an agent's state. Create it with New. It is not safe for concurrent use.
-type Book struct {
+// State is an agent's state. Create it with New. It is not safe for concurrent use.
+type State struct {
 	instances  map[string]*Instance
 	commands   map[string]*Command
 	order      []string            // ids of commands, oldest first
 	holders    map[string]*Command // by instance: the open command that has its lease
 	horizon    time.Time           // commands with ids from before this may have been evicted
 	fences     map[string]protocol.Token
-	agentStart Life
-	fleetBans  cordon.Word // the fleet's latest bans
+	agentStart AgentStart
+	fleetBans  cordon.FleetBans // the fleet's latest bans
 }
 
-// New creates a Book for the given instances. Others that later entries name are kept as
+// New creates a State for the given instances. Others that later entries name are kept as
 // well, as their definition may come back.
-func New(names []string) *Book {
-	b := &Book{instances: map[string]*Instance{}, commands: map[string]*Command{}, holders: map[string]*Command{}, fences: map[string]protocol.Token{}}
+func New(names []string) *State {
+	b := &State{instances: map[string]*Instance{}, commands: map[string]*Command{}, holders: map[string]*Command{}, fences: map[string]protocol.Token{}}
 	for _, name := range names {
 		b.instances[name] = &Instance{Up: true}
 	}
 	return b
 }
 
-// Forgotten records that commands from before now may be missing, as after damage to the
+// RaiseHorizon records that commands from before now may be missing, as after damage to the
 // record: their ids are refused.
-func (b *Book) Forgotten(now time.Time) { b.horizon = now.Truncate(time.Millisecond) }
+func (b *State) RaiseHorizon(now time.Time) { b.horizon = now.Truncate(time.Millisecond) }
 
 // Instance returns a copy of an instance's state.
-func (b *Book) Instance(name string) (Instance, bool) {
+func (b *State) Instance(name string) (Instance, bool) {
 	i := b.instances[name]
 	if i == nil {
 		return Instance{}, false
@@ -210,7 +210,7 @@
 }
 
 // Holder returns the holder of an instance; nil if there is none.
-func (b *Book) Holder(name string) *protocol.Holder {
+func (b *State) Holder(name string) *protocol.Holder {
 	c := b.holders[name]
 	if c == nil {
 		return nil
@@ -219,7 +219,7 @@
 }
 
 // Command returns a copy of a command; nil if there is none.
-func (b *Book) Command(id string) *protocol.Command {
+func (b *State) Command(id string) *protocol.Command {
 	c := b.commands[id]
 	if c == nil {
 		return nil
@@ -246,7 +246,7 @@
 }
 
 // Commands returns the latest commands, newest first, at most n.
-func (b *Book) Commands(n int) []*protocol.Command {
+func (b *State) Commands(n int) []*protocol.Command {
 	list := make([]*protocol.Command, 0, min(n, len(b.order)))
 	for _, id := range slices.Backward(b.order) {
 		if len(list) == n {
@@ -258,7 +258,7 @@
 }
 
 // OpenCommands returns the ids of the commands that hold a lease.
-func (b *Book) OpenCommands() []string {
+func (b *State) OpenCommands() []string {
 	var ids []string
 	for _, id := range b.order {
 		if b.commands[id].State == protocol.Open {
@@ -269,7 +269,7 @@
 }
 
 // Operation returns a copy of an operation; nil if it was never begun.
-func (b *Book) Operation(id, instance string) *protocol.Operation {
+func (b *State) Operation(id, instance string) *protocol.Operation {
 	o := b.operation(id, instance)
 	if o == nil {
 		return nil
@@ -279,7 +279,7 @@
 	return &v
 }
 
-func (b *Book) operation(id, instance string) *protocol.Operation {
+func (b *State) operation(id, instance string) *protocol.Operation {
 	c := b.commands[id]
 	if c == nil {
 		return nil
@@ -291,8 +291,8 @@
 	return &c.Operations[i]
 }
 
-// RunAt returns the token of the process that was running when an operation began.
-func (b *Book) RunAt(id, instance string) string {
+// RunTokenAt returns the token of the process that was running when an operation began.
+func (b *State) RunTokenAt(id, instance string) string {
 	if c := b.commands[id]; c != nil {
 		return c.RunTokens[instance]
 	}
@@ -301,7 +301,7 @@
 
 // Check reports whether a change may be made; the error is the answer to the requester.
 // done means that it was made before and must not be written again.
-func (b *Book) Check(e Entry) (done bool, err error) {
+func (b *State) Check(e Entry) (done bool, err error) {
 	switch {
 	case e.Open != nil:
 		return b.checkOpen(e.Open)
@@ -320,8 +320,8 @@
 		return c.State != protocol.Open, nil
 	case e.Fence != nil:
 		return b.checkFenceRaise(e.Fence)
-	case e.Fleet != nil:
-		return b.checkFleet(e.Fleet)
+	case e.FleetBans != nil:
+		return b.checkFleet(e.FleetBans)
 	case e.Step != nil:
 		o := b.operation(e.Step.ID, e.Step.Instance)
 		if o == nil || o.State != protocol.Running {
@@ -342,10 +342,10 @@
 }
 
 // Fences returns the highest token seen of each duty.
-func (b *Book) Fences() map[string]protocol.Token { return maps.Clone(b.fences) }
+func (b *State) Fences() map[string]protocol.Token { return maps.Clone(b.fences) }
 
 // checkFence refuses an order under a token below the highest one seen.
-func (b *Book) checkFence(f protocol.Fence) error {
+func (b *State) checkFence(f protocol.Fence) error {
 	if highest := b.fences[f.Duty]; f.Token < highest {
 		return protocol.Errorf(protocol.CodeFenced, "token %v of %s is over: token %v was seen here", f.Token, f.Duty, highest)
 	}
@@ -354,7 +354,7 @@
 
 // checkCommandFence refuses an order on a fenced command that does not come from the owner that
 // resumed it last.
-func (b *Book) checkCommandFence(c *Command, f *protocol.Fence) error {
+func (b *State) checkCommandFence(c *Command, f *protocol.Fence) error {
 	switch {
 	case c.Fence == nil:
 		return protocol.Errorf(protocol.CodeConflict, "command %s belongs to operator %s, not to a duty", c.ID, c.Operator)
@@ -367,7 +367,7 @@
 }
 
 // CheckOwner reports whether a fence may still give orders on a command.
-func (b *Book) CheckOwner(id string, f *protocol.Fence) error {
+func (b *State) CheckOwner(id string, f *protocol.Fence) error {
 	c := b.commands[id]
 	if c == nil {
 		return protocol.Errorf(protocol.CodeNotFound, "no command %s is known here", id)
@@ -375,10 +375,10 @@
 	return b.checkCommandFence(c, f)
 }
 
-func (b *Book) checkFenceRaise(f *Fence) (bool, error) {
+func (b *State) checkFenceRaise(f *Fence) (bool, error) {
 	highest, known := b.fences[f.Duty]
 	switch {
-	case !protocol.Name.MatchString(f.Duty) || f.Token == 0:
+	case !protocol.NamePattern.MatchString(f.Duty) || f.Token == 0:
 		return false, protocol.Errorf(protocol.CodeUsage, "fence: %q with token %v", f.Duty, f.Token)
 	case !known && len(b.fences) >= MaxFences:
 		return false, protocol.Errorf(protocol.CodeUsage, "fence: at most %d duties are supported", MaxFences)
@@ -386,8 +386,8 @@
 	return f.Token == highest, b.checkFence(f.Fence)
 }
 
-func (b *Book) checkFleet(f *Fleet) (bool, error) {
-	if err := f.Word.Check(); err != nil {
+func (b *State) checkFleet(f *FleetBans) (bool, error) {
+	if err := f.Bans.Check(); err != nil {
 		return false, protocol.Errorf(protocol.CodeUsage, "the fleet's word: %v", err)
 	}
 	if f.Fence != nil {
@@ -395,16 +395,16 @@
 			return false, err
 		}
 	}
-	if f.Word.Version < b.fleetBans.Version {
-		return false, protocol.Errorf(protocol.CodeConflict, "the fleet's word: version %v is older than version %v, which was seen here", protocol.Token(f.Word.Version), protocol.Token(b.fleetBans.Version))
+	if f.Bans.Version < b.fleetBans.Version {
+		return false, protocol.Errorf(protocol.CodeConflict, "the fleet's word: version %v is older than version %v, which was seen here", protocol.Token(f.Bans.Version), protocol.Token(b.fleetBans.Version))
 	}
-	return f.Word.Version == b.fleetBans.Version && (f.Fence == nil || f.Fence.Token == b.fences[f.Fence.Duty]), nil
+	return f.Bans.Version == b.fleetBans.Version && (f.Fence == nil || f.Fence.Token == b.fences[f.Fence.Duty]), nil
 }
 
-// Word returns the fleet's latest bans.
-func (b *Book) Word() cordon.Word { return b.fleetBans }
+// FleetBans returns the fleet's latest bans.
+func (b *State) FleetBans() cordon.FleetBans { return b.fleetBans }
 
-func (b *Book) checkOpen(o *Open) (bool, error) {
+func (b *State) checkOpen(o *Open) (bool, error) {
 	r := o.Request
 	created, err := protocol.IDTime(r.ID)
 	switch {
@@ -414,12 +414,12 @@
 		return false, protocol.Errorf(protocol.CodeUsage, "kind: unknown kind %q", r.Kind)
 	case r.Kind == protocol.Upgrade && r.Fence == nil:
 		return false, protocol.Errorf(protocol.CodeUsage, "kind: an upgrade is a job of the fleet: otterctl apply")
-	case r.Program != "" && (r.Kind != protocol.Upgrade || !protocol.Name.MatchString(r.Program)):
+	case r.Program != "" && (r.Kind != protocol.Upgrade || !protocol.NamePattern.MatchString(r.Program)):
 		return false, protocol.Errorf(protocol.CodeUsage, "program: %.80q of a command of kind %q", r.Program, r.Kind)
 	case len(r.Plan) > maxPlanBytes:
 		return false, protocol.Errorf(protocol.CodeUsage, "plan: %d bytes, at most %d are allowed", len(r.Plan), maxPlanBytes)
-	case len(r.Instances) == 0 || len(r.Instances) > protocol.InstancesMost:
-		return false, protocol.Errorf(protocol.CodeUsage, "instances: %d are named, 1 to %d are allowed", len(r.Instances), protocol.InstancesMost)
+	case len(r.Instances) == 0 || len(r.Instances) > protocol.MaxInstances:
+		return false, protocol.Errorf(protocol.CodeUsage, "instances: %d are named, 1 to %d are allowed", len(r.Instances), protocol.MaxInstances)
 	}
 	if r.Fence != nil {
 		if _, err := b.checkFenceRaise(&Fence{Fence: *r.Fence}); err != nil {
@@ -491,7 +491,7 @@
 }
 
 // lastHolder returns the command that last began an operation on an instance.
-func (b *Book) lastHolder(name string) *protocol.Holder {
+func (b *State) lastHolder(name string) *protocol.Holder {
 	for _, id := range slices.Backward(b.order) {
 		if c := b.commands[id]; b.operation(id, name) != nil {
 			return &protocol.Holder{Command: c.ID, Kind: c.Kind, Operator: c.Operator, Since: c.Opened}
@@ -500,7 +500,7 @@
 	return nil
 }
 
-func (b *Book) checkBegin(e *Begin) (bool, error) {
+func (b *State) checkBegin(e *Begin) (bool, error) {
 	c := b.commands[e.ID]
 	if c == nil {
 		return false, protocol.Errorf(protocol.CodeNotFound, "no command %s is known here", e.ID)
@@ -526,7 +526,7 @@
 }
 
 // Apply applies a change that Check has accepted, now or before it was written to the record.
-func (b *Book) Apply(e Entry) {
+func (b *State) Apply(e Entry) {
 	switch {
 	case e.Snapshot != nil:
 		b.load(e.Snapshot)
@@ -535,7 +535,7 @@
 	case e.Close != nil:
 		if c := b.commands[e.Close.ID]; c != nil {
 			b.release(c)
-			c.State, c.Reason = e.Close.State, protocol.Clip(e.Close.Reason)
+			c.State, c.Reason = e.Close.State, protocol.Truncate(e.Close.Reason)
 			b.evict()
 		}
 	case e.Begin != nil:
@@ -545,22 +545,22 @@
 			if len(o.Steps) == maxSteps {
 				o.Steps = slices.Delete(o.Steps, 0, 1)
 			}
-			o.Steps = append(o.Steps, protocol.Step{Name: e.Step.Name, At: e.At, Note: protocol.Clip(e.Step.Note)})
+			o.Steps = append(o.Steps, protocol.Step{Name: e.Step.Name, At: e.At, Note: protocol.Truncate(e.Step.Note)})
 		}
 	case e.Fence != nil:
 		b.fences[e.Fence.Duty] = max(b.fences[e.Fence.Duty], e.Fence.Token)
-	case e.Fleet != nil:
-		if b.fleetBans = e.Fleet.Word; e.Fleet.Fence != nil {
-			b.fences[e.Fleet.Fence.Duty] = max(b.fences[e.Fleet.Fence.Duty], e.Fleet.Fence.Token)
+	case e.FleetBans != nil:
+		if b.fleetBans = e.FleetBans.Bans; e.FleetBans.Fence != nil {
+			b.fences[e.FleetBans.Fence.Duty] = max(b.fences[e.FleetBans.Fence.Duty], e.FleetBans.Fence.Token)
 		}
-	case e.Life != nil:
-		b.agentStart = *e.Life
+	case e.AgentStart != nil:
+		b.agentStart = *e.AgentStart
 	case e.Hold != nil:
 		for _, name := range e.Hold.Instances {
-			b.instance(name).Held = protocol.Clip(e.Hold.Why)
+			b.instance(name).HeldReason = protocol.Truncate(e.Hold.Reason)
 		}
-	case e.Learn != nil:
-		b.adopt(e.Learn)
+	case e.Adopt != nil:
+		b.adopt(e.Adopt)
 	case e.FoundDown != nil:
 		for _, name := range e.FoundDown.Instances {
 			if i := b.instances[name]; i != nil {
@@ -569,7 +569,7 @@
 		}
 	case e.End != nil:
 		if o := b.operation(e.End.ID, e.End.Instance); o != nil {
-			o.State, o.Reason, o.Ended = e.End.State, protocol.Clip(e.End.Reason), e.At
+			o.State, o.Reason, o.Ended = e.End.State, protocol.Truncate(e.End.Reason), e.At
 			if i := b.instances[e.End.Instance]; i != nil && i.Operation == e.End.ID {
 				i.Operation = ""
 			}
@@ -577,31 +577,31 @@
 	}
 }
 
-func (b *Book) instance(name string) *Instance {
+func (b *State) instance(name string) *Instance {
 	if b.instances[name] == nil {
 		b.instances[name] = &Instance{}
 	}
 	return b.instances[name]
 }
 
-func (b *Book) adopt(l *Learn) {
+func (b *State) adopt(l *Adopt) {
 	for name, w := range l.Instances {
 		if i := b.instance(name); w.Generation >= i.Generation {
-			i.Up, i.Generation, i.Held, i.Program = w.Up, w.Generation, "", w.Program
+			i.Up, i.Generation, i.HeldReason, i.Program = w.Up, w.Generation, "", w.Program
 		}
 	}
 	for duty, t := range l.Fences {
 		b.fences[duty] = max(b.fences[duty], t)
 	}
-	if l.Whole {
-		b.agentStart.Forgetful = false
+	if l.StateComplete {
+		b.agentStart.MayLackState = false
 	}
 }
 
-// Life returns the latest recorded start of the agent; zero if there is none.
-func (b *Book) Life() Life { return b.agentStart }
+// AgentStart returns the latest recorded start of the agent; zero if there is none.
+func (b *State) AgentStart() AgentStart { return b.agentStart }
 
-func (b *Book) release(c *Command) {
+func (b *State) release(c *Command) {
 	for _, name := range c.Instances {
 		if b.holders[name] == c {
 			delete(b.holders, name)
@@ -609,7 +609,7 @@
 	}
 }
 
-func (b *Book) open(at time.Time, o *Open) {
+func (b *State) open(at time.Time, o *Open) {
 	r := o.Request
 	c := b.commands[r.ID]
 	if c == nil {
@@ -636,7 +636,7 @@
 	b.evict()
 }
 
-func (b *Book) begin(at time.Time, e *Begin) {
+func (b *State) begin(at time.Time, e *Begin) {
 	c := b.commands[e.ID]
 	if c == nil {
 		return
@@ -648,7 +648,7 @@
 		return
 	}
 	i.Generation++
-	i.Operation, i.Held = e.ID, ""
+	i.Operation, i.HeldReason = e.ID, ""
 	if c.Kind != protocol.Reload {
 		i.Up = c.Kind != protocol.Drain
 	}
@@ -672,12 +672,12 @@
 }
 
 // hasRunning reports whether an operation of a command is in progress.
-func (b *Book) hasRunning(c *Command) bool {
+func (b *State) hasRunning(c *Command) bool {
 	return slices.ContainsFunc(c.Operations, func(o protocol.Operation) bool { return o.State == protocol.Running })
 }
 
 // evict removes the oldest ended commands beyond MaxCommands and MaxInstances.
-func (b *Book) evict() {
+func (b *State) evict() {
 	commands, instances := len(b.order), 0
 	for _, c := range b.commands {
 		instances += len(c.Instances)
@@ -700,9 +700,9 @@
 	})
 }
 
-// Snapshot returns a deep copy of the whole book.
-func (b *Book) Snapshot() *Snapshot {
-	s := &Snapshot{Instances: map[string]*Instance{}, Commands: make([]*Command, 0, len(b.order)), Horizon: b.horizon, Fences: maps.Clone(b.fences), Life: b.agentStart, Word: b.fleetBans}
+// Snapshot returns a deep copy of the whole state.
+func (b *State) Snapshot() *Snapshot {
+	s := &Snapshot{Instances: map[string]*Instance{}, Commands: make([]*Command, 0, len(b.order)), Horizon: b.horizon, Fences: maps.Clone(b.fences), AgentStart: b.agentStart, FleetBans: b.fleetBans}
 	for name, i := range b.instances {
 		copied := *i
 		s.Instances[name] = &copied
@@ -714,7 +714,7 @@
 	return s
 }
 
-func (b *Book) load(s *Snapshot) {
+func (b *State) load(s *Snapshot) {
 	for name, i := range s.Instances {
 		copied := *i
 		b.instances[name] = &copied
@@ -722,7 +722,7 @@
 	b.commands, b.holders, b.order, b.horizon = map[string]*Command{}, map[string]*Command{}, nil, s.Horizon
 	b.fences = map[string]protocol.Token{}
 	maps.Copy(b.fences, s.Fences)
-	b.agentStart, b.fleetBans = s.Life, s.Word
+	b.agentStart, b.fleetBans = s.AgentStart, s.FleetBans
 	for _, c := range s.Commands {
 		kept := c.clone()
 		b.commands[c.ID] = kept
@@ -736,7 +736,7 @@
 }
 
 // Unfinished returns the operations in progress, in the order of their instances.
-func (b *Book) Unfinished() []protocol.Operation {
+func (b *State) Unfinished() []protocol.Operation {
 	var list []protocol.Operation
 	for _, id := range b.order {
 		for _, o := range b.commands[id].Operations {
--- a/internal/fleet/book/book_test.go
+++ b/internal/fleet/book/book_test.go
@@ -18,9 +18,9 @@
 
 var start = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// persistedBook is a Book used as an agent does: each entry is checked, written and applied.
+// persistedBook is a State used as an agent does: each entry is checked, written and applied.
 type persistedBook struct {
-	*Book
+	*State
 	t       *testing.T
 	now     time.Time
 	entries [][]byte
@@ -45,13 +45,13 @@
 
 var names = []string{"a", "b", "c", "d"}
 
-func newBook(t *testing.T) *persistedBook { return &persistedBook{Book: New(names), t: t, now: start} }
+func newBook(t *testing.T) *persistedBook { return &persistedBook{State: New(names), t: t, now: start} }
 
 func (w *persistedBook) open(id, kind, operator string, instances ...string) error {
 	r := protocol.CommandRequest{ID: id, Kind: kind}
 	for _, name := range instances {
 		i, _ := w.Instance(name)
-		r.Instances = append(r.Instances, protocol.Seen{Name: name, Generation: i.Generation})
+		r.Instances = append(r.Instances, protocol.InstanceGeneration{Name: name, Generation: i.Generation})
 	}
 	_, err := w.do(Entry{Open: &Open{Request: r, Operator: operator}})
 	return err
@@ -70,7 +70,7 @@
 // Compares random sequences of changes by several operators with a model: at most one
 // open command holds an instance, at most one operation is in progress on it, a
 // generation grows by one for each operation, and replaying the written entries or
-// loading a snapshot gives the same Book.
+// loading a snapshot gives the same State.
 func TestAgainstReferenceModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -162,14 +162,14 @@
 			}
 			replayed.Apply(e)
 		}
-		requireSame(t, seed, w.Book, replayed)
+		requireSame(t, seed, w.State, replayed)
 		loaded := New(names)
 		loaded.Apply(Entry{Snapshot: w.Snapshot()})
-		requireSame(t, seed, w.Book, loaded)
+		requireSame(t, seed, w.State, loaded)
 	}
 }
 
-func requireSame(t *testing.T, seed uint64, x, y *Book) {
+func requireSame(t *testing.T, seed uint64, x, y *State) {
 	t.Helper()
 	a, _ := json.Marshal(x.Snapshot())
 	b, _ := json.Marshal(y.Snapshot())
@@ -212,7 +212,7 @@
 	}
 	// State read before the operation, command sent after it.
 	_, err = w.do(Entry{Open: &Open{Operator: "ben", Request: protocol.CommandRequest{
-		ID: id(4), Kind: protocol.Restart, Instances: []protocol.Seen{{Name: "b", Generation: 0}},
+		ID: id(4), Kind: protocol.Restart, Instances: []protocol.InstanceGeneration{{Name: "b", Generation: 0}},
 	}}})
 	if !errors.As(err, &e) || e.Code != protocol.CodeConflict || e.Holder == nil || e.Holder.Operator != "ada" {
 		t.Errorf("with an old generation: %v", err)
@@ -222,7 +222,7 @@
 func TestRepeatedEntriesActOnce(t *testing.T) {
 	w := newBook(t)
 	request := Entry{Open: &Open{Operator: "ada", Request: protocol.CommandRequest{
-		ID: id(1), Kind: protocol.Restart, Instances: []protocol.Seen{{Name: "a"}, {Name: "b"}},
+		ID: id(1), Kind: protocol.Restart, Instances: []protocol.InstanceGeneration{{Name: "a"}, {Name: "b"}},
 	}}}
 	if done, err := w.do(request); done || err != nil {
 		t.Fatal(done, err)
@@ -294,9 +294,9 @@
 		t.Error("an open command was evicted")
 	}
 	b := New(names)
-	b.Forgotten(start.Add(time.Hour))
+	b.RaiseHorizon(start.Add(time.Hour))
 	if _, err := b.Check(Entry{Open: &Open{Operator: "ada", Request: protocol.CommandRequest{
-		ID: id(1), Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}},
+		ID: id(1), Kind: protocol.Start, Instances: []protocol.InstanceGeneration{{Name: "a"}},
 	}}}); code(err) != protocol.CodeTooOld {
 		t.Errorf("after a lost record: %v", err)
 	}
@@ -306,7 +306,7 @@
 // longest texts.
 func TestSnapshotSizeIsBounded(t *testing.T) {
 	var many []string
-	for n := range protocol.InstancesMost {
+	for n := range protocol.MaxInstances {
 		many = append(many, fmt.Sprintf("%s%04d", strings.Repeat("i", 59), n))
 	}
 	b := New(many)
@@ -315,7 +315,7 @@
 		r := protocol.CommandRequest{ID: id(n), Kind: protocol.Reload, Plan: strings.Repeat("p", maxPlanBytes)}
 		for _, name := range many {
 			i, _ := b.Instance(name)
-			r.Instances = append(r.Instances, protocol.Seen{Name: name, Generation: i.Generation})
+			r.Instances = append(r.Instances, protocol.InstanceGeneration{Name: name, Generation: i.Generation})
 		}
 		open := Entry{At: now, Open: &Open{Request: r, Operator: "ada"}}
 		if _, err := b.Check(open); err != nil {
@@ -331,7 +331,7 @@
 		}
 		b.Apply(Entry{At: now, Close: &Close{ID: r.ID, State: protocol.Closed, Reason: long}})
 	}
-	if n := len(b.Commands(100)); n != MaxInstances/protocol.InstancesMost {
+	if n := len(b.Commands(100)); n != MaxInstances/protocol.MaxInstances {
 		t.Errorf("%d commands are kept, want 10", n)
 	}
 	text, err := json.Marshal(Entry{Snapshot: b.Snapshot()})
@@ -344,14 +344,14 @@
 }
 
 func TestInvalidRequests(t *testing.T) {
-	many := make([]protocol.Seen, protocol.InstancesMost+1)
+	many := make([]protocol.InstanceGeneration, protocol.MaxInstances+1)
 	for name, r := range map[string]protocol.CommandRequest{
-		"no id":     {Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}}},
-		"bad id":    {ID: "../../x", Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}}},
-		"bad kind":  {ID: id(1), Kind: "explode", Instances: []protocol.Seen{{Name: "a"}}},
+		"no id":     {Kind: protocol.Start, Instances: []protocol.InstanceGeneration{{Name: "a"}}},
+		"bad id":    {ID: "../../x", Kind: protocol.Start, Instances: []protocol.InstanceGeneration{{Name: "a"}}},
+		"bad kind":  {ID: id(1), Kind: "explode", Instances: []protocol.InstanceGeneration{{Name: "a"}}},
 		"none":      {ID: id(1), Kind: protocol.Start},
-		"twice":     {ID: id(1), Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}, {Name: "a"}}},
-		"long plan": {ID: id(1), Kind: protocol.Start, Instances: []protocol.Seen{{Name: "a"}}, Plan: strings.Repeat("x", maxPlanBytes+1)},
+		"twice":     {ID: id(1), Kind: protocol.Start, Instances: []protocol.InstanceGeneration{{Name: "a"}, {Name: "a"}}},
+		"long plan": {ID: id(1), Kind: protocol.Start, Instances: []protocol.InstanceGeneration{{Name: "a"}}, Plan: strings.Repeat("x", maxPlanBytes+1)},
 		"too many":  {ID: id(1), Kind: protocol.Start, Instances: many},
 	} {
 		if _, err := New(names).Check(Entry{Open: &Open{Request: r}}); code(err) != protocol.CodeUsage {
@@ -359,7 +359,7 @@
 		}
 	}
 	if _, err := New(names).Check(Entry{Open: &Open{Request: protocol.CommandRequest{
-		ID: id(1), Kind: protocol.Start, Instances: []protocol.Seen{{Name: "z"}},
+		ID: id(1), Kind: protocol.Start, Instances: []protocol.InstanceGeneration{{Name: "z"}},
 	}}}); code(err) != protocol.CodeNotFound {
 		t.Errorf("unknown instance: %v", err)
 	}
--- a/internal/fleet/book/fence_test.go
+++ b/internal/fleet/book/fence_test.go
@@ -20,11 +20,11 @@
 }
 
 // jobOrder is a job's order to an instance, as an owner opens it.
-func jobOrder(b *Book, n int, instance string, token protocol.Token) Entry {
+func jobOrder(b *State, n int, instance string, token protocol.Token) Entry {
 	i, _ := b.Instance(instance)
 	return Entry{Open: &Open{Operator: "ada", Request: protocol.CommandRequest{
 		ID: id(n), Kind: protocol.Restart, Resume: true, Fence: fence(token), OnBehalf: "ada",
-		Instances: []protocol.Seen{{Name: instance, Generation: i.Generation}},
+		Instances: []protocol.InstanceGeneration{{Name: instance, Generation: i.Generation}},
 	}}}
 }
 
@@ -42,7 +42,7 @@
 // fenced off continues from the process that was running when it began.
 func TestNoEffectUnderOutdatedToken(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &persistedBook{Book: New(names), t: t, now: start}
+		w := &persistedBook{State: New(names), t: t, now: start}
 		var highest protocol.Token
 		running := map[string]protocol.Token{} // by "ID INSTANCE": the token of the operation in progress
 		startRun := map[string]string{}        // the process that was running when an order's restart began
@@ -59,7 +59,7 @@
 				}
 				highest = max(highest, token)
 			case 1, 2:
-				if _, err := w.do(jobOrder(w.Book, n, instance, token)); err == nil {
+				if _, err := w.do(jobOrder(w.State, n, instance, token)); err == nil {
 					if token < highest {
 						rt.Fatalf("opened under %v after %v", token, highest)
 					}
@@ -77,7 +77,7 @@
 					if before == nil || before.State == protocol.Failed {
 						startRun[op] = run
 					}
-					if got := w.RunAt(id(n), instance); got != startRun[op] {
+					if got := w.RunTokenAt(id(n), instance); got != startRun[op] {
 						rt.Fatalf("%s continues from %s, but it began from %s", op, got, startRun[op])
 					}
 				}
@@ -111,7 +111,7 @@
 			case 9: // a new owner resumes an order
 				token = highest + 1
 				highest = token
-				if _, err := w.do(jobOrder(w.Book, n, instance, token)); err != nil {
+				if _, err := w.do(jobOrder(w.State, n, instance, token)); err != nil {
 					rt.Fatal(err)
 				}
 				run := fmt.Sprint("run", rapid.IntRange(0, 9).Draw(rt, "run"))
@@ -126,7 +126,7 @@
 				if before == nil || before.State == protocol.Failed {
 					startRun[op] = run
 				}
-				if got := w.RunAt(id(n), instance); got != startRun[op] {
+				if got := w.RunTokenAt(id(n), instance); got != startRun[op] {
 					rt.Fatalf("%s continues from %s, but it began from %s", op, got, startRun[op])
 				}
 			case 8: // the agent dies and replays its record, or its snapshot
@@ -145,7 +145,7 @@
 					}
 					replayed.Apply(e)
 				}
-				w.Book = replayed
+				w.State = replayed
 				if got := w.Fences()["rollouts"]; got != highest {
 					rt.Fatalf("token %v after the restart, want %v", got, highest)
 				}
@@ -157,7 +157,7 @@
 // Only the job's owner may change its order, and an operator's drain in the meantime prevails.
 func TestJobOrders(t *testing.T) {
 	w := newBook(t)
-	if _, err := w.do(jobOrder(w.Book, 1, "a", 2)); err != nil {
+	if _, err := w.do(jobOrder(w.State, 1, "a", 2)); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
@@ -170,8 +170,8 @@
 		"begun by a new owner that did not open": {Entry{Begin: &Begin{ID: id(1), Instance: "a", Fence: fence(3)}}, protocol.CodeConflict},
 		"of another duty":                        {Entry{Begin: &Begin{ID: id(1), Instance: "a", Fence: &protocol.Fence{Duty: "x", Token: 9}}}, protocol.CodeConflict},
 		"opened by a tool": {Entry{Open: &Open{Operator: "ada", Request: protocol.CommandRequest{
-			ID: id(1), Kind: protocol.Restart, Resume: true, Instances: []protocol.Seen{{Name: "a"}}}}}, protocol.CodeConflict},
-		"opened by an old owner": {jobOrder(w.Book, 1, "a", 1), protocol.CodeFenced},
+			ID: id(1), Kind: protocol.Restart, Resume: true, Instances: []protocol.InstanceGeneration{{Name: "a"}}}}}, protocol.CodeConflict},
+		"opened by an old owner": {jobOrder(w.State, 1, "a", 1), protocol.CodeFenced},
 		"no token":               {Entry{Fence: &Fence{Fence: *fence(0)}}, protocol.CodeUsage},
 		"no duty":                {Entry{Fence: &Fence{Fence: protocol.Fence{Duty: "a b", Token: 1}}}, protocol.CodeUsage},
 	} {
@@ -181,7 +181,7 @@
 	}
 	// Drained between the owner's read of the state and its order: the order is refused, also
 	// when it resumes an earlier one.
-	stale := jobOrder(w.Book, 2, "b", 2)
+	stale := jobOrder(w.State, 2, "b", 2)
 	if err := w.open(id(3), protocol.Drain, "eve", "b"); err != nil {
 		t.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 	}
 	// An order with the present generation, as its owner read the drained instance before the
 	// desired state was known to it.
-	if _, err := w.Check(jobOrder(w.Book, 4, "b", 2)); errCode(err) != protocol.CodeConflict || !strings.Contains(err.Error(), "b is drained") {
+	if _, err := w.Check(jobOrder(w.State, 4, "b", 2)); errCode(err) != protocol.CodeConflict || !strings.Contains(err.Error(), "b is drained") {
 		t.Errorf("a drain is undone: %v", err)
 	}
 }
--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -169,7 +169,7 @@
 
 // SendStateCommand sends a command on an instance's saved state, which it uses to restart
 // without discovery.
-func (c *Client) SendStateCommand(ctx context.Context, instance string, k control.Keep) (i control.Inspection, err error) {
+func (c *Client) SendStateCommand(ctx context.Context, instance string, k control.StateCommand) (i control.Inspection, err error) {
 	return i, c.call(ctx, http.MethodPost, "/instances/"+url.PathEscape(instance)+"/kept", k, &i)
 }
 
