--- a/internal/fleet/client/council.go
+++ b/internal/fleet/client/council.go
@@ -15,13 +15,13 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// StreamWord is the protocol name in the Upgrade header of a stream between voters (RFC 9110,
+// StreamProtocol is the protocol name in the Upgrade header of a stream between voters (RFC 9110,
 // section 7.8).
-const StreamWord = "otterstep-council"
+const StreamProtocol = "otterstep-council"
 
-// Raise raises a duty's fencing token at the agent and returns the agent's instances as of
+// RaiseToken raises a duty's fencing token at the agent and returns the agent's instances as of
 // that token.
-func (c *Client) Raise(ctx context.Context, f protocol.Fence) (r protocol.Raised, err error) {
+func (c *Client) RaiseToken(ctx context.Context, f protocol.Fence) (r protocol.FenceAnswer, err error) {
 	return r, c.call(WithFence(ctx, f), http.MethodPost, "/fence", f, &r)
 }
 
@@ -44,8 +44,8 @@
 	return v, c.call(ctx, http.MethodGet, "/council"+directQuery(directOnly), nil, &v)
 }
 
-// CouncilDo submits a command to the council.
-func (c *Client) CouncilDo(ctx context.Context, k duty.Command, directOnly bool) (a duty.Answer, err error) {
+// CouncilSubmit submits a command to the council.
+func (c *Client) CouncilSubmit(ctx context.Context, k duty.Command, directOnly bool) (a duty.Answer, err error) {
 	return a, c.call(ctx, http.MethodPost, "/council/command"+directQuery(directOnly), k, &a)
 }
 
@@ -55,12 +55,12 @@
 }
 
 // Fleet returns which version of the fleet's bans the agent's instances have applied.
-func (c *Client) Fleet(ctx context.Context) (f protocol.Fleet, err error) {
+func (c *Client) Fleet(ctx context.Context) (f protocol.FleetStatus, err error) {
 	return f, c.call(ctx, http.MethodGet, "/fleet", nil, &f)
 }
 
-// TellFleet sends the fleet's bans to the agent; the context carries the owner's fence.
-func (c *Client) TellFleet(ctx context.Context, o protocol.FleetOrder) (f protocol.Fleet, err error) {
+// SendFleetOrder sends the fleet's bans to the agent; the context carries the owner's fence.
+func (c *Client) SendFleetOrder(ctx context.Context, o protocol.FleetOrder) (f protocol.FleetStatus, err error) {
 	return f, c.call(ctx, http.MethodPost, "/fleet", o, &f)
 }
 
@@ -94,14 +94,14 @@
 			conn.Close()
 		}
 	}()
-	q := url.Values{"cluster": {h.Cluster}, "founding": {h.Founding}, "epoch": {strconv.FormatUint(h.Epoch, 10)}, "from": {h.From}, "to": {h.To}}
+	q := url.Values{"cluster": {h.Cluster}, "founding": {h.CouncilID}, "epoch": {strconv.FormatUint(h.Epoch, 10)}, "from": {h.From}, "to": {h.To}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v"+strconv.Itoa(protocol.Version)+"/council/stream?"+q.Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
 	req.Header.Set(protocol.VersionHeader, strconv.Itoa(protocol.Version))
 	req.Header.Set("Connection", "Upgrade")
-	req.Header.Set("Upgrade", StreamWord)
+	req.Header.Set("Upgrade", StreamProtocol)
 	if err := req.Write(conn); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
 		defer resp.Body.Close()
-		text, err := io.ReadAll(io.LimitReader(resp.Body, protocol.BodyMost))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, protocol.MaxBodySize))
 		e := &protocol.Error{}
 		if err != nil || json.Unmarshal(text, e) != nil || e.Code == "" {
 			return nil, fmt.Errorf("agent %s refused the stream: %s", c.name, resp.Status)
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -68,11 +68,11 @@
 
 // Config configures a voter.
 type Config struct {
-	Name    string
-	Cluster string   // ID of the fleet, the same at all its agents
-	Dir     string   // directory of the store
-	Witness string   // path of the progress file, which detects a store restored from an older copy; none if empty
-	Voters  []string // initial voters; later the replicated state has them
+	Name         string
+	Cluster      string   // ID of the fleet, the same at all its agents
+	Dir          string   // directory of the store
+	ProgressFile string   // path of the progress file, which detects a store restored from an older copy; none if empty
+	Voters       []string // initial voters; later the replicated state has them
 	// First declares that the operator starts this fleet's agents for the first time. Without it a voter
 	// with an empty directory waits until it is added to a council and never bootstraps a new one.
 	First bool
@@ -80,8 +80,8 @@
 	Clock boottime.Clock
 	Peers Peers
 	Log   *slog.Logger
-	// Disk opens the stores; OpenStores if nil.
-	Disk func(dir string) (Stores, error)
+	// OpenStores opens the stores; OpenStores if nil.
+	OpenStores func(dir string) (Stores, error)
 }
 
 // Council is one agent's voter. Run it with Run.
@@ -124,8 +124,8 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	if cfg.Disk == nil {
-		cfg.Disk = OpenStores
+	if cfg.OpenStores == nil {
+		cfg.OpenStores = OpenStores
 	}
 	return &Council{cfg: cfg, log: cfg.Log.With("council", cfg.Cluster), changed: make(chan struct{})}
 }
@@ -161,12 +161,12 @@
 	}
 	defer stores.Close()
 	file := &progressFile{log: c.log}
-	file.open(c.cfg.Witness, current)
+	file.open(c.cfg.ProgressFile, current)
 	defer file.Close()
 	sess := &session{id: id, savedID: *id, failed: make(chan struct{}), leases: duty.NewLeases(c.cfg.Lease), messages: map[string]map[string]string{}, offers: map[string]string{}, agentStarts: map[string]agentStart{}, slow: make(chan time.Duration, 1)}
 	sess.streams = newStreamLayer(func(ctx context.Context, server string) (net.Conn, error) {
 		councilID, epoch := sess.lineage()
-		return c.cfg.Peers.Stream(ctx, duty.NameOf(server), duty.Hello{Cluster: c.cfg.Cluster, Founding: councilID, Epoch: epoch, From: id.serverID(), To: server})
+		return c.cfg.Peers.Stream(ctx, duty.AgentName(server), duty.Hello{Cluster: c.cfg.Cluster, CouncilID: councilID, Epoch: epoch, From: id.serverID(), To: server})
 	})
 	defer sess.streams.shutdown()
 	var once sync.Once
@@ -207,7 +207,7 @@
 		if id, lost, err = openIdentity(c.cfg.Dir, c.cfg.Cluster, c.cfg.Name); err != nil {
 			return nil, nil, current, err
 		}
-		if stores, err = c.cfg.Disk(c.cfg.Dir); err != nil {
+		if stores, err = c.cfg.OpenStores(c.cfg.Dir); err != nil {
 			return nil, nil, current, err
 		}
 		reason = cmp.Or(reason, lost)
@@ -232,10 +232,10 @@
 // checkProgress returns the progress of the store, and a reason if the progress file shows that the store is
 // an older copy. An older copy is allowed for a recovery by an operator.
 func (c *Council) checkProgress(id *identity, stores Stores) (current progress, reason string, err error) {
-	if current, err = storeProgress(id, stores, c.cfg.Dir); err != nil || c.cfg.Witness == "" || c.recoveryRequested() {
+	if current, err = storeProgress(id, stores, c.cfg.Dir); err != nil || c.cfg.ProgressFile == "" || c.recoveryRequested() {
 		return current, "", err
 	}
-	recorded, known, err := readProgress(c.cfg.Witness)
+	recorded, known, err := readProgress(c.cfg.ProgressFile)
 	if err == nil && known && current.behind(recorded) {
 		reason = fmt.Sprintf("the store was restored from an older copy: it has entry %d and term %d, but entry %d and term %d were written", current.lastIndex, current.term, recorded.lastIndex, recorded.term)
 	}
@@ -482,7 +482,7 @@
 		}
 		for _, s := range config.Configuration().Servers {
 			if s.Suffrage == raft.Voter {
-				voters = append(voters, duty.NameOf(string(s.ID)))
+				voters = append(voters, duty.AgentName(string(s.ID)))
 			}
 		}
 	}
@@ -498,7 +498,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 		s, err := c.cfg.Peers.Status(callCtx, name)
 		cancel()
-		if err == nil && s.Founding == sess.councilID() && s.State != duty.Broken {
+		if err == nil && s.CouncilID == sess.councilID() && s.State != duty.Broken {
 			alive = append(alive, name)
 		}
 	}
@@ -542,7 +542,7 @@
 	}
 	members := map[string]raft.Server{}
 	for _, s := range config.Configuration().Servers {
-		if name := duty.NameOf(string(s.ID)); !slices.Contains(want, name) {
+		if name := duty.AgentName(string(s.ID)); !slices.Contains(want, name) {
 			if name == c.cfg.Name { // removed last, by another leader
 				_ = sess.raft.LeadershipTransfer().Error()
 				return false
@@ -550,7 +550,7 @@
 			c.awaitChange(sess.raft.RemoveServer(s.ID, config.Index(), applyTimeout), "removed", s.ID)
 			return false
 		}
-		members[duty.NameOf(string(s.ID))] = s
+		members[duty.AgentName(string(s.ID))] = s
 	}
 	complete := true
 	for _, name := range want {
@@ -560,7 +560,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 		peer, err := c.cfg.Peers.Status(callCtx, name)
 		cancel()
-		if err != nil || peer.State == duty.Broken || peer.Cluster != c.cfg.Cluster || peer.Agent != name || peer.Founding != "" && peer.Founding != sess.councilID() {
+		if err != nil || peer.State == duty.Broken || peer.Cluster != c.cfg.Cluster || peer.Agent != name || peer.CouncilID != "" && peer.CouncilID != sess.councilID() {
 			complete = false
 			continue
 		}
@@ -590,8 +590,8 @@
 	c.log.Info("membership changed", "voter", string(id), "it", change)
 }
 
-// Accept accepts a stream from another voter, or returns why it can't.
-func (c *Council) Accept(conn net.Conn) error {
+// AcceptStream accepts a stream from another voter, or returns why it can't.
+func (c *Council) AcceptStream(conn net.Conn) error {
 	sess := c.currentSession()
 	if sess == nil {
 		return errStopped
@@ -599,8 +599,8 @@
 	return sess.streams.enqueue(conn)
 }
 
-// Check returns an error if a stream with this handshake from another voter has to be refused.
-func (c *Council) Check(h duty.Hello) error {
+// CheckStream returns an error if a stream with this handshake from another voter has to be refused.
+func (c *Council) CheckStream(h duty.Hello) error {
 	sess := c.currentSession()
 	if sess == nil {
 		return protocol.Errorf(protocol.CodeNoCouncil, "%v", errStopped)
@@ -611,10 +611,10 @@
 		return protocol.Errorf(protocol.CodeForbidden, "stream belongs to cluster %q, this is cluster %q", h.Cluster, c.cfg.Cluster)
 	case h.To != sess.id.serverID():
 		return protocol.Errorf(protocol.CodeForbidden, "stream is to server %s, this is %s: the earlier store is lost", h.To, sess.id.serverID())
-	case councilID != "" && h.Founding != "" && councilID != h.Founding && h.Epoch <= epoch:
+	case councilID != "" && h.CouncilID != "" && councilID != h.CouncilID && h.Epoch <= epoch:
 		// A stream with a later epoch is accepted: its council has this server as a member, which has yet to
 		// catch up.
-		return protocol.Errorf(protocol.CodeForbidden, "stream belongs to another council of cluster %q, with ID %s, this one has ID %s", h.Cluster, h.Founding, councilID)
+		return protocol.Errorf(protocol.CodeForbidden, "stream belongs to another council of cluster %q, with ID %s, this one has ID %s", h.Cluster, h.CouncilID, councilID)
 	}
 	return nil
 }
@@ -628,8 +628,8 @@
 	return c.session
 }
 
-// Leads reports whether this voter believes that it leads.
-func (c *Council) Leads() bool {
+// IsLeader reports whether this voter believes that it leads.
+func (c *Council) IsLeader() bool {
 	sess := c.currentSession()
 	return sess != nil && sess.raft.State() == raft.Leader
 }
@@ -641,7 +641,7 @@
 		return ""
 	}
 	_, id := sess.raft.LeaderWithID()
-	return duty.NameOf(string(id))
+	return duty.AgentName(string(id))
 }
 
 // Changed returns a channel that is closed at the next change of this voter's state.
@@ -661,8 +661,8 @@
 		e.Text = fmt.Sprintf("the voter of %s has stopped", c.cfg.Name)
 		return e
 	}
-	if _, id := sess.raft.LeaderWithID(); id != "" && duty.NameOf(string(id)) != c.cfg.Name {
-		e.Leader = duty.NameOf(string(id))
+	if _, id := sess.raft.LeaderWithID(); id != "" && duty.AgentName(string(id)) != c.cfg.Name {
+		e.Leader = duty.AgentName(string(id))
 	}
 	return e
 }
@@ -693,7 +693,7 @@
 
 // propose commits a command. After an error of raft it is unknown whether the command was committed.
 func (c *Council) propose(sess *session, command duty.Command) (duty.Result, error) {
-	command.Form = duty.Form
+	command.FormatVersion = duty.FormatVersion
 	text, err := json.Marshal(command)
 	if err != nil {
 		return duty.Result{}, fmt.Errorf("council: %w", err)
@@ -734,15 +734,17 @@
 	if err := sess.checkQuorum(); err != nil {
 		return duty.Answer{}, err
 	}
-	if command.Report != nil && command.Report.Asks {
+	if command.Report != nil && command.Report.QueryOnly {
 		// A query is not logged: the verified leader has the current state.
 		var r duty.Result
-		sess.machine.read(func(s *duty.State) { r = s.Apply(duty.Command{Form: duty.Form, Report: command.Report}) })
+		sess.machine.read(func(s *duty.State) {
+			r = s.Apply(duty.Command{FormatVersion: duty.FormatVersion, Report: command.Report})
+		})
 		if r.Err != nil {
 			return duty.Answer{}, r.Err
 		}
-		r.Told.Back = sess.countRecentStarts(command.Report, time.Now())
-		return duty.Answer{Told: r.Told}, nil
+		r.ReportAnswer.RecentStarts = sess.countRecentStarts(command.Report, time.Now())
+		return duty.Answer{ReportAnswer: r.ReportAnswer}, nil
 	}
 	if command.Acquire != nil {
 		return c.acquire(sess, *command.Acquire)
@@ -761,10 +763,10 @@
 		// barrier is such an entry, so that an operator's ban does not wait for a heartbeat.
 		sess.raft.Barrier(applyTimeout)
 	}
-	if r.Told != nil {
-		r.Told.Back = sess.countRecentStarts(command.Report, time.Now())
+	if r.ReportAnswer != nil {
+		r.ReportAnswer.RecentStarts = sess.countRecentStarts(command.Report, time.Now())
 	}
-	return duty.Answer{Token: r.Token, Job: r.Job, Told: r.Told, Kept: r.Kept, Fleet: r.Fleet}, err
+	return duty.Answer{Token: r.Token, Job: r.Job, ReportAnswer: r.ReportAnswer, KeptNewer: r.KeptNewer, Fleet: r.Fleet}, err
 }
 
 // countRecentStarts records the start in the report if it is new, and returns the number of agents that
@@ -772,8 +774,8 @@
 func (sess *session) countRecentStarts(r *duty.Report, now time.Time) int {
 	sess.mu.Lock()
 	defer sess.mu.Unlock()
-	if came, known := sess.agentStarts[r.Agent]; !known || came.starts != r.Starts || came.folder != r.Folder {
-		sess.agentStarts[r.Agent] = agentStart{r.Starts, r.Folder, now}
+	if came, known := sess.agentStarts[r.Agent]; !known || came.starts != r.Starts || came.folder != r.StateDirID {
+		sess.agentStarts[r.Agent] = agentStart{r.Starts, r.StateDirID, now}
 	}
 	n := 0
 	for name, c := range sess.agentStarts {
@@ -818,7 +820,7 @@
 	}
 	delete(sess.offers, a.Owner)
 	sess.mu.Unlock()
-	a.After, a.Offer = current.Token, ""
+	a.PreviousToken, a.Offer = current.Token, ""
 	r, err := c.propose(sess, duty.Command{Acquire: &a})
 	if err != nil {
 		return duty.Answer{}, err
@@ -847,11 +849,11 @@
 		return protocol.Errorf(protocol.CodeFenced, "the lease of %s under token %v has ended", r.Duty, r.Token)
 	}
 	messages := map[string]string{}
-	for _, job := range slices.Sorted(maps.Keys(r.Says)) {
+	for _, job := range slices.Sorted(maps.Keys(r.Messages)) {
 		if len(messages) == maxMessages {
 			break
 		}
-		messages[job] = r.Says[job]
+		messages[job] = r.Messages[job]
 	}
 	sess.messages[r.Duty] = messages // bounded by the number of owned duties
 	return nil
@@ -904,7 +906,7 @@
 }
 
 // Memories returns the local copy of the data that the council stores of agents.
-func (c *Council) Memories() (all map[string]duty.Memory) {
+func (c *Council) Memories() (all map[string]duty.AgentData) {
 	if sess := c.currentSession(); sess != nil {
 		sess.machine.read(func(s *duty.State) { all = s.Agents() })
 	}
@@ -920,19 +922,19 @@
 	sess.mu.Lock()
 	defer sess.mu.Unlock()
 	sess.machine.read(func(s *duty.State) {
-		v.Duties, v.Jobs, v.Voters = []duty.Owned{}, s.Jobs(), s.Voters()
+		v.Duties, v.Jobs, v.Voters = []duty.LeasedDuty{}, s.Jobs(), s.Voters()
 		for _, d := range s.Duties() {
-			o := duty.Owned{Duty: d}
+			o := duty.LeasedDuty{Duty: d}
 			if v.Current && d.Owner != "" {
-				o.Left, o.Known = sess.leases.Remaining(d.Name, now)
+				o.Remaining, o.RemainingKnown = sess.leases.Remaining(d.Name, now)
 			}
 			v.Duties = append(v.Duties, o)
 		}
 	})
 	if v.Current {
-		v.Says = map[string]string{}
+		v.Messages = map[string]string{}
 		for _, messages := range sess.messages {
-			maps.Copy(v.Says, messages)
+			maps.Copy(v.Messages, messages)
 		}
 	}
 	return v
@@ -941,9 +943,9 @@
 // Status returns the voter's state.
 func (c *Council) Status() duty.Status {
 	c.mu.Lock()
-	s := duty.Status{Agent: c.cfg.Name, Cluster: c.cfg.Cluster, State: duty.Broken, Why: c.lastErr, Members: []duty.Member{}}
+	s := duty.Status{Agent: c.cfg.Name, Cluster: c.cfg.Cluster, State: duty.Broken, Reason: c.lastErr, Members: []duty.Member{}}
 	if time.Now().Before(c.slowUntil) {
-		s.SlowFor = c.slow
+		s.SlowestWrite = c.slow
 	} else {
 		c.slow = 0
 	}
@@ -952,7 +954,7 @@
 	if sess == nil {
 		return s
 	}
-	s.Server, s.Founding = sess.id.serverID(), sess.councilID()
+	s.Server, s.CouncilID = sess.id.serverID(), sess.councilID()
 	s.Leader, s.Term = c.Leader(), sess.raft.CurrentTerm()
 	s.Writes = sess.writes.Load()
 	s.Last, s.Applied = sess.raft.LastIndex(), sess.raft.AppliedIndex()
@@ -966,21 +968,21 @@
 	case sess.raft.State() == raft.Leader:
 		s.State = duty.Leader
 		return s
-	case sess.raft.LastIndex() == 0 && s.Founding == "":
+	case sess.raft.LastIndex() == 0 && s.CouncilID == "":
 		s.State = duty.Blank
 		return s
 	case s.Leader == "":
-		s.State = duty.Alone
+		s.State = duty.NoLeader
 	case own >= 0 && !s.Members[own].Votes:
 		s.State = duty.Learner
 	default:
 		s.State = duty.Follower
 	}
 	if at := sess.raft.LastContact(); !at.IsZero() {
-		s.Contact = time.Since(at)
+		s.SinceContact = time.Since(at)
 	}
 	return s
 }
 
-// Folder returns the council's directory within an agent's state directory.
-func Folder(state string) string { return filepath.Join(state, "council") }
+// Dir returns the council's directory within an agent's state directory.
+func Dir(state string) string { return filepath.Join(state, "council") }
--- a/internal/fleet/council/council_test.go
+++ b/internal/fleet/council/council_test.go
@@ -105,8 +105,8 @@
 func (f *fleet) add(name string, voters []string) {
 	d := &disk{}
 	f.voters[name] = &voter{disk: d, stop: func() {}, cfg: Config{
-		Name: name, Cluster: "test", Dir: filepath.Join(f.dir, name), Witness: filepath.Join(f.dir, name+".seen"), Voters: voters, Lease: lease, Clock: boottime.System{},
-		Disk: func(dir string) (Stores, error) {
+		Name: name, Cluster: "test", Dir: filepath.Join(f.dir, name), ProgressFile: filepath.Join(f.dir, name+".seen"), Voters: voters, Lease: lease, Clock: boottime.System{},
+		OpenStores: func(dir string) (Stores, error) {
 			if err := d.state(); err != nil {
 				return nil, err
 			}
@@ -184,7 +184,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.Check(h); err != nil {
+	if err := c.CheckStream(h); err != nil {
 		return nil, err
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -209,7 +209,7 @@
 		theirs.Close()
 		return nil, errors.New("unreachable")
 	}
-	return mine, c.Accept(theirs)
+	return mine, c.AcceptStream(theirs)
 }
 
 func (p peers) Status(_ context.Context, to string) (duty.Status, error) {
@@ -321,10 +321,10 @@
 	rest := others(l.cfg.Name)
 	next := f.leader(rest...)
 	leaderSince := time.Now()
-	if err := next.Renew(duty.Renewal{Fence: duty.Fence{Duty: duty.Rollouts, Token: 1}, Says: map[string]string{"j": "waits"}}); err != nil {
+	if err := next.Renew(duty.Renewal{Fence: duty.Fence{Duty: duty.Rollouts, Token: 1}, Messages: map[string]string{"j": "waits"}}); err != nil {
 		t.Errorf("renewal at the next leader: %v", err)
 	}
-	if v, err := next.View(); err != nil || !v.Current || v.Duties[0].Owner != "a" || !v.Duties[0].Known || v.Says["j"] != "waits" {
+	if v, err := next.View(); err != nil || !v.Current || v.Duties[0].Owner != "a" || !v.Duties[0].RemainingKnown || v.Messages["j"] != "waits" {
 		t.Errorf("view %+v, %v", v, err)
 	}
 	var b duty.Answer
@@ -407,7 +407,7 @@
 	})
 	f.until("its status has the reason", func() bool {
 		s := l.Status()
-		return s.State == duty.Broken && strings.Contains(s.Why, "no space left")
+		return s.State == duty.Broken && strings.Contains(s.Reason, "no space left")
 	})
 	l.disk.set(nil, 0)
 	f.until("it has caught up", func() bool {
@@ -429,7 +429,7 @@
 	l.disk.set(nil, lease/2)
 	_, _ = acquireWithOffer(l, acquire("a")) // it may or may not be committed
 	f.until("another leads", func() bool { return f.leader(threeVoters...) != l })
-	if s := l.Status(); s.SlowFor < lease/2 {
+	if s := l.Status(); s.SlowestWrite < lease/2 {
 		t.Errorf("status %+v", s)
 	}
 }
@@ -570,7 +570,7 @@
 	f := newFleet(t, threeVoters...)
 	l := f.allVote(threeVoters...)
 	do := func(name string, add bool) error {
-		_, err := f.leader(append(slices.Clone(threeVoters), "m4")...).Do(duty.Command{Voter: &duty.Voter{Name: name, Add: add, By: "ada"}})
+		_, err := f.leader(append(slices.Clone(threeVoters), "m4")...).Do(duty.Command{VoterChange: &duty.VoterChange{Name: name, Add: add, By: "ada"}})
 		return err
 	}
 	if err := do("m3", false); code(err) != protocol.CodeConflict {
@@ -598,17 +598,17 @@
 	t.Parallel()
 	f := newFleet(t, threeVoters...)
 	l := f.allVote(threeVoters...)
-	good := duty.Hello{Cluster: "test", Founding: l.session.councilID(), From: "x/y", To: l.Status().Server}
-	if err := l.Check(good); err != nil {
+	good := duty.Hello{Cluster: "test", CouncilID: l.session.councilID(), From: "x/y", To: l.Status().Server}
+	if err := l.CheckStream(good); err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string]func(h *duty.Hello){
-		"fleet": func(h *duty.Hello) { h.Cluster = "other" }, "council": func(h *duty.Hello) { h.Founding = "other" },
+		"fleet": func(h *duty.Hello) { h.Cluster = "other" }, "council": func(h *duty.Hello) { h.CouncilID = "other" },
 		"folder": func(h *duty.Hello) { h.To = "m1/gone" },
 	} {
 		h := good
 		change(&h)
-		if err := l.Check(h); code(err) != protocol.CodeForbidden {
+		if err := l.CheckStream(h); code(err) != protocol.CodeForbidden {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/fleet/council/statemachine.go
+++ b/internal/fleet/council/statemachine.go
@@ -55,8 +55,8 @@
 	}
 	var c duty.Command
 	err := json.Unmarshal(l.Data, &c)
-	if err == nil && c.Form > duty.Form {
-		err = fmt.Errorf("format version %d, this build supports %d: install the version that the other agents run", c.Form, duty.Form)
+	if err == nil && c.FormatVersion > duty.FormatVersion {
+		err = fmt.Errorf("format version %d, this build supports %d: install the version that the other agents run", c.FormatVersion, duty.FormatVersion)
 	}
 	if err != nil {
 		m.broken = true
--- a/internal/fleet/ctl/council.go
+++ b/internal/fleet/ctl/council.go
@@ -29,7 +29,7 @@
 	case errors.Is(err, group.ErrNoCouncil):
 		return &cli.Exit{Code: cli.Usage, Err: err}
 	case !errors.As(err, &refused), refused.Code == protocol.CodeNoCouncil:
-		return &cli.Exit{Code: cli.Silent, Err: err}
+		return &cli.Exit{Code: cli.NoAnswer, Err: err}
 	case refused.Code == protocol.CodeConflict, refused.Code == protocol.CodeFenced:
 		return &cli.Exit{Code: cli.Conflict, Err: err}
 	case refused.Code == protocol.CodeUsage, refused.Code == protocol.CodeNotFound:
@@ -70,14 +70,14 @@
 	if err := jobError(j); err != nil || len(silent) == 0 {
 		return err
 	}
-	return &cli.Exit{Code: cli.Silent}
+	return &cli.Exit{Code: cli.NoAnswer}
 }
 
 // jobError returns an error with a job's exit code, which is 3 until the job has ended.
 func jobError(j *duty.Job) error {
 	switch {
 	case j.Open() || j.State == duty.Paused:
-		return &cli.Exit{Code: cli.Silent}
+		return &cli.Exit{Code: cli.NoAnswer}
 	case j.State != duty.Finished:
 		return &cli.Exit{Code: cli.Failed}
 	}
@@ -106,7 +106,7 @@
 // runCouncilCommand submits a command to the council and prints done.
 func (o *options) runCouncilCommand(c *cobra.Command, k duty.Command, done string) error {
 	return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
-		a, err := f.Do(ctx, k)
+		a, err := f.CouncilSubmit(ctx, k)
 		if err != nil {
 			return councilError(err)
 		}
@@ -131,7 +131,7 @@
 				if err != nil {
 					return councilError(err)
 				}
-				i := slices.IndexFunc(v.Duties, func(d duty.Owned) bool { return d.Name == args[0] })
+				i := slices.IndexFunc(v.Duties, func(d duty.LeasedDuty) bool { return d.Name == args[0] })
 				if i < 0 {
 					return usageErrorf("there is no duty %q", args[0])
 				}
@@ -139,7 +139,7 @@
 					return usageErrorf("nobody owns %s", args[0])
 				}
 				d := v.Duties[i]
-				a, err := f.Do(ctx, duty.Command{Release: &duty.Release{Fence: duty.Fence{Duty: d.Name, Token: d.Token}, Forced: true}})
+				a, err := f.CouncilSubmit(ctx, duty.Command{Release: &duty.Release{Fence: duty.Fence{Duty: d.Name, Token: d.Token}, Forced: true}})
 				if err != nil {
 					return councilError(err)
 				}
@@ -175,10 +175,10 @@
 						*duty.Job
 						Says    string `json:"says,omitempty"`
 						Current bool   `json:"current"`
-					}{v.Jobs[i], v.Says[args[0]], v.Current}
+					}{v.Jobs[i], v.Messages[args[0]], v.Current}
 					return answer, func(p *printer) {
 						p.job(v.Jobs[i])
-						if why := v.Says[args[0]]; why != "" {
+						if why := v.Messages[args[0]]; why != "" {
 							fmt.Fprintln(p.tab, stripControl(why))
 						}
 					}, nil
@@ -193,7 +193,7 @@
 		jobs.AddCommand(&cobra.Command{
 			Use: action.word + " ID", Short: action.short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return o.runCouncilCommand(c, duty.Command{Turn: &duty.Turn{Job: args[0], To: action.to}}, fmt.Sprintf("job %s %s", args[0], action.done))
+				return o.runCouncilCommand(c, duty.Command{SetJobState: &duty.SetJobState{Job: args[0], State: action.to}}, fmt.Sprintf("job %s %s", args[0], action.done))
 			},
 		})
 	}
@@ -225,7 +225,7 @@
 		root.AddCommand(&cobra.Command{
 			Use: change.word + " AGENT", Short: change.short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return o.runCouncilCommand(c, duty.Command{Voter: &duty.Voter{Name: args[0], Add: change.add}}, args[0]+" "+change.done)
+				return o.runCouncilCommand(c, duty.Command{VoterChange: &duty.VoterChange{Name: args[0], Add: change.add}}, args[0]+" "+change.done)
 			},
 		})
 	}
@@ -247,7 +247,7 @@
 				return usageErrorf("--confirm CLUSTER: required; otterctl council recover --help describes what is lost")
 			}
 			return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
-				a := f.Agent(voters[0])
+				a := f.Client(voters[0])
 				if a == nil {
 					return usageErrorf("--voters: no agent %q", voters[0])
 				}
@@ -292,13 +292,13 @@
 				return usageErrorf("%s: backup of the fleet %q, %v old, with the state of %d instances and %d jobs; later changes are not in it. --confirm %s restores it", args[0], b.Cluster, age, instances, len(state.Jobs()), b.Cluster)
 			}
 			return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
-				a, err := f.Do(ctx, duty.Command{Restore: &duty.Restore{Backup: b}})
+				a, err := f.CouncilSubmit(ctx, duty.Command{Restore: &duty.Restore{Backup: b}})
 				if err != nil {
 					return councilError(err)
 				}
 				return o.show(c.OutOrStdout(), a, func(p *printer) {
 					fmt.Fprintf(p.tab, "restored, as of %v ago\n", age)
-					for _, k := range a.Kept {
+					for _, k := range a.KeptNewer {
 						fmt.Fprintln(p.tab, stripControl(k))
 					}
 				}, false)
@@ -346,8 +346,8 @@
 		left := ""
 		switch {
 		case d.Owner == "":
-		case d.Known:
-			left = d.Left.Round(100 * time.Millisecond).String()
+		case d.RemainingKnown:
+			left = d.Remaining.Round(100 * time.Millisecond).String()
 		default:
 			left = "not known"
 		}
@@ -365,7 +365,7 @@
 				done++
 			}
 		}
-		p.line(j.ID, j.Kind, j.State, j.Operator, p.age(j.Submitted)+" ago", done, len(j.Steps), j.MaxUnavailable, cmp.Or(j.Why, v.Says[j.ID]))
+		p.line(j.ID, j.Kind, j.State, j.Operator, p.age(j.Submitted)+" ago", done, len(j.Steps), j.MaxUnavailable, cmp.Or(j.Reason, v.Messages[j.ID]))
 	}
 }
 
@@ -376,9 +376,9 @@
 		switch {
 		case s.Phase == duty.Intent:
 			outcome = "running"
-		case s.Phase == duty.Waiting && j.Open():
+		case s.Phase == duty.NotStarted && j.Open():
 			outcome = "waiting"
-		case s.Phase == duty.Waiting:
+		case s.Phase == duty.NotStarted:
 			outcome = group.Skipped
 		}
 		token := ""
@@ -391,8 +391,8 @@
 	if j.By != "" {
 		fmt.Fprintf(p.tab, " by %s", stripControl(j.By))
 	}
-	if j.Why != "" {
-		fmt.Fprintf(p.tab, ": %s", stripControl(j.Why))
+	if j.Reason != "" {
+		fmt.Fprintf(p.tab, ": %s", stripControl(j.Reason))
 	}
 	fmt.Fprintln(p.tab)
 }
@@ -408,12 +408,12 @@
 		if s.Server != "" {
 			lag = fmt.Sprint(last - min(last, s.Applied))
 		}
-		if s.Contact > 0 {
-			heard = s.Contact.Round(time.Millisecond).String() + " ago"
+		if s.SinceContact > 0 {
+			heard = s.SinceContact.Round(time.Millisecond).String() + " ago"
 		}
-		if s.SlowFor > 0 {
-			slow = s.SlowFor.Round(time.Millisecond).String()
+		if s.SlowestWrite > 0 {
+			slow = s.SlowestWrite.Round(time.Millisecond).String()
 		}
-		p.line(s.Agent, s.State, s.Leader, s.Term, lag, heard, slow, s.Why)
+		p.line(s.Agent, s.State, s.Leader, s.Term, lag, heard, slow, s.Reason)
 	}
 }
--- a/internal/fleet/ctl/ctl.go
+++ b/internal/fleet/ctl/ctl.go
@@ -310,7 +310,7 @@
 	return o.withFleet(c, func(ctx context.Context, f *group.Fleet) error {
 		progress := newProgress(c.ErrOrStderr(), o.output != "json")
 		order.Progress = progress.result
-		r, err := f.Give(ctx, order)
+		r, err := f.Execute(ctx, order)
 		progress.end()
 		if err != nil {
 			return &cli.Exit{Code: cli.Usage, Err: err}
@@ -332,14 +332,14 @@
 	}
 	code := cli.OK
 	if len(r.Silent) > 0 {
-		code = cli.Silent
+		code = cli.NoAnswer
 	}
 	for _, result := range r.Results {
 		switch result.Outcome {
 		case group.Failed:
 			return cli.Failed
 		case group.NoAnswer:
-			code = cli.Silent
+			code = cli.NoAnswer
 		}
 	}
 	if r.Stopped != "" && code == cli.OK {
@@ -434,7 +434,7 @@
 	}
 	issue.Flags().StringVar(&r.Role, "role", pki.Viewer, "viewer, operator or agent")
 	issue.Flags().StringSliceVar(&r.Hosts, "host", nil, "an agent's host names and addresses")
-	issue.Flags().DurationVar(&r.For, "for", 90*24*time.Hour, "validity of the certificate")
+	issue.Flags().DurationVar(&r.ValidFor, "for", 90*24*time.Hour, "validity of the certificate")
 	root.AddCommand(initialize, issue)
 	return root
 }
--- a/internal/fleet/ctl/ctl_test.go
+++ b/internal/fleet/ctl/ctl_test.go
@@ -39,7 +39,7 @@
 			cfg.Instance = append(cfg.Instance, instance.Spec{Name: fmt.Sprint("n", 2*n+i+1), Group: "lab", Control: "c", Program: []string{"x"}, Listen: "127.0.0.1:1"})
 		}
 		machines[cfg.Name] = instances.NewMachine()
-		a, err := agent.New(cfg, agent.Options{Runner: machines[cfg.Name].Runner(), Version: "test", First: true})
+		a, err := agent.New(cfg, agent.Options{Runner: machines[cfg.Name].Runner(), Version: "test", FirstStart: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,13 +86,13 @@
 	}{
 		{"list --fleet ALL", cli.OK, []string{"AGENT", "m1", "n4"}},
 		{"list n1 -o wide --fleet ALL", cli.OK, []string{"DESIRED", "GEN", "n1"}},
-		{"list --fleet SOME", cli.Silent, []string{"DID NOT ANSWER", "m3", "no such file", "n1"}},
+		{"list --fleet SOME", cli.NoAnswer, []string{"DID NOT ANSWER", "m3", "no such file", "n1"}},
 		{"list nobody --fleet ALL", cli.Usage, []string{`no instance "nobody"`}},
 		{"inspect n1 --fleet ALL", cli.OK, []string{"BREAKER", "closed", "descriptors"}},
 		{"inspect --fleet ALL", cli.Usage, []string{"name instances"}},
 		{"agents --fleet ALL", cli.OK, []string{"RECORD", "ok"}},
 		{"restart n1 --fleet ALL", cli.OK, []string{"done", "command"}},
-		{"restart all --fleet SOME --timeout 5s", cli.Silent, []string{"done", "DID NOT ANSWER", "m3"}},
+		{"restart all --fleet SOME --timeout 5s", cli.NoAnswer, []string{"done", "DID NOT ANSWER", "m3"}},
 		{"restart --fleet ALL", cli.Usage, []string{"name instances, or all"}},
 		{"restart m2/n1 --fleet ALL", cli.Usage, []string{"no instance"}},
 		{"drain --group lab --dry-run --fleet ALL", cli.OK, []string{"would", "drain (up"}},
@@ -123,7 +123,7 @@
 		}
 	}
 
-	machines["m1"].Fail("n1", errors.New("no such program"))
+	machines["m1"].FailStarts("n1", errors.New("no such program"))
 	out, code := run("restart", "n1", "n2", "--fleet", all)
 	if code != cli.Failed || !strings.Contains(out, "no such program") {
 		t.Errorf("one fails: %d\n%s", code, out)
@@ -133,7 +133,7 @@
 	if out, code := run("ops", "show", id, "--fleet", all); code != cli.OK || !strings.Contains(out, "launch") || !strings.Contains(out, "failed") {
 		t.Errorf("ops show: %d\n%s", code, out)
 	}
-	machines["m1"].Fail("n1", nil)
+	machines["m1"].FailStarts("n1", nil)
 	if out, code := run("ops", "resume", id, "--fleet", all); code != cli.OK || strings.Count(out, "done") < 2 {
 		t.Errorf("ops resume: %d\n%s", code, out)
 	}
@@ -156,7 +156,7 @@
 		defer close(ended)
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
-		_, _ = f.Give(ctx, group.Order{
+		_, _ = f.Execute(ctx, group.Order{
 			Plan:   group.Plan{Kind: protocol.Restart, MaxUnavailable: 1, Pause: 3 * time.Second},
 			Select: group.Selector{Names: []string{"all"}},
 			Progress: func(group.Result) {
@@ -197,7 +197,7 @@
 		Instances []map[string]any `json:"instances"`
 		Silent    []map[string]any `json:"silent"`
 	}
-	if err := json.Unmarshal([]byte(text), &l); err != nil || code != cli.Silent || len(l.Instances) != 4 || len(l.Silent) != 1 || l.Silent[0]["waited_ns"] == nil {
+	if err := json.Unmarshal([]byte(text), &l); err != nil || code != cli.NoAnswer || len(l.Instances) != 4 || len(l.Silent) != 1 || l.Silent[0]["waited_ns"] == nil {
 		t.Errorf("%d, %v\n%s", code, err, text)
 	}
 }
@@ -211,7 +211,7 @@
 	writeChanges(&out, last, group.Listing{Rows: []group.Row{row}})
 	row.State = "backoff"
 	writeChanges(&out, last, group.Listing{Rows: []group.Row{row}})
-	writeChanges(&out, last, group.Listing{Silent: []group.Unanswered{{Agent: "m1", Why: "hangs"}}})
+	writeChanges(&out, last, group.Listing{Silent: []group.Unanswered{{Agent: "m1", Reason: "hangs"}}})
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 4 || !strings.Contains(lines[1], "backoff") || !strings.Contains(lines[2], "did not answer: hangs") || !strings.Contains(lines[3], "no longer listed") {
 		t.Errorf("%q", lines)
--- a/internal/fleet/ctl/fleet.go
+++ b/internal/fleet/ctl/fleet.go
@@ -47,56 +47,56 @@
 
 // loadDesiredFile reads a file as a change of a document: groups that it does not name are reset to the agents'
 // files, budgets that it does not give have their default, and bans that it does not name stay.
-func loadDesiredFile(path string, now *desired.Document) (*desired.Part, error) {
+func loadDesiredFile(path string, now *desired.Document) (*desired.Patch, error) {
 	var file desiredFile
 	f, err := tomlfile.Load(path, &file)
 	if err != nil {
 		return nil, err
 	}
-	p := &desired.Part{Groups: map[string]*desired.Group{}, Bans: map[string]*desired.Ban{}}
+	p := &desired.Patch{Groups: map[string]*desired.Group{}, Bans: map[string]*desired.Ban{}}
 	for name := range now.Groups {
 		p.Groups[name] = nil
 	}
 	if b := file.Budgets; b != nil {
 		budgets := desired.DefaultBudgets
 		if b.Away != nil {
-			budgets.Away = *b.Away
+			budgets.Unavailable = *b.Away
 		}
 		if b.Zone != nil {
-			budgets.Zone = *b.Zone
+			budgets.ZoneUnavailable = *b.Zone
 		}
 		if b.OutShare != nil {
-			budgets.Out = *b.OutShare
+			budgets.OutShare = *b.OutShare
 		}
 		if b.Starts != nil {
-			budgets.Starts = *b.Starts
+			budgets.StartsPerSecond = *b.Starts
 		}
 		if b.Trial != nil {
 			budgets.Trial = b.Trial.Duration
 		}
 		p.Budgets = &budgets
-		if err := (desired.Part{Budgets: &budgets}).Check(); err != nil {
-			f.Bad("budgets", "%v", err)
+		if err := (desired.Patch{Budgets: &budgets}).Check(); err != nil {
+			f.Errorf("budgets", "%v", err)
 		}
 	}
 	for n, g := range file.Group {
 		at := fmt.Sprintf("group[%d]", n+1)
 		if p.Groups[g.Name] != nil {
-			f.Bad(at+".name", "%q is given twice", g.Name)
+			f.Errorf(at+".name", "%q is given twice", g.Name)
 		}
 		p.Groups[g.Name] = &desired.Group{Program: g.Program}
-		if err := (desired.Part{Groups: map[string]*desired.Group{g.Name: p.Groups[g.Name]}}).Check(); err != nil {
-			f.Bad(at, "%v", err)
+		if err := (desired.Patch{Groups: map[string]*desired.Group{g.Name: p.Groups[g.Name]}}).Check(); err != nil {
+			f.Errorf(at, "%v", err)
 		}
 	}
 	for n, b := range file.Ban {
 		at := fmt.Sprintf("ban[%d]", n+1)
 		if p.Bans[b.Server] != nil {
-			f.Bad(at+".server", "%q is given twice", b.Server)
+			f.Errorf(at+".server", "%q is given twice", b.Server)
 		}
-		p.Bans[b.Server] = &desired.Ban{Server: b.Server, Reason: b.Reason, For: b.For.Duration}
-		if err := (desired.Part{Bans: map[string]*desired.Ban{b.Server: p.Bans[b.Server]}}).Check(); err != nil {
-			f.Bad(at, "%v", err)
+		p.Bans[b.Server] = &desired.Ban{Server: b.Server, Reason: b.Reason, Duration: b.For.Duration}
+		if err := (desired.Patch{Bans: map[string]*desired.Ban{b.Server: p.Bans[b.Server]}}).Check(); err != nil {
+			f.Errorf(at, "%v", err)
 		}
 	}
 	return p, f.Err()
@@ -127,7 +127,7 @@
 		if err != nil {
 			return err
 		}
-		change.ID, change.At, change.Saw = protocol.NewID(time.Now(), rand.Uint64()), time.Now(), v.State.Document.Version
+		change.ID, change.At, change.BasedOn = protocol.NewID(time.Now(), rand.Uint64()), time.Now(), v.State.Document.Version
 		version, err := f.Change(ctx, change)
 		if err != nil {
 			return councilError(err)
@@ -137,10 +137,10 @@
 				Version desired.Version `json:"version"`
 			}{version}, func(p *printer) { fmt.Fprintf(p.tab, "version %v\n", version) }, false)
 		}
-		var st reconcile.Standing
-		var reported map[string]protocol.Fleet
+		var st reconcile.Progress
+		var reported map[string]protocol.FleetStatus
 		for {
-			if st, reported = f.Standing(ctx, version); len(st.Waiting) == 0 {
+			if st, reported = f.VersionStatus(ctx, version); len(st.Unconfirmed) == 0 {
 				break
 			}
 			wait := time.NewTimer(statusInterval)
@@ -152,7 +152,7 @@
 			wait.Stop()
 			break
 		}
-		return o.show(c.OutOrStdout(), st, func(p *printer) { p.versionStatus(st, reported) }, len(st.Waiting) > 0)
+		return o.show(c.OutOrStdout(), st, func(p *printer) { p.versionStatus(st, reported) }, len(st.Unconfirmed) > 0)
 	})
 }
 
@@ -168,7 +168,7 @@
 		Use: "ban SERVER --reason TEXT", Short: "Ban a server at all nodes, for a time or until unban", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return o.change(c, detach, func(duty.FleetView) (desired.Change, error) {
-				p := &desired.Part{Bans: map[string]*desired.Ban{args[0]: {Server: args[0], Reason: reason, For: duration}}}
+				p := &desired.Patch{Bans: map[string]*desired.Ban{args[0]: {Server: args[0], Reason: reason, Duration: duration}}}
 				if err := p.Check(); err != nil {
 					return desired.Change{}, usageErrorf("%v", err)
 				}
@@ -185,7 +185,7 @@
 				if v.State.Document.Bans[args[0]] == nil {
 					return desired.Change{}, usageErrorf("server %q is not banned", args[0])
 				}
-				return desired.Change{Set: &desired.Part{Bans: map[string]*desired.Ban{args[0]: nil}}}, nil
+				return desired.Change{Set: &desired.Patch{Bans: map[string]*desired.Ban{args[0]: nil}}}, nil
 			})
 		},
 	})
@@ -272,7 +272,7 @@
 		if err != nil {
 			return &cli.Exit{Code: cli.Usage, Err: err}
 		}
-		return o.showChanges(c, v, v.State.Would(*p))
+		return o.showChanges(c, v, v.State.Preview(*p))
 	})
 }
 
@@ -298,19 +298,19 @@
 		Use: "status", Short: "Show the fleet's desired state, and which version each node has confirmed", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return o.withDesired(c, o.withReadTimeout, func(ctx context.Context, f *group.Fleet, v duty.FleetView) error {
-				st, reported := f.Standing(ctx, v.State.Document.Version)
+				st, reported := f.VersionStatus(ctx, v.State.Document.Version)
 				answer := struct {
-					Current  bool                      `json:"current"`
-					Owner    string                    `json:"owner"`
-					State    *desired.State            `json:"state"`
-					Standing reconcile.Standing        `json:"standing"`
-					Agents   map[string]protocol.Fleet `json:"agents"`
+					Current  bool                            `json:"current"`
+					Owner    string                          `json:"owner"`
+					State    *desired.State                  `json:"state"`
+					Standing reconcile.Progress              `json:"standing"`
+					Agents   map[string]protocol.FleetStatus `json:"agents"`
 				}{v.Current, v.Owner, v.State, st, reported}
 				return o.show(c.OutOrStdout(), answer, func(p *printer) {
 					p.staleFleetWarning(v)
 					p.document(v.State)
 					p.versionStatus(st, reported)
-				}, !v.Current || len(st.Waiting) > 0)
+				}, !v.Current || len(st.Unconfirmed) > 0)
 			})
 		},
 	}
@@ -325,9 +325,9 @@
 // document shows the fleet's desired state.
 func (p *printer) document(s *desired.State) {
 	d := &s.Document
-	fmt.Fprintf(p.tab, "version %v; %d servers listed; limits: %v of them banned, %d of a group's instances unavailable", d.Version, s.Servers, d.Budgets.Out, d.Budgets.Away)
-	if d.Budgets.Zone > 0 {
-		fmt.Fprintf(p.tab, ", %d of a zone's", d.Budgets.Zone)
+	fmt.Fprintf(p.tab, "version %v; %d servers listed; limits: %v of them banned, %d of a group's instances unavailable", d.Version, s.Servers, d.Budgets.OutShare, d.Budgets.Unavailable)
+	if d.Budgets.ZoneUnavailable > 0 {
+		fmt.Fprintf(p.tab, ", %d of a zone's", d.Budgets.ZoneUnavailable)
 	}
 	fmt.Fprint(p.tab, "\n\n")
 	if len(d.Bans) > 0 {
@@ -335,8 +335,8 @@
 		for _, id := range slices.Sorted(maps.Keys(d.Bans)) {
 			b := d.Bans[id]
 			lasts := "until unban"
-			if b.For > 0 {
-				lasts = fmt.Sprintf("%v, about %v left", b.For, b.Left.Round(time.Second))
+			if b.Duration > 0 {
+				lasts = fmt.Sprintf("%v, about %v left", b.Duration, b.Remaining.Round(time.Second))
 			}
 			p.line(id, b.Reason, b.By, p.age(b.At)+" ago", lasts)
 		}
@@ -352,24 +352,24 @@
 }
 
 // versionStatus shows which instances have confirmed a version.
-func (p *printer) versionStatus(st reconcile.Standing, reported map[string]protocol.Fleet) {
+func (p *printer) versionStatus(st reconcile.Progress, reported map[string]protocol.FleetStatus) {
 	p.line("INSTANCE", "CONFIRMED", "SINCE", "CORDONED MANUALLY", "NOT IN ITS LIST", "WAITS")
 	for _, agent := range slices.Sorted(maps.Keys(reported)) {
 		for _, t := range reported[agent].Instances {
-			why, since := t.Waits, ""
-			if i := slices.IndexFunc(st.Waiting, func(w reconcile.Waiting) bool { return w.Agent == agent && w.Instance == t.Instance }); i >= 0 {
-				why = st.Waiting[i].Why
+			why, since := t.PendingReason, ""
+			if i := slices.IndexFunc(st.Unconfirmed, func(w reconcile.Unconfirmed) bool { return w.Agent == agent && w.Instance == t.Instance }); i >= 0 {
+				why = st.Unconfirmed[i].Reason
 			}
 			if !t.Since.IsZero() {
 				since = p.age(t.Since) + " ago"
 			}
-			p.line(agent+"/"+t.Instance, t.Version, since, strings.Join(t.Hand, " "), strings.Join(t.Missing, " "), why)
+			p.line(agent+"/"+t.Instance, t.Version, since, strings.Join(t.ManualCordons, " "), strings.Join(t.Missing, " "), why)
 		}
 	}
-	for _, w := range st.Waiting {
+	for _, w := range st.Unconfirmed {
 		if w.Instance == "" {
-			p.line(w.Agent+"/*", "not known", "", "", "", w.Why)
+			p.line(w.Agent+"/*", "not known", "", "", "", w.Reason)
 		}
 	}
-	fmt.Fprintf(p.tab, "\nversion %v: %d confirmed, %d not\n", st.Latest, st.Confirmed, len(st.Waiting))
+	fmt.Fprintf(p.tab, "\nversion %v: %d confirmed, %d not\n", st.Latest, st.Confirmed, len(st.Unconfirmed))
 }
--- a/internal/fleet/ctl/fleet_test.go
+++ b/internal/fleet/ctl/fleet_test.go
@@ -13,7 +13,7 @@
 // A file with the fleet's desired state is applied whole, or rejected with all its errors and their lines.
 func TestDesiredFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
-	load := func(text string) (*desired.Part, error) {
+	load := func(text string) (*desired.Patch, error) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -25,8 +25,8 @@
 		t.Fatal(err)
 	}
 	want := desired.DefaultBudgets
-	want.Away, want.Starts = 2, 0.5
-	if *p.Budgets != want || p.Groups["g"].Program != "v2" || p.Bans["s1"].For != 2*time.Hour {
+	want.Unavailable, want.StartsPerSecond = 2, 0.5
+	if *p.Budgets != want || p.Groups["g"].Program != "v2" || p.Bans["s1"].Duration != 2*time.Hour {
 		t.Errorf("%+v", p)
 	}
 	if g, named := p.Groups["old"]; g != nil || !named {
--- a/internal/fleet/ctl/kept.go
+++ b/internal/fleet/ctl/kept.go
@@ -17,14 +17,14 @@
 	root := &cobra.Command{Use: "kept", Short: "Show, drop or freeze the state that instances save for a restart without discovery"}
 	stateCommand := func(use, short, do string) *cobra.Command {
 		return o.queryInstances(&cobra.Command{Use: use, Short: short}, func(f *group.Fleet, ctx context.Context, rows []group.Row) []group.Inspected {
-			return f.SendStateCommand(ctx, rows, control.Keep{Do: do})
+			return f.SendStateCommand(ctx, rows, control.StateCommand{Do: do})
 		}, (*printer).savedState)
 	}
 	root.AddCommand(
 		o.queryInstances(&cobra.Command{Use: "show NAME…", Short: "Show how instances restarted, and their saved state"}, (*group.Fleet).Inspect, (*printer).savedState),
-		stateCommand("forget NAME…", "Delete saved servers and statistics from the instances' disks; manual cordons stay", control.KeepForget),
-		stateCommand("hold NAME…", "Stop writing saved state, except for manual cordons", control.KeepHold),
-		stateCommand("release NAME…", "Resume writing saved state", control.KeepRelease),
+		stateCommand("forget NAME…", "Delete saved servers and statistics from the instances' disks; manual cordons stay", control.StateForget),
+		stateCommand("hold NAME…", "Stop writing saved state, except for manual cordons", control.StateHold),
+		stateCommand("release NAME…", "Resume writing saved state", control.StateRelease),
 	)
 	return root
 }
--- a/internal/fleet/ctl/print.go
+++ b/internal/fleet/ctl/print.go
@@ -36,7 +36,7 @@
 		p.tab.Flush()
 	}
 	if silent {
-		return &cli.Exit{Code: cli.Silent}
+		return &cli.Exit{Code: cli.NoAnswer}
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 	fmt.Fprintln(p.tab)
 	p.line("DID NOT ANSWER", "WAITED", "WHY")
 	for _, s := range silent {
-		p.line(s.Agent, s.Waited.Round(time.Millisecond), s.Why)
+		p.line(s.Agent, s.Waited.Round(time.Millisecond), s.Reason)
 	}
 }
 
@@ -349,7 +349,7 @@
 		now[r.Agent+"/"+r.Name] = strings.TrimSpace(fmt.Sprintf("%s generation %d %s", r.State, r.Generation, r.Message))
 	}
 	for _, s := range l.Silent {
-		now[s.Agent] = "did not answer: " + s.Why
+		now[s.Agent] = "did not answer: " + s.Reason
 	}
 	for _, subject := range slices.Sorted(maps.Keys(now)) {
 		if last[subject] != now[subject] {
--- a/internal/fleet/ctl/recovery.go
+++ b/internal/fleet/ctl/recovery.go
@@ -42,10 +42,10 @@
 				if len(rows) > 1 {
 					return usageErrorf("recovery decide: %q is at more than one agent: use AGENT/NAME", args[0])
 				}
-				r, err := f.Agent(rows[0].Agent).Decide(ctx, rows[0].Name, args[1] == "up")
+				r, err := f.Client(rows[0].Agent).Decide(ctx, rows[0].Name, args[1] == "up")
 				var unanswered *client.NoAnswerError
 				if errors.As(err, &unanswered) {
-					return &cli.Exit{Code: cli.Silent, Err: err}
+					return &cli.Exit{Code: cli.NoAnswer, Err: err}
 				}
 				if err != nil {
 					return councilError(err)
@@ -76,7 +76,7 @@
 			if !h.Until.IsZero() {
 				until = "in " + h.Until.Sub(p.now).Round(time.Second).String()
 			}
-			p.line(r.Agent+"/"+h.Instance, p.age(h.Since), h.Runs, until, h.Why)
+			p.line(r.Agent+"/"+h.Instance, p.age(h.Since), h.Running, until, h.Reason)
 		}
 	}
 }
--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -39,10 +39,10 @@
 	Reason string    `json:"reason"`
 	By     string    `json:"by"`
 	At     time.Time `json:"at"` // by the operator's clock; for display only
-	// For is the ban's duration, 0 until it is lifted. Left is the time remaining when the duty's owner last
+	// Duration is the ban's duration, 0 until it is lifted. Left is the time remaining when the duty's owner last
 	// saved it. No wall clock ends a ban.
-	For  time.Duration `json:"for,omitempty"`
-	Left time.Duration `json:"left,omitempty"`
+	Duration  time.Duration `json:"for,omitempty"`
+	Remaining time.Duration `json:"left,omitempty"`
 }
 
 // Group is the desired state of a group's instances.
@@ -53,20 +53,20 @@
 
 // Budgets bound the changes that are made to the fleet at the same time.
 type Budgets struct {
-	Away int     `json:"away"`      // unavailable instances of a group, for whatever reason
-	Zone int     `json:"zone"`      // unavailable instances of a zone, over all groups; 0: no bound
-	Out  float64 `json:"out_share"` // banned share of all servers
-	// Starts is the number of instances started per second, over all jobs; 0: no bound.
-	Starts float64 `json:"starts"`
+	Unavailable     int     `json:"away"`      // unavailable instances of a group, for whatever reason
+	ZoneUnavailable int     `json:"zone"`      // unavailable instances of a zone, over all groups; 0: no bound
+	OutShare        float64 `json:"out_share"` // banned share of all servers
+	// StartsPerSecond is the number of instances started per second, over all jobs; 0: no bound.
+	StartsPerSecond float64 `json:"starts"`
 	// Trial is how long the first instances with a new version are observed before the others get it.
 	Trial time.Duration `json:"trial"`
 }
 
 // DefaultBudgets apply until an operator sets others.
-var DefaultBudgets = Budgets{Away: 1, Out: DefaultOutShare, Trial: 30 * time.Second}
+var DefaultBudgets = Budgets{Unavailable: 1, OutShare: DefaultOutShare, Trial: 30 * time.Second}
 
-// Part is a subset of a document's keys with their values; nil stands for an absent value.
-type Part struct {
+// Patch is a subset of a document's keys with their values; nil stands for an absent value.
+type Patch struct {
 	Bans    map[string]*Ban   `json:"bans,omitempty"`
 	Groups  map[string]*Group `json:"groups,omitempty"`
 	Budgets *Budgets          `json:"budgets,omitempty"`
@@ -82,17 +82,17 @@
 
 // Change is a requested change of the document. Exactly one of Set, Undo and End is given.
 type Change struct {
-	ID   string    `json:"id"`  // as protocol.NewID makes it; a repeated change has the same one
-	Saw  Version   `json:"saw"` // the version that the requester has seen
-	By   string    `json:"by"`
-	At   time.Time `json:"at"` // for display only
-	Note string    `json:"note,omitempty"`
+	ID      string    `json:"id"`  // as protocol.NewID makes it; a repeated change has the same one
+	BasedOn Version   `json:"saw"` // the version that the requester has seen
+	By      string    `json:"by"`
+	At      time.Time `json:"at"` // for display only
+	Note    string    `json:"note,omitempty"`
 	// Token is the duty owner's token if the owner itself requests the change.
 	Token protocol.Token `json:"token,omitempty"`
 
-	Set  *Part      `json:"set,omitempty"`
-	Undo Version    `json:"undo,omitempty"` // the version whose change is undone
-	End  *BanExpiry `json:"end,omitempty"`  // by the duty's owner
+	Set    *Patch     `json:"set,omitempty"`
+	Undo   Version    `json:"undo,omitempty"` // the version whose change is undone
+	Expire *BanExpiry `json:"end,omitempty"`  // by the duty's owner
 }
 
 // BanExpiry ends an expired ban: the one that began at version Since, not a later ban of the same server.
@@ -108,8 +108,8 @@
 	By      string    `json:"by"`
 	At      time.Time `json:"at"`
 	Note    string    `json:"note,omitempty"`
-	Was     Part      `json:"was"`
-	Is      Part      `json:"is"`
+	Before  Patch     `json:"was"`
+	After   Patch     `json:"is"`
 }
 
 // State is the document with its history. Create it with New. It is not safe for concurrent use.
@@ -129,10 +129,10 @@
 type ProgramChange struct {
 	Version Version `json:"version"`
 	// Previous is the program to which the group is reverted: the last one with which all of it has served.
-	Previous string    `json:"was"`
-	Whole    bool      `json:"whole"` // all of the group has served with this program
-	By       string    `json:"by"`
-	At       time.Time `json:"at"`
+	Previous  string    `json:"was"`
+	Completed bool      `json:"whole"` // all of the group has served with this program
+	By        string    `json:"by"`
+	At        time.Time `json:"at"`
 }
 
 // maxPrograms bounds the groups whose latest program change is kept.
@@ -167,9 +167,9 @@
 	return &c
 }
 
-// Word returns the part of the document that is distributed to the nodes.
-func (s *State) Word() cordon.Word {
-	w := cordon.Word{Version: uint64(s.Document.Version)}
+// FleetBans returns the part of the document that is distributed to the nodes.
+func (s *State) FleetBans() cordon.FleetBans {
+	w := cordon.FleetBans{Version: uint64(s.Document.Version)}
 	for _, id := range slices.Sorted(maps.Keys(s.Document.Bans)) {
 		b := s.Document.Bans[id]
 		w.Bans = append(w.Bans, cordon.Ban{ID: id, Reason: b.Reason, By: b.By, At: b.At})
@@ -177,8 +177,8 @@
 	return w
 }
 
-// keys returns the names of the part's keys in sorted order.
-func (p Part) keys() []string {
+// keys returns the names of the patch's keys in sorted order.
+func (p Patch) keys() []string {
 	all := []string{}
 	for id := range p.Bans {
 		all = append(all, "ban "+id)
@@ -193,8 +193,8 @@
 	return all
 }
 
-// Check validates a part that is to be set; the error names the key.
-func (p Part) Check() error {
+// Check validates a patch that is to be set; the error names the key.
+func (p Patch) Check() error {
 	for id, b := range p.Bans {
 		switch {
 		case id == "" || len(id) > maxServerIDLen:
@@ -202,32 +202,32 @@
 		case b == nil:
 		case b.Server != id:
 			return fmt.Errorf("ban: server %q under the key %q", b.Server, id)
-		case strings.TrimSpace(b.Reason) == "" || len(b.Reason) > protocol.WordsMost:
-			return fmt.Errorf("ban: server %q: reason: must have 1 to %d bytes", id, protocol.WordsMost)
-		case b.For < 0 || b.For > MaxBanDuration || b.For > 0 && b.For < time.Second:
-			return fmt.Errorf("ban: server %q: for: %v, must be 1s to %v, or 0 until it is lifted", id, b.For, MaxBanDuration)
+		case strings.TrimSpace(b.Reason) == "" || len(b.Reason) > protocol.MaxTextSize:
+			return fmt.Errorf("ban: server %q: reason: must have 1 to %d bytes", id, protocol.MaxTextSize)
+		case b.Duration < 0 || b.Duration > MaxBanDuration || b.Duration > 0 && b.Duration < time.Second:
+			return fmt.Errorf("ban: server %q: for: %v, must be 1s to %v, or 0 until it is lifted", id, b.Duration, MaxBanDuration)
 		}
 	}
 	for name, g := range p.Groups {
 		switch {
-		case !protocol.Name.MatchString(name):
+		case !protocol.NamePattern.MatchString(name):
 			return fmt.Errorf("group: %q is not a valid name", name)
-		case g != nil && g.Program != "" && !protocol.Name.MatchString(g.Program):
+		case g != nil && g.Program != "" && !protocol.NamePattern.MatchString(g.Program):
 			return fmt.Errorf("group: %q: program: %q is not a valid name", name, g.Program)
 		}
 	}
 	if b := p.Budgets; b != nil {
 		switch {
-		case b.Away < 1:
-			return fmt.Errorf("budgets: away: %d: must be at least 1, else no instance could ever be restarted", b.Away)
-		case b.Zone < 0:
-			return fmt.Errorf("budgets: zone: %d is negative", b.Zone)
-		case !(b.Starts >= 0 && b.Starts <= 1000):
-			return fmt.Errorf("budgets: starts: %v per second, must be 0 to 1000", b.Starts)
+		case b.Unavailable < 1:
+			return fmt.Errorf("budgets: away: %d: must be at least 1, else no instance could ever be restarted", b.Unavailable)
+		case b.ZoneUnavailable < 0:
+			return fmt.Errorf("budgets: zone: %d is negative", b.ZoneUnavailable)
+		case !(b.StartsPerSecond >= 0 && b.StartsPerSecond <= 1000):
+			return fmt.Errorf("budgets: starts: %v per second, must be 0 to 1000", b.StartsPerSecond)
 		case b.Trial < 0 || b.Trial > MaxTrial:
 			return fmt.Errorf("budgets: trial: %v, must be 0 to %v", b.Trial, MaxTrial)
-		case !(b.Out >= 0 && b.Out <= 1):
-			return fmt.Errorf("budgets: out_share: %v, must be 0 to 1", b.Out)
+		case !(b.OutShare >= 0 && b.OutShare <= 1):
+			return fmt.Errorf("budgets: out_share: %v, must be 0 to 1", b.OutShare)
 		}
 	}
 	return nil
@@ -240,7 +240,7 @@
 }
 
 // diff reduces a part to the keys that would change the document, and returns their present values as was.
-func (s *State) diff(p Part) (after, before Part) {
+func (s *State) diff(p Patch) (after, before Patch) {
 	d := &s.Document
 	for id, b := range p.Bans {
 		if !equalBan(b, d.Bans[id]) {
@@ -266,7 +266,7 @@
 
 // equalBan compares reason and duration only: repeating a ban keeps its first author.
 func equalBan(a, b *Ban) bool {
-	return a == nil && b == nil || a != nil && b != nil && a.Reason == b.Reason && a.For == b.For
+	return a == nil && b == nil || a != nil && b != nil && a.Reason == b.Reason && a.Duration == b.Duration
 }
 
 func putCopy[T any](m *map[string]*T, key string, v *T) {
@@ -289,24 +289,24 @@
 	if slices.ContainsFunc(s.History, func(e Entry) bool { return e.ID == c.ID }) {
 		return nil // repeated, as its answer was lost
 	}
-	var want Part
+	var want Patch
 	switch {
-	case c.End != nil:
-		if s.BanSince[c.End.Server] != c.End.Since || s.Document.Bans[c.End.Server] == nil {
+	case c.Expire != nil:
+		if s.BanSince[c.Expire.Server] != c.Expire.Since || s.Document.Bans[c.Expire.Server] == nil {
 			return nil // lifted or replaced meanwhile
 		}
-		want.Bans = map[string]*Ban{c.End.Server: nil}
-		c.Saw = s.Document.Version
+		want.Bans = map[string]*Ban{c.Expire.Server: nil}
+		c.BasedOn = s.Document.Version
 	case c.Undo != 0:
 		i := slices.IndexFunc(s.History, func(e Entry) bool { return e.Version == c.Undo })
 		if i < 0 {
 			return protocol.Errorf(protocol.CodeNotFound, "version %v is not among the %d changes in the history", c.Undo, len(s.History))
 		}
 		// Later changes of the same keys must not be undone with it.
-		if err := s.checkConflict(c.Undo, s.History[i].Is, "to undo version "+c.Undo.String()); err != nil {
+		if err := s.checkConflict(c.Undo, s.History[i].After, "to undo version "+c.Undo.String()); err != nil {
 			return err
 		}
-		want = s.History[i].Was
+		want = s.History[i].Before
 	case c.Set != nil:
 		want = *c.Set
 	default:
@@ -320,7 +320,7 @@
 	if len(keys) == 0 {
 		return nil
 	}
-	if err := s.checkConflict(c.Saw, after, c.By+" wants"); err != nil {
+	if err := s.checkConflict(c.BasedOn, after, c.By+" wants"); err != nil {
 		return err
 	}
 	if err := s.checkLimits(after); err != nil {
@@ -338,12 +338,12 @@
 		if applied.By == "" {
 			applied.By, applied.At = c.By, c.At
 		}
-		applied.Left = applied.For
+		applied.Remaining = applied.Duration
 		d.Bans[id], s.BanSince[id] = &applied, d.Version
 	}
 	for name, g := range after.Groups {
 		previous := s.Program(name)
-		if before, changed := s.Programs[name]; changed && !before.Whole {
+		if before, changed := s.Programs[name]; changed && !before.Completed {
 			previous = before.Previous
 		}
 		s.Programs[name] = ProgramChange{d.Version, previous, false, c.By, c.At}
@@ -366,7 +366,7 @@
 		}
 		delete(s.Programs, oldest)
 	}
-	s.History = append(s.History, Entry{ID: c.ID, Version: d.Version, By: c.By, At: c.At, Note: protocol.Clip(c.Note), Was: before, Is: after})
+	s.History = append(s.History, Entry{ID: c.ID, Version: d.Version, By: c.By, At: c.At, Note: protocol.Truncate(c.Note), Before: before, After: after})
 	if over := len(s.History) - MaxHistory; over > 0 {
 		s.Floor = s.History[over-1].Version
 		s.History = slices.Clone(s.History[over:])
@@ -375,7 +375,7 @@
 }
 
 // checkConflict refuses a change of keys that another change has altered since version basedOn; the error shows both.
-func (s *State) checkConflict(basedOn Version, want Part, label string) error {
+func (s *State) checkConflict(basedOn Version, want Patch, label string) error {
 	switch {
 	case basedOn > s.Document.Version:
 		return protocol.Errorf(protocol.CodeConflict, "the change is based on version %v, but the latest here is %v", basedOn, s.Document.Version)
@@ -387,17 +387,17 @@
 		if e.Version <= basedOn {
 			break
 		}
-		for _, key := range e.Is.keys() {
+		for _, key := range e.After.keys() {
 			if slices.Contains(keys, key) {
-				return protocol.Errorf(protocol.CodeConflict, "%s: version %v by %s says: %s; %s: %s", key, e.Version, e.By, e.Is.describe(key), label, want.describe(key))
+				return protocol.Errorf(protocol.CodeConflict, "%s: version %v by %s says: %s; %s: %s", key, e.Version, e.By, e.After.describe(key), label, want.describe(key))
 			}
 		}
 	}
 	return nil
 }
 
-// checkLimits refuses a part that would exceed the bounds on groups or on banned servers.
-func (s *State) checkLimits(after Part) error {
+// checkLimits refuses a patch that would exceed the bounds on groups or on banned servers.
+func (s *State) checkLimits(after Patch) error {
 	banned, adding := len(s.Document.Bans), false
 	for id, b := range after.Bans {
 		switch was := s.Document.Bans[id]; {
@@ -413,17 +413,17 @@
 			groups++
 		}
 	}
-	share := s.Document.Budgets.Out
+	share := s.Document.Budgets.OutShare
 	if after.Budgets != nil {
-		share = after.Budgets.Out
+		share = after.Budgets.OutShare
 	}
 	maxBanned := int(share * float64(s.Servers))
 	switch {
 	case groups > MaxGroups:
 		return protocol.Errorf(protocol.CodeConflict, "%d groups, at most %d are allowed", groups, MaxGroups)
 	case !adding:
-	case banned > cordon.BansMost:
-		return protocol.Errorf(protocol.CodeConflict, "%d servers would be out, at most %d are allowed", banned, cordon.BansMost)
+	case banned > cordon.MaxBans:
+		return protocol.Errorf(protocol.CodeConflict, "%d servers would be out, at most %d are allowed", banned, cordon.MaxBans)
 	case s.Servers == 0:
 		return protocol.Errorf(protocol.CodeNoCouncil, "the number of servers is not known yet, as no node has reported it: try again")
 	case banned > maxBanned:
@@ -432,27 +432,27 @@
 	return nil
 }
 
-// Note records observations of the duty's owner: the number of servers, the remaining time of bans, and the groups
+// Observe records observations of the duty's owner: the number of servers, the remaining time of bans, and the groups
 // of which all instances have served with the program of a version.
-func (s *State) Note(servers int, left map[string]time.Duration, whole map[string]Version) {
+func (s *State) Observe(servers int, left map[string]time.Duration, whole map[string]Version) {
 	if servers > 0 {
 		s.Servers = servers
 	}
 	for name, v := range whole {
 		if c, changed := s.Programs[name]; changed && c.Version == v {
-			c.Whole = true
+			c.Completed = true
 			s.Programs[name] = c
 		}
 	}
 	for id, l := range left {
-		if b := s.Document.Bans[id]; b != nil && b.For > 0 {
-			b.Left = max(0, min(b.Left, l))
+		if b := s.Document.Bans[id]; b != nil && b.Duration > 0 {
+			b.Remaining = max(0, min(b.Remaining, l))
 		}
 	}
 }
 
-// Raise lifts the version to a new epoch of the council, so that no earlier version is assigned again.
-func (s *State) Raise(epoch uint64) {
+// RaiseEpoch lifts the version to a new epoch of the council, so that no earlier version is assigned again.
+func (s *State) RaiseEpoch(epoch uint64) {
 	if at := Version(epoch << protocol.EpochShift); s.Document.Version != 0 && s.Document.Version < at {
 		s.Document.Version, s.Floor = at, at
 	}
@@ -465,16 +465,16 @@
 	}
 	for _, e := range s.History {
 		if e.Version > since {
-			for _, key := range e.Is.keys() {
-				lines = append(lines, fmt.Sprintf("%v by %s: %s: %s -> %s", e.Version, e.By, key, e.Was.describe(key), e.Is.describe(key)))
+			for _, key := range e.After.keys() {
+				lines = append(lines, fmt.Sprintf("%v by %s: %s: %s -> %s", e.Version, e.By, key, e.Before.describe(key), e.After.describe(key)))
 			}
 		}
 	}
 	return lines, true
 }
 
-// Would describes what setting a part would change.
-func (s *State) Would(p Part) (lines []string) {
+// Preview describes what setting a part would change.
+func (s *State) Preview(p Patch) (lines []string) {
 	after, before := s.diff(p)
 	for _, key := range after.keys() {
 		lines = append(lines, fmt.Sprintf("%s: %s -> %s", key, before.describe(key), after.describe(key)))
@@ -482,15 +482,15 @@
 	return lines
 }
 
-// describe describes a part's value for one key.
-func (p Part) describe(key string) string {
+// describe describes a patch's value for one key.
+func (p Patch) describe(key string) string {
 	kind, name, _ := strings.Cut(key, " ")
 	switch {
 	case kind == "ban" && p.Bans[name] != nil:
 		b := p.Bans[name]
 		text := "out"
-		if b.For > 0 {
-			text += " for " + b.For.String()
+		if b.Duration > 0 {
+			text += " for " + b.Duration.String()
 		}
 		return text + " (" + b.Reason + ")"
 	case kind == "ban":
@@ -500,7 +500,7 @@
 	case kind == "group":
 		return "default of the agents' files"
 	case p.Budgets != nil:
-		return fmt.Sprintf("away %d, zone %d, out_share %v, starts %v, trial %v", p.Budgets.Away, p.Budgets.Zone, p.Budgets.Out, p.Budgets.Starts, p.Budgets.Trial)
+		return fmt.Sprintf("away %d, zone %d, out_share %v, starts %v, trial %v", p.Budgets.Unavailable, p.Budgets.ZoneUnavailable, p.Budgets.OutShare, p.Budgets.StartsPerSecond, p.Budgets.Trial)
 	}
 	return "unchanged"
 }
--- a/internal/fleet/desired/desired_test.go
+++ b/internal/fleet/desired/desired_test.go
@@ -41,7 +41,7 @@
 func TestChangesAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		s.Note(40, nil, nil)
+		s.Observe(40, nil, nil)
 		m := referenceModel{versions: []map[string]string{{}}, changedKeys: []map[string]bool{{}}, ids: map[string]bool{}}
 		latest := func() int { return len(m.versions) - 1 }
 		overlaps := func(since int, keys map[string]bool) bool {
@@ -55,9 +55,9 @@
 			return false
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "changes") {
-			c := Change{ID: id(n + 1), By: "ada", Saw: Version(rapid.IntRange(max(0, latest()-3), latest()).Draw(t, "saw"))}
+			c := Change{ID: id(n + 1), By: "ada", BasedOn: Version(rapid.IntRange(max(0, latest()-3), latest()).Draw(t, "saw"))}
 			want := map[string]string{}
-			since := int(c.Saw)
+			since := int(c.BasedOn)
 			if undo := rapid.IntRange(0, 4).Draw(t, "undo") == 0 && latest() > 0; undo {
 				back := rapid.IntRange(max(1, latest()-3), latest()).Draw(t, "back")
 				c.Undo = Version(back)
@@ -68,7 +68,7 @@
 					since = back
 				}
 			} else {
-				p := Part{}
+				p := Patch{}
 				for _, server := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 2, rapid.ID[string]).Draw(t, "servers") {
 					if rapid.Bool().Draw(t, "out") {
 						b := &Ban{Server: server, Reason: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "reason")}
@@ -132,8 +132,8 @@
 				t.Fatal(err)
 			}
 			read := New()
-			if err := json.Unmarshal(text, read); err != nil || !reflect.DeepEqual(read.Word(), s.Word()) {
-				t.Fatalf("after encoding and decoding: %+v, %v, want %+v", read.Word(), err, s.Word())
+			if err := json.Unmarshal(text, read); err != nil || !reflect.DeepEqual(read.FleetBans(), s.FleetBans()) {
+				t.Fatalf("after encoding and decoding: %+v, %v, want %+v", read.FleetBans(), err, s.FleetBans())
 			}
 		}
 	})
@@ -141,9 +141,9 @@
 
 func TestConflictShowsBothSides(t *testing.T) {
 	s := New()
-	s.Note(8, nil, nil)
+	s.Observe(8, nil, nil)
 	ban := func(n int, by, reason string, saw Version) error {
-		return s.Apply(Change{ID: id(n), By: by, Saw: saw, Set: &Part{Bans: map[string]*Ban{"s1": {Server: "s1", Reason: reason}}}})
+		return s.Apply(Change{ID: id(n), By: by, BasedOn: saw, Set: &Patch{Bans: map[string]*Ban{"s1": {Server: "s1", Reason: reason}}}})
 	}
 	if err := ban(1, "ada", "disk", 0); err != nil {
 		t.Fatal(err)
@@ -155,7 +155,7 @@
 	if lines, ok := s.Diff(0); !ok || len(lines) != 1 || lines[0] != "0.1 by ada: ban s1: in -> out (disk)" {
 		t.Errorf("%q", lines)
 	}
-	if lines := s.Would(Part{Bans: map[string]*Ban{"s1": nil}}); len(lines) != 1 || lines[0] != "ban s1: out (disk) -> in" {
+	if lines := s.Preview(Patch{Bans: map[string]*Ban{"s1": nil}}); len(lines) != 1 || lines[0] != "ban s1: out (disk) -> in" {
 		t.Errorf("%q", lines)
 	}
 }
@@ -165,12 +165,12 @@
 func TestShareOfServersOut(t *testing.T) {
 	s := New()
 	out := func(n int, server string) error {
-		return s.Apply(Change{ID: id(n), Saw: s.Document.Version, Set: &Part{Bans: map[string]*Ban{server: {Server: server, Reason: "x"}}}})
+		return s.Apply(Change{ID: id(n), BasedOn: s.Document.Version, Set: &Patch{Bans: map[string]*Ban{server: {Server: server, Reason: "x"}}}})
 	}
 	if err := out(1, "s1"); code(err) != protocol.CodeNoCouncil {
 		t.Errorf("with no server known: %v", err)
 	}
-	s.Note(8, nil, nil)
+	s.Observe(8, nil, nil)
 	for n, server := range []string{"s1", "s2"} {
 		if err := out(n+2, server); err != nil {
 			t.Fatal(err)
@@ -180,22 +180,22 @@
 		t.Error(err)
 	}
 	// Replacing one ban by another does not raise the number.
-	swap := Part{Bans: map[string]*Ban{"s1": nil, "s3": {Server: "s3", Reason: "x"}}}
-	if err := s.Apply(Change{ID: id(6), Saw: s.Document.Version, Set: &swap}); err != nil {
+	swap := Patch{Bans: map[string]*Ban{"s1": nil, "s3": {Server: "s3", Reason: "x"}}}
+	if err := s.Apply(Change{ID: id(6), BasedOn: s.Document.Version, Set: &swap}); err != nil {
 		t.Error(err)
 	}
-	s.Note(4, nil, nil) // with fewer servers than before, existing bans stay and can be lifted
-	if err := s.Apply(Change{ID: id(7), Saw: s.Document.Version, Set: &Part{Bans: map[string]*Ban{"s2": nil}}}); err != nil {
+	s.Observe(4, nil, nil) // with fewer servers than before, existing bans stay and can be lifted
+	if err := s.Apply(Change{ID: id(7), BasedOn: s.Document.Version, Set: &Patch{Bans: map[string]*Ban{"s2": nil}}}); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestLimits(t *testing.T) {
 	s := New()
-	s.Note(10_000, nil, nil)
+	s.Observe(10_000, nil, nil)
 	for n := range MaxHistory + 10 {
-		p := Part{Bans: map[string]*Ban{"s": {Server: "s", Reason: fmt.Sprint(n)}}}
-		if err := s.Apply(Change{ID: id(n + 1), Saw: s.Document.Version, Set: &p}); err != nil {
+		p := Patch{Bans: map[string]*Ban{"s": {Server: "s", Reason: fmt.Sprint(n)}}}
+		if err := s.Apply(Change{ID: id(n + 1), BasedOn: s.Document.Version, Set: &p}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -205,22 +205,22 @@
 	if _, ok := s.Diff(3); ok {
 		t.Error("Diff succeeds for a version before the history's start")
 	}
-	if err := s.Apply(Change{ID: id(1000), Saw: 3, Set: &Part{Bans: map[string]*Ban{"t": {Server: "t", Reason: "x"}}}}); code(err) != protocol.CodeConflict {
+	if err := s.Apply(Change{ID: id(1000), BasedOn: 3, Set: &Patch{Bans: map[string]*Ban{"t": {Server: "t", Reason: "x"}}}}); code(err) != protocol.CodeConflict {
 		t.Errorf("based on a version before the history's start: %v", err)
 	}
-	many := Part{}
-	for n := range cordon.BansMost + 1 {
+	many := Patch{}
+	for n := range cordon.MaxBans + 1 {
 		putCopy(&many.Bans, fmt.Sprint("s", n), &Ban{Server: fmt.Sprint("s", n), Reason: "x"})
 	}
 	before := s.Clone()
-	if err := s.Apply(Change{ID: id(1001), Saw: s.Document.Version, Set: &many}); code(err) != protocol.CodeConflict || !reflect.DeepEqual(before, s.Clone()) {
+	if err := s.Apply(Change{ID: id(1001), BasedOn: s.Document.Version, Set: &many}); code(err) != protocol.CodeConflict || !reflect.DeepEqual(before, s.Clone()) {
 		t.Errorf("too many bans: %v", err)
 	}
-	groups := Part{}
+	groups := Patch{}
 	for n := range MaxGroups + 1 {
 		putCopy(&groups.Groups, fmt.Sprint("g", n), &Group{Program: "v1"})
 	}
-	if err := s.Apply(Change{ID: id(1002), Saw: s.Document.Version, Set: &groups}); code(err) != protocol.CodeConflict {
+	if err := s.Apply(Change{ID: id(1002), BasedOn: s.Document.Version, Set: &groups}); code(err) != protocol.CodeConflict {
 		t.Errorf("too many groups: %v", err)
 	}
 }
@@ -229,54 +229,54 @@
 // earlier versions.
 func TestBanExpiryAndEpochs(t *testing.T) {
 	s := New()
-	s.Note(8, nil, nil)
+	s.Observe(8, nil, nil)
 	begin := func(n int, reason string) Version {
-		p := Part{Bans: map[string]*Ban{"s1": {Server: "s1", Reason: reason, For: time.Minute}}}
-		if err := s.Apply(Change{ID: id(n), Saw: s.Document.Version, By: "ada", Set: &p}); err != nil {
+		p := Patch{Bans: map[string]*Ban{"s1": {Server: "s1", Reason: reason, Duration: time.Minute}}}
+		if err := s.Apply(Change{ID: id(n), BasedOn: s.Document.Version, By: "ada", Set: &p}); err != nil {
 			t.Fatal(err)
 		}
 		return s.BanSince["s1"]
 	}
 	first := begin(1, "x")
-	s.Note(0, map[string]time.Duration{"s1": time.Second, "s2": time.Second}, nil)
-	if left := s.Document.Bans["s1"].Left; left != time.Second || s.Servers != 8 {
+	s.Observe(0, map[string]time.Duration{"s1": time.Second, "s2": time.Second}, nil)
+	if left := s.Document.Bans["s1"].Remaining; left != time.Second || s.Servers != 8 {
 		t.Errorf("%v left, %d servers", left, s.Servers)
 	}
 	second := begin(2, "y")
-	if left := s.Document.Bans["s1"].Left; left != time.Minute {
+	if left := s.Document.Bans["s1"].Remaining; left != time.Minute {
 		t.Errorf("after a new ban: %v left", left)
 	}
 	for n, c := range []struct {
 		since Version
 		out   bool
 	}{{first, true}, {second, false}, {second, false}} {
-		if err := s.Apply(Change{ID: id(10 + n), By: "fleet", End: &BanExpiry{Server: "s1", Since: c.since}}); err != nil || (s.Document.Bans["s1"] != nil) != c.out {
+		if err := s.Apply(Change{ID: id(10 + n), By: "fleet", Expire: &BanExpiry{Server: "s1", Since: c.since}}); err != nil || (s.Document.Bans["s1"] != nil) != c.out {
 			t.Errorf("ended since %v: %v, %v", c.since, s.Document.Bans["s1"], err)
 		}
 	}
 	before := s.Document.Version
-	s.Raise(2)
+	s.RaiseEpoch(2)
 	if s.Document.Version <= before || s.Document.Version.Epoch() != 2 {
 		t.Errorf("version %v after the recovery", s.Document.Version)
 	}
-	p := Part{Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "z"}}}
-	if err := s.Apply(Change{ID: id(20), Saw: before, Set: &p}); code(err) != protocol.CodeConflict {
+	p := Patch{Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "z"}}}
+	if err := s.Apply(Change{ID: id(20), BasedOn: before, Set: &p}); code(err) != protocol.CodeConflict {
 		t.Errorf("based on a version before the recovery: %v", err)
 	}
 }
 
 func TestInvalidPatches(t *testing.T) {
-	for want, p := range map[string]Part{
+	for want, p := range map[string]Patch{
 		"reason: must have 1 to 200 bytes": {Bans: map[string]*Ban{"s1": {Server: "s1"}}},
-		"for: -1s":                         {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", For: -time.Second}}},
-		"for: 1ms":                         {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", For: time.Millisecond}}},
+		"for: -1s":                         {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", Duration: -time.Second}}},
+		"for: 1ms":                         {Bans: map[string]*Ban{"s1": {Server: "s1", Reason: "x", Duration: time.Millisecond}}},
 		"under the key":                    {Bans: map[string]*Ban{"s1": {Server: "s2", Reason: "x"}}},
 		`server ""`:                        {Bans: map[string]*Ban{"": nil}},
 		`group: "a b"`:                     {Groups: map[string]*Group{"a b": nil}},
 		`program: "../x"`:                  {Groups: map[string]*Group{"g": {Program: "../x"}}},
 		"away: 0":                          {Budgets: &Budgets{}},
-		"zone: -1":                         {Budgets: &Budgets{Away: 1, Zone: -1}},
-		"out_share: 1.5, must be 0 to 1":   {Budgets: &Budgets{Away: 1, Out: 1.5}},
+		"zone: -1":                         {Budgets: &Budgets{Unavailable: 1, ZoneUnavailable: -1}},
+		"out_share: 1.5, must be 0 to 1":   {Budgets: &Budgets{Unavailable: 1, OutShare: 1.5}},
 	} {
 		s := New()
 		if err := s.Apply(Change{ID: id(1), Set: &p}); code(err) != protocol.CodeUsage || !strings.Contains(err.Error(), want) {
@@ -284,7 +284,7 @@
 		}
 	}
 	s := New()
-	for n, c := range []Change{{}, {ID: id(1)}, {ID: id(1), Undo: 7}, {ID: id(1), Saw: 9, Set: &Part{Groups: map[string]*Group{"g": {Program: "v1"}}}}} {
+	for n, c := range []Change{{}, {ID: id(1)}, {ID: id(1), Undo: 7}, {ID: id(1), BasedOn: 9, Set: &Patch{Groups: map[string]*Group{"g": {Program: "v1"}}}}} {
 		if err := s.Apply(c); err == nil || s.Document.Version != 0 {
 			t.Errorf("%d: %v", n, err)
 		}
--- a/internal/fleet/duty/answers.go
+++ b/internal/fleet/duty/answers.go
@@ -9,10 +9,10 @@
 
 // Hello is the handshake that a voter sends when it opens a stream to another voter.
 type Hello struct {
-	Cluster  string
-	Founding string
-	Epoch    uint64 // of the council, as known to the sender
-	From, To string // server IDs, AGENT/STORE
+	Cluster   string
+	CouncilID string
+	Epoch     uint64 // of the council, as known to the sender
+	From, To  string // server IDs, AGENT/STORE
 }
 
 // States of a voter.
@@ -21,27 +21,27 @@
 	Learner  = "learner"
 	Follower = "follower"
 	Leader   = "leader"
-	Alone    = "no-leader"
+	NoLeader = "no-leader"
 	Broken   = "broken"  // its store fails, or has content that can't be decoded
 	Outside  = "outside" // the agent is no voter, and forwards requests to the voters
 )
 
 // Status describes a voter.
 type Status struct {
-	Agent    string        `json:"agent"`
-	Cluster  string        `json:"cluster"`
-	Server   string        `json:"server"` // server ID
-	Founding string        `json:"founding,omitempty"`
-	State    string        `json:"state"`
-	Leader   string        `json:"leader,omitempty"`
-	Term     uint64        `json:"term"`
-	Last     uint64        `json:"last"`       // index of the last log entry
-	Applied  uint64        `json:"applied"`    // index of the last applied entry
-	Contact  time.Duration `json:"contact_ns"` // time since the last contact with the leader
-	Why      string        `json:"why,omitempty"`
-	Writes   uint64        `json:"writes"`            // writes to the store since it was opened, each with an fsync
-	SlowFor  time.Duration `json:"slow_ns,omitempty"` // longest slow write; 0 after a minute without one
-	Members  []Member      `json:"members"`
+	Agent        string        `json:"agent"`
+	Cluster      string        `json:"cluster"`
+	Server       string        `json:"server"` // server ID
+	CouncilID    string        `json:"founding,omitempty"`
+	State        string        `json:"state"`
+	Leader       string        `json:"leader,omitempty"`
+	Term         uint64        `json:"term"`
+	Last         uint64        `json:"last"`       // index of the last log entry
+	Applied      uint64        `json:"applied"`    // index of the last applied entry
+	SinceContact time.Duration `json:"contact_ns"` // time since the last contact with the leader
+	Reason       string        `json:"why,omitempty"`
+	Writes       uint64        `json:"writes"`            // writes to the store since it was opened, each with an fsync
+	SlowestWrite time.Duration `json:"slow_ns,omitempty"` // longest slow write; 0 after a minute without one
+	Members      []Member      `json:"members"`
 }
 
 // Member is a server in the raft configuration.
@@ -51,7 +51,7 @@
 }
 
 // Name returns the agent's name.
-func (m Member) Name() string { return NameOf(m.Server) }
+func (m Member) Name() string { return AgentName(m.Server) }
 
 // View is a voter's view of duties and jobs. It may be stale unless Current is set.
 type View struct {
@@ -59,35 +59,35 @@
 	Leader  string        `json:"leader,omitempty"`
 	Current bool          `json:"current"`          // a majority confirmed that the voter leads when the view was read
 	Age     time.Duration `json:"age_ns,omitempty"` // time since the last contact with the leader, if the view is not current
-	Duties  []Owned       `json:"duties"`
+	Duties  []LeasedDuty  `json:"duties"`
 	Jobs    []*Job        `json:"jobs"`
-	// Says is the owner's message on each job by job ID: why a job waits.
-	Says   map[string]string `json:"says,omitempty"`
-	Voters []string          `json:"voters"`
+	// Messages is the owner's message on each job by job ID: why a job waits.
+	Messages map[string]string `json:"says,omitempty"`
+	Voters   []string          `json:"voters"`
 }
 
-// Owned is a duty with the remaining time of its lease, if that is known.
-type Owned struct {
+// LeasedDuty is a duty with the remaining time of its lease, if that is known.
+type LeasedDuty struct {
 	Duty
-	Left  time.Duration `json:"left_ns"`
-	Known bool          `json:"left_known"`
+	Remaining      time.Duration `json:"left_ns"`
+	RemainingKnown bool          `json:"left_known"`
 }
 
 // Renewal is a request to extend a duty's lease.
 type Renewal struct {
 	Fence
-	Says map[string]string `json:"says,omitempty"`
+	Messages map[string]string `json:"says,omitempty"`
 }
 
 // Answer is the council's answer to a command.
 type Answer struct {
-	Token Token           `json:"token,omitempty"`
-	Job   *Job            `json:"job,omitempty"`
-	Left  time.Duration   `json:"left_ns,omitempty"` // Acquire: remaining time of the current owner's lease
-	Offer string          `json:"offer,omitempty"`   // Acquire: the duty is free; ask again with this offer
-	Told  *Told           `json:"told,omitempty"`    // Report
-	Kept  []string        `json:"kept,omitempty"`    // Restore: entries that were newer than the backup's and were kept
-	Fleet desired.Version `json:"fleet,omitempty"`   // Change: the current version of the desired state
+	Token        Token           `json:"token,omitempty"`
+	Job          *Job            `json:"job,omitempty"`
+	Left         time.Duration   `json:"left_ns,omitempty"` // Acquire: remaining time of the current owner's lease
+	Offer        string          `json:"offer,omitempty"`   // Acquire: the duty is free; ask again with this offer
+	ReportAnswer *ReportAnswer   `json:"told,omitempty"`    // Report
+	KeptNewer    []string        `json:"kept,omitempty"`    // Restore: entries that were newer than the backup's and were kept
+	Fleet        desired.Version `json:"fleet,omitempty"`   // Change: the current version of the desired state
 }
 
 // FleetView is a voter's view of the fleet's desired state. It may be stale unless Current is set.
@@ -98,8 +98,8 @@
 	State   *desired.State `json:"state"`
 }
 
-// NameOf returns the agent's name of a server ID, AGENT/STORE.
-func NameOf(server string) string {
+// AgentName returns the agent's name of a server ID, AGENT/STORE.
+func AgentName(server string) string {
 	name, _, _ := strings.Cut(server, "/")
 	return name
 }
--- a/internal/fleet/duty/backup.go
+++ b/internal/fleet/duty/backup.go
@@ -41,27 +41,27 @@
 	for _, d := range s.duties {
 		d.Owner = ""
 	}
-	s.fleet.Raise(s.epoch)
+	s.fleet.RaiseEpoch(s.epoch)
 }
 
 // Backup is the file format of a council's state.
 type Backup struct {
-	Form    int             `json:"form"`
-	Cluster string          `json:"cluster"`
-	Taken   time.Time       `json:"taken"`
-	State   json.RawMessage `json:"state"` // a snapshot
-	Sum     string          `json:"sum"`   // hexadecimal SHA-256 of the fields above
+	FormatVersion int             `json:"form"`
+	Cluster       string          `json:"cluster"`
+	Taken         time.Time       `json:"taken"`
+	State         json.RawMessage `json:"state"` // a snapshot
+	Sum           string          `json:"sum"`   // hexadecimal SHA-256 of the fields above
 }
 
 func (b *Backup) sum() string {
 	h := sha256.New()
-	fmt.Fprintf(h, "%d %s %d %s", b.Form, b.Cluster, b.Taken.UnixNano(), b.State)
+	fmt.Fprintf(h, "%d %s %d %s", b.FormatVersion, b.Cluster, b.Taken.UnixNano(), b.State)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
 // NewBackup returns a backup of a snapshot.
 func NewBackup(cluster string, taken time.Time, state []byte) *Backup {
-	b := &Backup{Form: Form, Cluster: cluster, Taken: taken.UTC().Truncate(time.Millisecond), State: state}
+	b := &Backup{FormatVersion: FormatVersion, Cluster: cluster, Taken: taken.UTC().Truncate(time.Millisecond), State: state}
 	b.Sum = b.sum()
 	return b
 }
@@ -69,8 +69,8 @@
 // Check verifies that the backup is intact and belongs to the given cluster, and returns its state.
 func (b *Backup) Check(cluster string) (*State, error) {
 	switch {
-	case b.Form != Form:
-		return nil, protocol.Errorf(protocol.CodeVersion, "backup has format version %d, this build supports %d", b.Form, Form)
+	case b.FormatVersion != FormatVersion:
+		return nil, protocol.Errorf(protocol.CodeVersion, "backup has format version %d, this build supports %d", b.FormatVersion, FormatVersion)
 	case b.Cluster != cluster:
 		return nil, protocol.Errorf(protocol.CodeUsage, "backup belongs to cluster %q, this is cluster %q", b.Cluster, cluster)
 	case b.Sum != b.sum():
@@ -113,7 +113,7 @@
 	for _, agent := range slices.Sorted(maps.Keys(from.agents)) {
 		m := from.agents[agent]
 		if s.agents[agent] == nil {
-			s.agents[agent] = &Memory{m.Folder, m.Starts, map[string]Desired{}}
+			s.agents[agent] = &AgentData{m.StateDirID, m.Starts, map[string]Desired{}}
 		}
 		current := s.agents[agent].Instances
 		for _, name := range slices.Sorted(maps.Keys(m.Instances)) {
@@ -133,7 +133,7 @@
 			continue
 		}
 		if j.State == Active || j.State == Paused {
-			j.State, j.Why = Stopped, protocol.Clip(fmt.Sprintf("restored from a backup of %s: resume or cancel it", r.Backup.Taken.Format(time.RFC3339)))
+			j.State, j.Reason = Stopped, protocol.Truncate(fmt.Sprintf("restored from a backup of %s: resume or cancel it", r.Backup.Taken.Format(time.RFC3339)))
 		}
 		s.jobs[id] = j
 		s.jobOrder = append(s.jobOrder, id)
@@ -145,7 +145,7 @@
 	}
 	keptNewer = append(keptNewer, s.restoreFleet(from.fleet)...)
 	s.startEpoch(from.epoch)
-	return Result{Kept: keptNewer}
+	return Result{KeptNewer: keptNewer}
 }
 
 // restoreFleet restores the fleet's desired state if there is none here. Otherwise it keeps the current one
@@ -155,8 +155,8 @@
 		s.fleet = from.Clone()
 		return nil
 	}
-	all := desired.Part{Bans: from.Document.Bans, Groups: from.Document.Groups, Budgets: &from.Document.Budgets}
-	for _, line := range s.fleet.Would(all) {
+	all := desired.Patch{Bans: from.Document.Bans, Groups: from.Document.Groups, Budgets: &from.Document.Budgets}
+	for _, line := range s.fleet.Preview(all) {
 		kept = append(kept, fmt.Sprintf("desired state: version %v stays; the backup's version %v would change %s", s.fleet.Document.Version, from.Document.Version, line))
 	}
 	return kept
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -15,9 +15,9 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// Form is the format version of commands and snapshots. It is incremented with each change that an older
+// FormatVersion is the format version of commands and snapshots. It is incremented with each change that an older
 // voter would misinterpret.
-const Form = 1
+const FormatVersion = 1
 
 const (
 	// Rollouts is the duty of executing jobs, Fleet that of reconciling the fleet with its desired state.
@@ -59,11 +59,11 @@
 
 // Phases of a step, which is a job's progress at one target.
 const (
-	Waiting = ""       // not started
-	Intent  = "intent" // written before the order is sent: it may be in transit or in progress
-	Done    = "done"
-	Failed  = "failed"
-	Left    = "left" // skipped: the instance was not changed and will not be
+	NotStarted = ""       // not started
+	Intent     = "intent" // written before the order is sent: it may be in transit or in progress
+	Done       = "done"
+	Failed     = "failed"
+	Skipped    = "left" // skipped: the instance was not changed and will not be
 )
 
 // Target identifies an instance by its agent and name, with its group.
@@ -102,38 +102,38 @@
 	Change desired.Version `json:"change,omitempty"`
 	Stage  string          `json:"stage,omitempty"`
 
-	State string `json:"state"`
-	Why   string `json:"why,omitempty"`
-	By    string `json:"by,omitempty"`    // who last paused, resumed or cancelled it
-	Round int    `json:"round,omitempty"` // number of times it was resumed
-	// Before is the baseline: the answers of the job's instances before the job started. It is stored so
+	State       string `json:"state"`
+	Reason      string `json:"why,omitempty"`
+	By          string `json:"by,omitempty"`    // who last paused, resumed or cancelled it
+	ResumeCount int    `json:"round,omitempty"` // number of times it was resumed
+	// Baseline is the baseline: the answers of the job's instances before the job started. It is stored so
 	// that every owner judges the job by the same counts. Nil until the first owner has measured it.
-	Before *Answers `json:"before,omitempty"`
+	Baseline *AnswerCounts `json:"before,omitempty"`
 	// Steps has one entry per target, in the order of Targets.
 	Steps []Step `json:"steps"`
 }
 
-// Answers counts the answers that a group gave to its clients, by outcome.
-type Answers struct {
+// AnswerCounts counts the answers that a group gave to its clients, by outcome.
+type AnswerCounts struct {
 	Served, Refused, Failed int64
 	Late                    int64 `json:",omitempty"` // subset of Served
 }
 
 // Add adds b's counts to a.
-func (a *Answers) Add(b Answers) {
+func (a *AnswerCounts) Add(b AnswerCounts) {
 	a.Served += b.Served
 	a.Refused += b.Refused
 	a.Failed += b.Failed
 	a.Late += b.Late
 }
 
-// All returns the total number of answers.
-func (a Answers) All() int64 { return a.Served + a.Refused + a.Failed }
+// Total returns the total number of answers.
+func (a AnswerCounts) Total() int64 { return a.Served + a.Refused + a.Failed }
 
 // Open reports whether the job's owner still has work: steps to start, or steps in progress to
 // complete.
 func (j *Job) Open() bool {
-	return j.State == Active && slices.ContainsFunc(j.Steps, func(s Step) bool { return s.Phase == Waiting }) || j.Intents() > 0
+	return j.State == Active && slices.ContainsFunc(j.Steps, func(s Step) bool { return s.Phase == NotStarted }) || j.Intents() > 0
 }
 
 // Intents returns the number of steps whose order may be in progress.
@@ -163,35 +163,35 @@
 func (j *Job) Clone() *Job {
 	c := *j
 	c.Targets, c.Steps = slices.Clone(j.Targets), slices.Clone(j.Steps)
-	if j.Before != nil {
-		before := *j.Before
-		c.Before = &before
+	if j.Baseline != nil {
+		before := *j.Baseline
+		c.Baseline = &before
 	}
 	return &c
 }
 
 // Command is a change of the State. Exactly one of its pointers is set.
 type Command struct {
-	Form      int             `json:"form"`
-	Acquire   *Acquire        `json:"acquire,omitempty"`
-	Release   *Release        `json:"release,omitempty"`
-	Submit    *Job            `json:"submit,omitempty"`
-	Mark      *Mark           `json:"mark,omitempty"`
-	Stop      *Stop           `json:"stop,omitempty"`
-	Turn      *Turn           `json:"turn,omitempty"`
-	Bootstrap *Bootstrap      `json:"found,omitempty"`
-	Voter     *Voter          `json:"voter,omitempty"`
-	Base      *Base           `json:"base,omitempty"`
-	Report    *Report         `json:"report,omitempty"`
-	Recovery  *Recovery       `json:"reborn,omitempty"`
-	Restore   *Restore        `json:"restore,omitempty"`
-	Change    *desired.Change `json:"change,omitempty"`
-	Note      *Note           `json:"note,omitempty"`
-}
-
-// Note records what the owner of Fleet has observed: the number of servers that nodes list, and the
+	FormatVersion int             `json:"form"`
+	Acquire       *Acquire        `json:"acquire,omitempty"`
+	Release       *Release        `json:"release,omitempty"`
+	Submit        *Job            `json:"submit,omitempty"`
+	SetPhase      *SetPhase       `json:"mark,omitempty"`
+	Stop          *Stop           `json:"stop,omitempty"`
+	SetJobState   *SetJobState    `json:"turn,omitempty"`
+	Bootstrap     *Bootstrap      `json:"found,omitempty"`
+	VoterChange   *VoterChange    `json:"voter,omitempty"`
+	Baseline      *Baseline       `json:"base,omitempty"`
+	Report        *Report         `json:"report,omitempty"`
+	Recovery      *Recovery       `json:"reborn,omitempty"`
+	Restore       *Restore        `json:"restore,omitempty"`
+	Change        *desired.Change `json:"change,omitempty"`
+	Observation   *Observation    `json:"note,omitempty"`
+}
+
+// Observation records what the owner of Fleet has observed: the number of servers that nodes list, and the
 // remaining time of bans.
-type Note struct {
+type Observation struct {
 	Token   Token                    `json:"token"`
 	Servers int                      `json:"servers,omitempty"`
 	Left    map[string]time.Duration `json:"left,omitempty"`
@@ -199,11 +199,11 @@
 	Whole map[string]desired.Version `json:"whole,omitempty"`
 }
 
-// Base stores a job's baseline, Job.Before, unless it has one.
-type Base struct {
-	Token   Token   `json:"token"`
-	Job     string  `json:"job"`
-	Answers Answers `json:"answers"`
+// Baseline stores a job's baseline, Job.Baseline, unless it has one.
+type Baseline struct {
+	Token   Token        `json:"token"`
+	Job     string       `json:"job"`
+	Answers AnswerCounts `json:"answers"`
 }
 
 // Bootstrap is the first command of a council's log: the council's ID and its initial voters.
@@ -212,8 +212,8 @@
 	Voters []string `json:"voters"`
 }
 
-// Voter adds or removes a voter.
-type Voter struct {
+// VoterChange adds or removes a voter.
+type VoterChange struct {
 	Name string `json:"name"`
 	Add  bool   `json:"add"`
 	By   string `json:"by"`
@@ -222,9 +222,9 @@
 // Acquire assigns a duty to an owner. The leader proposes it once it has observed that the lease under
 // token After has ended; it is refused if another acquisition was applied first.
 type Acquire struct {
-	Duty  string `json:"duty"`
-	Owner string `json:"owner"`
-	After Token  `json:"after"` // the latest token when the command was proposed
+	Duty          string `json:"duty"`
+	Owner         string `json:"owner"`
+	PreviousToken Token  `json:"after"` // the latest token when the command was proposed
 	// Offer repeats the offer in the leader's answer to a first Acquire without one. The two round trips
 	// ensure that a duty is not assigned to a candidate that does not receive answers and so would
 	// not learn that it is the owner.
@@ -238,9 +238,9 @@
 	By     string `json:"by,omitempty"`
 }
 
-// Mark sets a step's phase: the intent before the order is sent, and the outcome afterwards. The phase
+// SetPhase sets a step's phase: the intent before the order is sent, and the outcome afterwards. The phase
 // Waiting withdraws an intent whose order was not started.
-type Mark struct {
+type SetPhase struct {
 	Token      Token     `json:"token"`
 	Job        string    `json:"job"`
 	Key        string    `json:"key"`
@@ -254,16 +254,16 @@
 
 // Stop stops a job, by the owner's decision.
 type Stop struct {
-	Token Token  `json:"token"`
-	Job   string `json:"job"`
-	Why   string `json:"why"`
+	Token  Token  `json:"token"`
+	Job    string `json:"job"`
+	Reason string `json:"why"`
 }
 
-// Turn changes a job's state by an operator's command: To is Active, Paused or Cancelled.
-type Turn struct {
-	Job string `json:"job"`
-	To  string `json:"to"`
-	By  string `json:"by"`
+// SetJobState changes a job's state by an operator's command: To is Active, Paused or Cancelled.
+type SetJobState struct {
+	Job   string `json:"job"`
+	State string `json:"to"`
+	By    string `json:"by"`
 	// Token is the Fleet owner's if the command is the owner's, else 0.
 	Token Token `json:"token,omitempty"`
 }
@@ -272,10 +272,10 @@
 type Result struct {
 	Token Token `json:"token,omitempty"` // Acquire
 	Job   *Job  `json:"job,omitempty"`   // Submit, Mark, Stop, Turn, Base: the job after the command
-	// Told is the result of a Report. Kept is the result of a Restore: descriptions of the entries that
+	// ReportAnswer is the result of a Report. Kept is the result of a Restore: descriptions of the entries that
 	// were newer than the backup's and were kept.
-	Told *Told    `json:"told,omitempty"`
-	Kept []string `json:"kept,omitempty"`
+	ReportAnswer *ReportAnswer `json:"told,omitempty"`
+	KeptNewer    []string      `json:"kept,omitempty"`
 	// Fleet is the result of a Change: the current version of the desired state.
 	Fleet desired.Version `json:"fleet,omitempty"`
 	Err   error           `json:"-"` // a *protocol.Error
@@ -290,13 +290,13 @@
 	duties    map[string]*Duty
 	jobs      map[string]*Job
 	jobOrder  []string // job IDs, oldest first
-	agents    map[string]*Memory
+	agents    map[string]*AgentData
 	fleet     *desired.State
 }
 
 // New returns an empty State.
 func New() *State {
-	return &State{duties: map[string]*Duty{}, jobs: map[string]*Job{}, agents: map[string]*Memory{}, fleet: desired.New()}
+	return &State{duties: map[string]*Duty{}, jobs: map[string]*Job{}, agents: map[string]*AgentData{}, fleet: desired.New()}
 }
 
 // Desired returns a copy of the fleet's desired state with its history.
@@ -306,7 +306,7 @@
 func (s *State) DesiredVersion() desired.Version { return s.fleet.Document.Version }
 
 func (s *State) change(c *desired.Change) Result {
-	if c.End != nil || c.Token != 0 {
+	if c.Expire != nil || c.Token != 0 {
 		if err := s.checkOwner(Fleet, c.Token); err != nil {
 			return Result{Err: err}
 		}
@@ -315,11 +315,11 @@
 	return Result{Fleet: s.fleet.Document.Version, Err: err}
 }
 
-func (s *State) note(n *Note) Result {
+func (s *State) note(n *Observation) Result {
 	if err := s.checkOwner(Fleet, n.Token); err != nil {
 		return Result{Err: err}
 	}
-	s.fleet.Note(n.Servers, n.Left, n.Whole)
+	s.fleet.Observe(n.Servers, n.Left, n.Whole)
 	return Result{}
 }
 
@@ -368,22 +368,22 @@
 // refusal is the result that the client gets.
 func (s *State) Apply(c Command) Result {
 	switch {
-	case c.Form != Form:
-		return refuse(protocol.CodeVersion, "command has format version %d, this build supports %d", c.Form, Form)
+	case c.FormatVersion != FormatVersion:
+		return refuse(protocol.CodeVersion, "command has format version %d, this build supports %d", c.FormatVersion, FormatVersion)
 	case c.Acquire != nil:
 		return s.acquire(c.Acquire)
 	case c.Release != nil:
 		return s.release(c.Release)
 	case c.Submit != nil:
 		return s.submit(c.Submit)
-	case c.Mark != nil:
-		return s.mark(c.Mark)
+	case c.SetPhase != nil:
+		return s.mark(c.SetPhase)
 	case c.Stop != nil:
 		return s.stop(c.Stop)
-	case c.Turn != nil:
-		return s.setJobState(c.Turn)
-	case c.Base != nil:
-		return s.setBaseline(c.Base)
+	case c.SetJobState != nil:
+		return s.setJobState(c.SetJobState)
+	case c.Baseline != nil:
+		return s.setBaseline(c.Baseline)
 	case c.Report != nil:
 		return s.report(c.Report)
 	case c.Recovery != nil:
@@ -392,12 +392,12 @@
 		return s.restore(c.Restore)
 	case c.Change != nil:
 		return s.change(c.Change)
-	case c.Note != nil:
-		return s.note(c.Note)
+	case c.Observation != nil:
+		return s.note(c.Observation)
 	case c.Bootstrap != nil:
 		return s.bootstrap(c.Bootstrap)
-	case c.Voter != nil:
-		return s.voter(c.Voter)
+	case c.VoterChange != nil:
+		return s.voter(c.VoterChange)
 	}
 	return refuse(protocol.CodeUsage, "command: no operation is set")
 }
@@ -423,7 +423,7 @@
 	}
 	for i, name := range names {
 		switch {
-		case !protocol.Name.MatchString(name):
+		case !protocol.NamePattern.MatchString(name):
 			return fmt.Errorf("%q is not a valid agent name", name)
 		case slices.Contains(names[:i], name):
 			return fmt.Errorf("%q is named twice", name)
@@ -432,10 +432,10 @@
 	return nil
 }
 
-func (s *State) voter(v *Voter) Result {
+func (s *State) voter(v *VoterChange) Result {
 	has := slices.Contains(s.voters, v.Name)
 	switch n := len(s.voters); {
-	case !protocol.Name.MatchString(v.Name):
+	case !protocol.NamePattern.MatchString(v.Name):
 		return refuse(protocol.CodeUsage, "voter: %q is not a valid agent name", v.Name)
 	case v.Add == has && has:
 		return refuse(protocol.CodeConflict, "%s is already a voter", v.Name)
@@ -458,11 +458,11 @@
 func (s *State) acquire(a *Acquire) Result {
 	d := s.duties[a.Duty]
 	switch {
-	case !protocol.Name.MatchString(a.Duty) || !protocol.Name.MatchString(a.Owner):
+	case !protocol.NamePattern.MatchString(a.Duty) || !protocol.NamePattern.MatchString(a.Owner):
 		return refuse(protocol.CodeUsage, "acquire: duty %q or owner %q is not a valid name", a.Duty, a.Owner)
 	case d == nil && len(s.duties) >= maxDuties:
 		return refuse(protocol.CodeUsage, "acquire: there are %d duties, the maximum", maxDuties)
-	case s.Duty(a.Duty).Token != a.After:
+	case s.Duty(a.Duty).Token != a.PreviousToken:
 		d := s.Duty(a.Duty)
 		return refuse(protocol.CodeConflict, "duty %s was acquired by %q with token %v in the meantime", d.Name, d.Owner, d.Token)
 	}
@@ -504,12 +504,12 @@
 	switch {
 	case j.Kind != protocol.Restart && j.Kind != protocol.Upgrade:
 		return protocol.Errorf(protocol.CodeUsage, "job: kind: %q is not supported, only %q and %q", j.Kind, protocol.Restart, protocol.Upgrade)
-	case j.Program != "" && (j.Kind != protocol.Upgrade || !protocol.Name.MatchString(j.Program)):
+	case j.Program != "" && (j.Kind != protocol.Upgrade || !protocol.NamePattern.MatchString(j.Program)):
 		return protocol.Errorf(protocol.CodeUsage, "job: program: %.80q is not allowed in a job of kind %q", j.Program, j.Kind)
 	case j.MaxUnavailable < 1:
 		return protocol.Errorf(protocol.CodeUsage, "job: max_unavailable: %d: must be at least 1, or no instance could be restarted", j.MaxUnavailable)
-	case len(j.Stage) > protocol.WordsMost:
-		return protocol.Errorf(protocol.CodeUsage, "job: stage: %d bytes, the maximum is %d", len(j.Stage), protocol.WordsMost)
+	case len(j.Stage) > protocol.MaxTextSize:
+		return protocol.Errorf(protocol.CodeUsage, "job: stage: %d bytes, the maximum is %d", len(j.Stage), protocol.MaxTextSize)
 	case j.Pause < 0:
 		return protocol.Errorf(protocol.CodeUsage, "job: pause: %v is negative", j.Pause)
 	case len(j.Targets) == 0 || len(j.Targets) > maxTargets:
@@ -518,7 +518,7 @@
 	seen := map[string]bool{}
 	for _, t := range j.Targets {
 		switch key := t.Key(); {
-		case !protocol.Name.MatchString(t.Agent) || !protocol.Name.MatchString(t.Instance):
+		case !protocol.NamePattern.MatchString(t.Agent) || !protocol.NamePattern.MatchString(t.Instance):
 			return protocol.Errorf(protocol.CodeUsage, "job: targets: %q is not of the form AGENT/INSTANCE", key)
 		case seen[key]:
 			return protocol.Errorf(protocol.CodeUsage, "job: targets: %q is listed twice", key)
@@ -544,7 +544,7 @@
 		return refuse(protocol.CodeConflict, "too many jobs: %d with %d targets are stored, the limits are %d and %d: wait until some have ended, or cancel them", len(s.jobOrder), n, MaxJobs, maxTargets)
 	}
 	added := j.Clone()
-	added.State, added.Why, added.By, added.Round, added.Before, added.Steps = Active, "", "", 0, nil, make([]Step, len(j.Targets))
+	added.State, added.Reason, added.By, added.ResumeCount, added.Baseline, added.Steps = Active, "", "", 0, nil, make([]Step, len(j.Targets))
 	s.jobs[j.ID] = added
 	s.jobOrder = append(s.jobOrder, j.ID)
 	return Result{Job: added.Clone()}
@@ -581,7 +581,7 @@
 	return nil, protocol.Errorf(protocol.CodeNotFound, "job %s not found", id)
 }
 
-func (s *State) mark(m *Mark) Result {
+func (s *State) mark(m *SetPhase) Result {
 	if err := s.checkOwner(Rollouts, m.Token); err != nil {
 		return Result{Err: err}
 	}
@@ -598,13 +598,13 @@
 	case m.Phase == step.Phase && (m.Phase != Intent || m.Token == step.Token):
 		return Result{Job: j.Clone()} // a repeated command
 	case m.Phase == Intent && step.Phase == Intent: // a new owner continues the step, in whatever state the job is
-	case m.Phase == Intent && step.Phase != Waiting:
+	case m.Phase == Intent && step.Phase != NotStarted:
 		return refuse(protocol.CodeConflict, "job %s: step %s has already ended: %s", m.Job, m.Key, step.Phase)
 	case m.Phase == Intent && j.State != Active:
 		return refuse(protocol.CodeConflict, "job %s is %s", m.Job, j.State)
 	case m.Phase == Intent:
-	case m.Phase == Left && step.Phase == Waiting:
-	case (m.Phase == Done || m.Phase == Failed || m.Phase == Waiting || m.Phase == Left) && step.Phase == Intent:
+	case m.Phase == Skipped && step.Phase == NotStarted:
+	case (m.Phase == Done || m.Phase == Failed || m.Phase == NotStarted || m.Phase == Skipped) && step.Phase == Intent:
 	default:
 		return refuse(protocol.CodeConflict, "job %s: step %s can't change from phase %q to %q", m.Job, m.Key, step.Phase, m.Phase)
 	}
@@ -615,7 +615,7 @@
 	case m.Phase == Intent && at.IsZero():
 		at = m.IntendedAt
 	}
-	*step = Step{m.Phase, m.Token, protocol.Clip(m.Text), at}
+	*step = Step{m.Phase, m.Token, protocol.Truncate(m.Text), at}
 	j.finishIfDone()
 	return Result{Job: j.Clone()}
 }
@@ -628,7 +628,7 @@
 	failed := 0
 	for _, s := range j.Steps {
 		switch s.Phase {
-		case Waiting, Intent:
+		case NotStarted, Intent:
 			return
 		case Failed:
 			failed++
@@ -636,11 +636,11 @@
 	}
 	j.State = Finished
 	if failed > 0 {
-		j.State, j.Why = Stopped, fmt.Sprintf("%d instances failed", failed)
+		j.State, j.Reason = Stopped, fmt.Sprintf("%d instances failed", failed)
 	}
 }
 
-func (s *State) setBaseline(b *Base) Result {
+func (s *State) setBaseline(b *Baseline) Result {
 	if err := s.checkOwner(Rollouts, b.Token); err != nil {
 		return Result{Err: err}
 	}
@@ -648,9 +648,9 @@
 	if err != nil {
 		return Result{Err: err}
 	}
-	if j.Before == nil {
+	if j.Baseline == nil {
 		answers := b.Answers
-		j.Before = &answers
+		j.Baseline = &answers
 	}
 	return Result{Job: j.Clone()}
 }
@@ -664,12 +664,12 @@
 		return Result{Err: err}
 	}
 	if j.State == Active {
-		j.State, j.Why = Stopped, protocol.Clip(stop.Why)
+		j.State, j.Reason = Stopped, protocol.Truncate(stop.Reason)
 	}
 	return Result{Job: j.Clone()}
 }
 
-func (s *State) setJobState(t *Turn) Result {
+func (s *State) setJobState(t *SetJobState) Result {
 	if t.Token != 0 {
 		if err := s.checkOwner(Fleet, t.Token); err != nil {
 			return Result{Err: err}
@@ -680,23 +680,23 @@
 		return Result{Err: err}
 	}
 	switch {
-	case t.To == j.State:
+	case t.State == j.State:
 		return Result{Job: j.Clone()}
 	case j.State == Finished || j.State == Cancelled:
 		return refuse(protocol.CodeConflict, "job %s has already ended: %s", t.Job, j.State)
-	case t.To == Paused && j.State == Active, t.To == Cancelled:
-	case t.To == Active:
-		j.Round++
-		j.Before = nil // resuming accepts the current state: a new baseline is measured
+	case t.State == Paused && j.State == Active, t.State == Cancelled:
+	case t.State == Active:
+		j.ResumeCount++
+		j.Baseline = nil // resuming accepts the current state: a new baseline is measured
 		for i, step := range j.Steps {
-			if step.Phase == Failed || step.Phase == Left {
-				j.Steps[i] = Step{Phase: Waiting, Text: step.Text, IntendedAt: step.IntendedAt}
+			if step.Phase == Failed || step.Phase == Skipped {
+				j.Steps[i] = Step{Phase: NotStarted, Text: step.Text, IntendedAt: step.IntendedAt}
 			}
 		}
 	default:
-		return refuse(protocol.CodeUsage, "job %s is %s and can't be set to %q", t.Job, j.State, t.To)
+		return refuse(protocol.CodeUsage, "job %s is %s and can't be set to %q", t.Job, j.State, t.State)
 	}
-	j.State, j.By, j.Why = t.To, t.By, ""
+	j.State, j.By, j.Reason = t.State, t.By, ""
 	j.finishIfDone()
 	return Result{Job: j.Clone()}
 }
@@ -711,13 +711,13 @@
 	Duties        []Duty   `json:"duties"`
 	Jobs          []*Job   `json:"jobs"`
 
-	Agents map[string]*Memory `json:"agents,omitempty"`
-	Fleet  *desired.State     `json:"fleet,omitempty"`
+	Agents map[string]*AgentData `json:"agents,omitempty"`
+	Fleet  *desired.State        `json:"fleet,omitempty"`
 }
 
 // Snapshot serializes the state.
 func (s *State) Snapshot() ([]byte, error) {
-	text, err := json.Marshal(snapshot{Form, s.councilID, s.voters, s.epoch, s.lastToken, s.Duties(), s.Jobs(), s.agents, s.fleet})
+	text, err := json.Marshal(snapshot{FormatVersion, s.councilID, s.voters, s.epoch, s.lastToken, s.Duties(), s.Jobs(), s.agents, s.fleet})
 	if err != nil {
 		return nil, fmt.Errorf("duty: snapshot: %w", err)
 	}
@@ -730,8 +730,8 @@
 	if err := json.Unmarshal(text, &loaded); err != nil {
 		return fmt.Errorf("duty: snapshot: %w", err)
 	}
-	if loaded.FormatVersion != Form {
-		return fmt.Errorf("duty: snapshot has format version %d, this build supports %d: install the version that the other agents run", loaded.FormatVersion, Form)
+	if loaded.FormatVersion != FormatVersion {
+		return fmt.Errorf("duty: snapshot has format version %d, this build supports %d: install the version that the other agents run", loaded.FormatVersion, FormatVersion)
 	}
 	state := New()
 	state.councilID, state.voters = loaded.CouncilID, loaded.Voters
--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -27,7 +27,7 @@
 
 func apply(t testing.TB, s *State, c Command) Result {
 	t.Helper()
-	c.Form = Form
+	c.FormatVersion = FormatVersion
 	r := s.Apply(c)
 	if r.Err != nil {
 		t.Fatalf("%+v: %v", c, r.Err)
@@ -65,21 +65,21 @@
 			which := jobID(rapid.IntRange(0, 3).Draw(t, "job"))
 			key := fmt.Sprint("m1/n", rapid.IntRange(1, 4).Draw(t, "instance"))
 			newest := len(m.tokens) > 0 && token == m.tokens[len(m.tokens)-1] && m.owner != ""
-			c := Command{Form: Form}
+			c := Command{FormatVersion: FormatVersion}
 			switch rapid.IntRange(0, 7).Draw(t, "command") {
 			case 7:
-				c.Base = &Base{Token: token, Job: which, Answers: Answers{Served: int64(len(m.tokens))}}
+				c.Baseline = &Baseline{Token: token, Job: which, Answers: AnswerCounts{Served: int64(len(m.tokens))}}
 			case 0:
-				c.Acquire = &Acquire{Duty: Rollouts, Owner: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), After: token}
+				c.Acquire = &Acquire{Duty: Rollouts, Owner: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), PreviousToken: token}
 			case 1:
 				c.Release = &Release{Fence: Fence{Duty: Rollouts, Token: token}}
 			case 2:
 				c.Submit = job(jobs%4, 3)
 			case 3, 4:
-				phase := rapid.SampledFrom([]string{Intent, Done, Failed, Left, Waiting}).Draw(t, "phase")
-				c.Mark = &Mark{Token: token, Job: which, Key: key, Phase: phase}
+				phase := rapid.SampledFrom([]string{Intent, Done, Failed, Skipped, NotStarted}).Draw(t, "phase")
+				c.SetPhase = &SetPhase{Token: token, Job: which, Key: key, Phase: phase}
 			case 5:
-				c.Turn = &Turn{Job: which, To: rapid.SampledFrom([]string{Active, Paused, Cancelled, Stopped}).Draw(t, "to"), By: "eve"}
+				c.SetJobState = &SetJobState{Job: which, State: rapid.SampledFrom([]string{Active, Paused, Cancelled, Stopped}).Draw(t, "to"), By: "eve"}
 			case 6: // a voter restarts from a snapshot
 				text, err := s.Snapshot()
 				if err != nil {
@@ -107,8 +107,8 @@
 			}
 			switch {
 			case c.Acquire != nil:
-				if last := append([]Token{0}, m.tokens...)[len(m.tokens)]; r.Token <= last || c.Acquire.After != last {
-					t.Fatalf("got token %v after %v, requested after %v", r.Token, last, c.Acquire.After)
+				if last := append([]Token{0}, m.tokens...)[len(m.tokens)]; r.Token <= last || c.Acquire.PreviousToken != last {
+					t.Fatalf("got token %v after %v, requested after %v", r.Token, last, c.Acquire.PreviousToken)
 				}
 				m.tokens, m.owner = append(m.tokens, r.Token), c.Acquire.Owner
 			case c.Release != nil:
@@ -118,35 +118,35 @@
 				m.owner = ""
 			case c.Submit != nil:
 				jobs++
-			case c.Base != nil && !newest:
+			case c.Baseline != nil && !newest:
 				t.Fatalf("token %v, not the current owner's, wrote a baseline", token)
-			case c.Mark != nil:
+			case c.SetPhase != nil:
 				if !newest {
 					t.Fatalf("token %v wrote, the tokens issued are %v and the owner is %q", token, m.tokens, m.owner)
 				}
 				h := m.history[which+key]
-				if c.Mark.Phase == Intent {
-					if n := len(h); n > 0 && (h[n-1] == Done || h[n-1] == Failed || h[n-1] == Left) {
+				if c.SetPhase.Phase == Intent {
+					if n := len(h); n > 0 && (h[n-1] == Done || h[n-1] == Failed || h[n-1] == Skipped) {
 						t.Fatalf("%s started again after phases %v", key, h)
 					}
 					if m.cancelled[which] && (len(h) == 0 || h[len(h)-1] != Intent) {
 						t.Fatalf("%s started after the cancel, phases %v", key, h)
 					}
 				}
-				m.history[which+key] = append(h, c.Mark.Phase)
-			case c.Turn != nil && c.Turn.To == Cancelled:
+				m.history[which+key] = append(h, c.SetPhase.Phase)
+			case c.SetJobState != nil && c.SetJobState.State == Cancelled:
 				m.cancelled[which] = true
-			case c.Turn != nil && c.Turn.To == Active && was != Active:
+			case c.SetJobState != nil && c.SetJobState.State == Active && was != Active:
 				for i := range 3 {
 					k := which + fmt.Sprint("m1/n", i+1)
-					if h := m.history[k]; len(h) > 0 && (h[len(h)-1] == Failed || h[len(h)-1] == Left) {
-						m.history[k] = append(h, Waiting)
+					if h := m.history[k]; len(h) > 0 && (h[len(h)-1] == Failed || h[len(h)-1] == Skipped) {
+						m.history[k] = append(h, NotStarted)
 					}
 				}
 			}
 			for _, j := range s.Jobs() {
 				for i, step := range j.Steps {
-					want := Waiting
+					want := NotStarted
 					if h := m.history[j.ID+j.Targets[i].Key()]; len(h) > 0 {
 						want = h[len(h)-1]
 					}
@@ -171,10 +171,10 @@
 			token := apply(t, s, Command{Acquire: &Acquire{Duty: Rollouts, Owner: "a"}}).Token
 			apply(t, s, Command{Submit: job(1, 1)})
 			mark := func(phase string) Result {
-				return s.Apply(Command{Form: Form, Mark: &Mark{Token: token, Job: jobID(1), Key: "m1/n1", Phase: phase}})
+				return s.Apply(Command{FormatVersion: FormatVersion, SetPhase: &SetPhase{Token: token, Job: jobID(1), Key: "m1/n1", Phase: phase}})
 			}
 			mark(Intent)
-			cancel := Command{Form: Form, Turn: &Turn{Job: jobID(1), To: Cancelled, By: "eve"}}
+			cancel := Command{FormatVersion: FormatVersion, SetJobState: &SetJobState{Job: jobID(1), State: Cancelled, By: "eve"}}
 			want := Finished
 			if cancelFirst {
 				want = Cancelled
@@ -203,24 +203,24 @@
 	for n := range maxDuties {
 		apply(t, s, Command{Acquire: &Acquire{Duty: fmt.Sprint("d", n), Owner: "a"}})
 	}
-	if r := s.Apply(Command{Form: Form, Acquire: &Acquire{Duty: "more", Owner: "a"}}); code(r.Err) != protocol.CodeUsage {
+	if r := s.Apply(Command{FormatVersion: FormatVersion, Acquire: &Acquire{Duty: "more", Owner: "a"}}); code(r.Err) != protocol.CodeUsage {
 		t.Errorf("acquire above the maximum number of duties: %v", r.Err)
 	}
 	for n := range MaxJobs {
 		apply(t, s, Command{Submit: job(n, 1)})
 	}
-	if r := s.Apply(Command{Form: Form, Submit: job(MaxJobs, 1)}); code(r.Err) != protocol.CodeConflict {
+	if r := s.Apply(Command{FormatVersion: FormatVersion, Submit: job(MaxJobs, 1)}); code(r.Err) != protocol.CodeConflict {
 		t.Errorf("submit above the maximum number of jobs: %v", r.Err)
 	}
-	apply(t, s, Command{Turn: &Turn{Job: jobID(5), To: Cancelled, By: "eve"}})
+	apply(t, s, Command{SetJobState: &SetJobState{Job: jobID(5), State: Cancelled, By: "eve"}})
 	apply(t, s, Command{Submit: job(MaxJobs, 1)}) // replaces the ended job
-	if r := s.Apply(Command{Form: Form, Turn: &Turn{Job: jobID(5), To: Active}}); code(r.Err) != protocol.CodeNotFound {
+	if r := s.Apply(Command{FormatVersion: FormatVersion, SetJobState: &SetJobState{Job: jobID(5), State: Active}}); code(r.Err) != protocol.CodeNotFound {
 		t.Errorf("evicted job: %v", r.Err)
 	}
-	if r := s.Apply(Command{Form: Form, Submit: job(MaxJobs+1, maxTargets)}); code(r.Err) != protocol.CodeConflict {
+	if r := s.Apply(Command{FormatVersion: FormatVersion, Submit: job(MaxJobs+1, maxTargets)}); code(r.Err) != protocol.CodeConflict {
 		t.Errorf("submit above the maximum number of targets: %v", r.Err)
 	}
-	if j := s.Jobs()[0]; len(protocol.Clip(string(make([]byte, 10_000)))) > protocol.WordsMost+len("…") || j.Why != "" {
+	if j := s.Jobs()[0]; len(protocol.Truncate(string(make([]byte, 10_000)))) > protocol.MaxTextSize+len("…") || j.Reason != "" {
 		t.Errorf("texts are not truncated")
 	}
 }
@@ -238,17 +238,17 @@
 		Command
 		code string
 	}{
-		"empty":         {Command{Form: Form}, protocol.CodeUsage},
-		"newer form":    {Command{Form: Form + 1, Submit: job(1, 1)}, protocol.CodeVersion},
-		"named twice":   {Command{Form: Form, Submit: twice}, protocol.CodeUsage},
-		"no name":       {Command{Form: Form, Submit: foreign}, protocol.CodeUsage},
-		"no instances":  {Command{Form: Form, Submit: none}, protocol.CodeUsage},
-		"unknown kind":  {Command{Form: Form, Submit: kind}, protocol.CodeUsage},
-		"no id":         {Command{Form: Form, Submit: form}, protocol.CodeUsage},
-		"none away":     {Command{Form: Form, Submit: away}, protocol.CodeUsage},
-		"unknown job":   {Command{Form: Form, Turn: &Turn{Job: jobID(9), To: Paused}}, protocol.CodeNotFound},
-		"unknown token": {Command{Form: Form, Release: &Release{Fence: Fence{Duty: Rollouts, Token: 3}}}, protocol.CodeFenced},
-		"no owner":      {Command{Form: Form, Mark: &Mark{Job: jobID(9)}}, protocol.CodeFenced},
+		"empty":         {Command{FormatVersion: FormatVersion}, protocol.CodeUsage},
+		"newer form":    {Command{FormatVersion: FormatVersion + 1, Submit: job(1, 1)}, protocol.CodeVersion},
+		"named twice":   {Command{FormatVersion: FormatVersion, Submit: twice}, protocol.CodeUsage},
+		"no name":       {Command{FormatVersion: FormatVersion, Submit: foreign}, protocol.CodeUsage},
+		"no instances":  {Command{FormatVersion: FormatVersion, Submit: none}, protocol.CodeUsage},
+		"unknown kind":  {Command{FormatVersion: FormatVersion, Submit: kind}, protocol.CodeUsage},
+		"no id":         {Command{FormatVersion: FormatVersion, Submit: form}, protocol.CodeUsage},
+		"none away":     {Command{FormatVersion: FormatVersion, Submit: away}, protocol.CodeUsage},
+		"unknown job":   {Command{FormatVersion: FormatVersion, SetJobState: &SetJobState{Job: jobID(9), State: Paused}}, protocol.CodeNotFound},
+		"unknown token": {Command{FormatVersion: FormatVersion, Release: &Release{Fence: Fence{Duty: Rollouts, Token: 3}}}, protocol.CodeFenced},
+		"no owner":      {Command{FormatVersion: FormatVersion, SetPhase: &SetPhase{Job: jobID(9)}}, protocol.CodeFenced},
 	} {
 		if r := s.Apply(c.Command); code(r.Err) != c.code {
 			t.Errorf("%s: %v, want %s", name, r.Err, c.code)
--- a/internal/fleet/duty/lease_test.go
+++ b/internal/fleet/duty/lease_test.go
@@ -76,7 +76,7 @@
 			if left, ok := leases[leader].Remaining(Rollouts, now); !ok || left > 0 && d.Owner != "" {
 				continue
 			}
-			r := state.Apply(Command{Form: Form, Acquire: &Acquire{Duty: Rollouts, Owner: names[i], After: d.Token}})
+			r := state.Apply(Command{FormatVersion: FormatVersion, Acquire: &Acquire{Duty: Rollouts, Owner: names[i], PreviousToken: d.Token}})
 			if r.Err != nil {
 				t.Fatal(r.Err)
 			}
--- a/internal/fleet/group/bench_test.go
+++ b/internal/fleet/group/bench_test.go
@@ -89,7 +89,7 @@
 			run("inspect one by one", func(ctx context.Context) int {
 				n := 0
 				for _, r := range f.List(ctx).Rows {
-					if _, err := f.Agent(r.Agent).Inspect(ctx, r.Name); err == nil {
+					if _, err := f.Client(r.Agent).Inspect(ctx, r.Name); err == nil {
 						n++
 					}
 				}
@@ -109,7 +109,7 @@
 			ops := 0
 			for b.Loop() {
 				ctx, cancel := context.WithTimeout(b.Context(), time.Minute)
-				r, err := f.Give(ctx, Order{Plan: Plan{Kind: protocol.Restart}, Select: s})
+				r, err := f.Execute(ctx, Order{Plan: Plan{Kind: protocol.Restart}, Select: s})
 				cancel()
 				if err != nil || r.Conflict != nil {
 					b.Fatal(err, r)
--- a/internal/fleet/group/command.go
+++ b/internal/fleet/group/command.go
@@ -81,9 +81,9 @@
 	ID string
 }
 
-// Give executes an order before ctx ends. It returns an error if the order itself is
+// Execute executes an order before ctx ends. It returns an error if the order itself is
 // invalid; all other failures are in the report.
-func (f *Fleet) Give(ctx context.Context, o Order) (*Report, error) {
+func (f *Fleet) Execute(ctx context.Context, o Order) (*Report, error) {
 	if o.Progress == nil {
 		o.Progress = func(Result) {}
 	}
@@ -194,7 +194,7 @@
 		for _, r := range rows {
 			if r.Agent == a.Name() {
 				agentRows = append(agentRows, r)
-				request.Instances = append(request.Instances, protocol.Seen{Name: r.Name, Generation: r.Generation})
+				request.Instances = append(request.Instances, protocol.InstanceGeneration{Name: r.Name, Generation: r.Generation})
 			}
 		}
 		if len(agentRows) == 0 {
@@ -232,7 +232,7 @@
 			s := newUnanswered(a.Name(), began, err)
 			c.report.Silent = append(c.report.Silent, s)
 			for _, r := range agentRows {
-				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: NoAnswer, Text: s.Why, Took: s.Waited})
+				c.addResult(Result{Agent: r.Agent, Instance: r.Name, Outcome: NoAnswer, Text: s.Reason, Took: s.Waited})
 			}
 		}
 	}
@@ -259,12 +259,12 @@
 
 // renewLease renews the lease at an agent until ctx ends.
 func (c *command) renewLease(ctx context.Context, a *client.Client) {
-	every := time.NewTicker(protocol.LeaseFor / 4)
+	every := time.NewTicker(protocol.LeaseDuration / 4)
 	defer every.Stop()
 	for {
 		select {
 		case <-every.C:
-			limit, cancel := context.WithTimeout(ctx, protocol.LeaseFor/4)
+			limit, cancel := context.WithTimeout(ctx, protocol.LeaseDuration/4)
 			_, _ = a.Renew(limit, c.order.ID) // retried at the next tick; running operations end by themselves
 			cancel()
 		case <-ctx.Done():
@@ -286,7 +286,7 @@
 func (c *command) run(ctx context.Context, row Row) Result {
 	began := time.Now()
 	r := Result{Agent: row.Agent, Instance: row.Name}
-	o, err := Operate(ctx, c.fleet.Agent(row.Agent), c.order.ID, row.Name)
+	o, err := RunOperation(ctx, c.fleet.Client(row.Agent), c.order.ID, row.Name)
 	r.Took = time.Since(began)
 	var refused *protocol.Error
 	switch {
@@ -302,10 +302,10 @@
 	return r
 }
 
-// Operate runs a command's operation on an instance until it ends. Calls whose answer is lost are
+// RunOperation runs a command's operation on an instance until it ends. Calls whose answer is lost are
 // retried: the agent identifies the command by its id and acts once. An error is the agent's
 // refusal, or the last failure before ctx ended.
-func Operate(ctx context.Context, a *client.Client, id, instance string) (protocol.Operation, error) {
+func RunOperation(ctx context.Context, a *client.Client, id, instance string) (protocol.Operation, error) {
 	begun := false
 	var last error = context.DeadlineExceeded
 	for ctx.Err() == nil {
@@ -356,14 +356,14 @@
 		names = append(names, key)
 	}
 	health, rows := NewHealth(c.fleet), slices.Collect(maps.Values(c.rows))
-	health.Look(ctx, rows)
+	health.Sample(ctx, rows)
 	select {
 	case <-time.After(healthInterval):
 	case <-ctx.Done():
 	}
 	plan, err := rollout.New(rollout.Options{
 		Instances: names, MaxUnavailable: c.order.MaxUnavailable, Pause: c.order.Pause,
-	}, health.Look(ctx, rows))
+	}, health.Sample(ctx, rows))
 	if err != nil {
 		c.report.Stopped = err.Error()
 		return
@@ -384,15 +384,15 @@
 		if ctx.Err() != nil {
 			plan.Stop("the command's time-out has passed")
 		}
-		for _, key := range plan.Next(time.Now(), func(key string) rollout.Standing {
+		for _, key := range plan.Next(time.Now(), func(key string) rollout.InstanceState {
 			if up[key] {
-				return rollout.Serves
+				return rollout.Serving
 			}
 			return rollout.Away
 		}, nil) {
 			go func() { ends <- end{key, c.run(ctx, c.rows[key])} }()
 		}
-		if plan.Over() {
+		if plan.Finished() {
 			break
 		}
 		select {
@@ -407,14 +407,14 @@
 		case <-every.C:
 			if time.Since(lastSample) >= healthInterval {
 				lastSample = time.Now()
-				plan.Observe(health.Look(ctx, rows))
+				plan.Observe(health.Sample(ctx, rows))
 				c.refreshUp(ctx, up)
 			}
 		}
 	}
-	c.report.Stopped = plan.Stopped()
-	for _, key := range plan.Left() {
-		c.addResult(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Skipped, Text: "not started: " + plan.Stopped()})
+	c.report.Stopped = plan.StopReason()
+	for _, key := range plan.Untouched() {
+		c.addResult(Result{Agent: c.rows[key].Agent, Instance: c.rows[key].Name, Outcome: Skipped, Text: "not started: " + plan.StopReason()})
 	}
 }
 
@@ -449,9 +449,9 @@
 // NewHealth returns a Health without samples.
 func NewHealth(f *Fleet) *Health { return &Health{fleet: f, last: map[string]sample{}} }
 
-// Each returns each instance's answers since the last sample, by AGENT/INSTANCE. It omits instances that don't
+// SampleEach returns each instance's answers since the last sample, by AGENT/INSTANCE. It omits instances that don't
 // report, or report for the first time; after a restart it counts from zero.
-func (h *Health) Each(ctx context.Context, rows []Row) map[string]rollout.Counts {
+func (h *Health) SampleEach(ctx context.Context, rows []Row) map[string]rollout.Counts {
 	limit, cancel := context.WithTimeout(ctx, healthInterval)
 	defer cancel()
 	all := map[string]rollout.Counts{}
@@ -483,10 +483,10 @@
 	return all
 }
 
-// Look takes a sample and returns the sum of some instances' answers over the window.
-func (h *Health) Look(ctx context.Context, rows []Row) rollout.Counts {
+// Sample takes a sample and returns the sum of some instances' answers over the window.
+func (h *Health) Sample(ctx context.Context, rows []Row) rollout.Counts {
 	var now rollout.Counts
-	for _, c := range h.Each(ctx, rows) {
+	for _, c := range h.SampleEach(ctx, rows) {
 		now.Add(c)
 	}
 	if h.window = append(h.window, now); len(h.window) > windowSamples {
--- a/internal/fleet/group/config.go
+++ b/internal/fleet/group/config.go
@@ -50,24 +50,24 @@
 	switch {
 	case file.CA != "" && file.Cert != "" && file.Key != "":
 		if conf, err = pki.ClientConfig(at(file.CA), at(file.Cert), at(file.Key)); err != nil {
-			f.Bad("cert", "%v", err)
+			f.Errorf("cert", "%v", err)
 		}
 	case file.CA != "" || file.Cert != "" || file.Key != "":
-		f.Bad("ca", "ca, cert and key must be given together")
+		f.Errorf("ca", "ca, cert and key must be given together")
 	}
 	if len(file.Agent) == 0 || len(file.Agent) > maxAgents {
-		f.Bad("agent", "%d are given, 1 to %d are allowed", len(file.Agent), maxAgents)
+		f.Errorf("agent", "%d are given, 1 to %d are allowed", len(file.Agent), maxAgents)
 	}
 	fleet := &Fleet{}
 	names := map[string]bool{}
 	for n, a := range file.Agent {
 		key := func(name string) string { return fmt.Sprintf("agent[%d].%s", n+1, name) }
 		switch {
-		case !protocol.Name.MatchString(a.Name):
-			f.Bad(key("name"), "%q is not a valid name", a.Name)
+		case !protocol.NamePattern.MatchString(a.Name):
+			f.Errorf(key("name"), "%q is not a valid name", a.Name)
 			continue
 		case names[a.Name]:
-			f.Bad(key("name"), "%q is given twice", a.Name)
+			f.Errorf(key("name"), "%q is given twice", a.Name)
 			continue
 		}
 		names[a.Name] = true
@@ -77,7 +77,7 @@
 		}
 		c, err := client.New(a.Name, address, conf)
 		if err != nil {
-			f.Bad(key("address"), "%v", err)
+			f.Errorf(key("address"), "%v", err)
 			continue
 		}
 		fleet.agents = append(fleet.agents, c)
--- a/internal/fleet/group/council.go
+++ b/internal/fleet/group/council.go
@@ -77,12 +77,12 @@
 	return v, err
 }
 
-// Do submits a command to the council.
-func (f *Fleet) Do(ctx context.Context, c duty.Command) (answer duty.Answer, err error) {
-	c.Form = duty.Form
+// CouncilSubmit submits a command to the council.
+func (f *Fleet) CouncilSubmit(ctx context.Context, c duty.Command) (answer duty.Answer, err error) {
+	c.FormatVersion = duty.FormatVersion
 	err = f.askCouncil(ctx, func(ctx context.Context, a *client.Client) error {
 		var err error
-		answer, err = a.CouncilDo(ctx, c, false)
+		answer, err = a.CouncilSubmit(ctx, c, false)
 		return err
 	})
 	return answer, err
@@ -130,7 +130,7 @@
 	for _, r := range rows {
 		j.Targets = append(j.Targets, duty.Target{Agent: r.Agent, Instance: r.Name, Group: r.Group})
 	}
-	a, err := f.Do(ctx, duty.Command{Submit: j})
+	a, err := f.CouncilSubmit(ctx, duty.Command{Submit: j})
 	return a.Job, listing.Silent, err
 }
 
@@ -167,7 +167,7 @@
 				j = current
 			}
 		}
-		switch why := v.Says[j.ID]; {
+		switch why := v.Messages[j.ID]; {
 		case !v.Current:
 			says(fmt.Sprintf("the job's state may be %v old", v.Age.Round(time.Second)))
 		case j.State == duty.Paused:
@@ -189,7 +189,7 @@
 			r.Outcome = Done
 		case step.Phase == duty.Failed:
 			r.Outcome = Failed
-		case step.Phase == duty.Left:
+		case step.Phase == duty.Skipped:
 			r.Outcome = Skipped
 		case j.Open():
 			r.Outcome = Planned
--- a/internal/fleet/group/fleet.go
+++ b/internal/fleet/group/fleet.go
@@ -45,22 +45,22 @@
 
 // Change submits a change of the fleet's desired state to the council, and returns the version after it.
 func (f *Fleet) Change(ctx context.Context, c desired.Change) (desired.Version, error) {
-	a, err := f.Do(ctx, duty.Command{Change: &c})
+	a, err := f.CouncilSubmit(ctx, duty.Command{Change: &c})
 	if errors.Is(err, ErrNoCouncil) {
 		err = ErrNoFleet
 	}
 	return a.Fleet, err
 }
 
-// Standing reports which instances have confirmed a version, by the current answer of each agent.
-func (f *Fleet) Standing(ctx context.Context, latest desired.Version) (reconcile.Standing, map[string]protocol.Fleet) {
-	return f.Answering(ctx, latest, func(string) bool { return true })
+// VersionStatus reports which instances have confirmed a version, by the current answer of each agent.
+func (f *Fleet) VersionStatus(ctx context.Context, latest desired.Version) (reconcile.Progress, map[string]protocol.FleetStatus) {
+	return f.VersionStatusOf(ctx, latest, func(string) bool { return true })
 }
 
-// Answering is Standing for the agents that of selects. The others are not called and count as not confirmed.
-func (f *Fleet) Answering(ctx context.Context, latest desired.Version, of func(agent string) bool) (reconcile.Standing, map[string]protocol.Fleet) {
+// VersionStatusOf is Standing for the agents that of selects. The others are not called and count as not confirmed.
+func (f *Fleet) VersionStatusOf(ctx context.Context, latest desired.Version, of func(agent string) bool) (reconcile.Progress, map[string]protocol.FleetStatus) {
 	began := time.Now()
-	answers := make([]protocol.Fleet, len(f.agents))
+	answers := make([]protocol.FleetStatus, len(f.agents))
 	errs := make([]error, len(f.agents))
 	f.forEachAgent(func(n int, a *client.Client) {
 		if !of(a.Name()) {
@@ -71,16 +71,16 @@
 		defer cancel()
 		answers[n], errs[n] = a.Fleet(limit)
 	})
-	names, seen, reported := []string{}, map[string]reconcile.Seen{}, map[string]protocol.Fleet{}
+	names, seen, reported := []string{}, map[string]reconcile.AgentStatus{}, map[string]protocol.FleetStatus{}
 	for n, a := range f.agents {
 		names = append(names, a.Name())
-		s := reconcile.Seen{Known: errs[n] == nil, Fleet: answers[n]}
+		s := reconcile.AgentStatus{Answered: errs[n] == nil, Fleet: answers[n]}
 		if errs[n] != nil {
-			s.Err = newUnanswered(a.Name(), began, errs[n]).Why
+			s.Err = newUnanswered(a.Name(), began, errs[n]).Reason
 		} else {
 			reported[a.Name()] = answers[n]
 		}
 		seen[a.Name()] = s
 	}
-	return reconcile.Stands(0, latest, names, seen), reported
+	return reconcile.VersionProgress(0, latest, names, seen), reported
 }
--- a/internal/fleet/group/fleet_test.go
+++ b/internal/fleet/group/fleet_test.go
@@ -29,21 +29,21 @@
 		hosts = append(hosts, startFaultyAgent(t, fmt.Sprint("hangs", n), func(c net.Conn) { io.Copy(io.Discard, c) }))
 	}
 	f := newFleet(t, hosts)
-	var st reconcile.Standing
+	var st reconcile.Progress
 	for st.Confirmed < 900 { // each instance confirms its agent's version, which is still 0
-		st, _ = f.Standing(t.Context(), 0)
+		st, _ = f.VersionStatus(t.Context(), 0)
 	}
 	var took []time.Duration
 	for range 5 {
 		began := time.Now()
-		st, _ = f.Standing(t.Context(), 0)
+		st, _ = f.VersionStatus(t.Context(), 0)
 		took = append(took, time.Since(began))
 	}
 	slices.Sort(took)
-	if took[2] > time.Second || len(st.Waiting) != 10 || st.Confirmed != 900 {
-		t.Errorf("took %v; %d confirmed, %d waiting", took, st.Confirmed, len(st.Waiting))
+	if took[2] > time.Second || len(st.Unconfirmed) != 10 || st.Confirmed != 900 {
+		t.Errorf("took %v; %d confirmed, %d waiting", took, st.Confirmed, len(st.Unconfirmed))
 	}
-	for _, w := range st.Waiting {
+	for _, w := range st.Unconfirmed {
 		if !strings.HasPrefix(w.Agent, "hangs") || w.Instance != "" {
 			t.Errorf("%+v", w)
 		}
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -32,8 +32,8 @@
 	return f
 }
 
-// All returns the clients of all agents, in the order of their names.
-func (f *Fleet) All() []*client.Client { return slices.Clone(f.agents) }
+// Clients returns the clients of all agents, in the order of their names.
+func (f *Fleet) Clients() []*client.Client { return slices.Clone(f.agents) }
 
 // Row is an instance with its agent's name.
 type Row struct {
@@ -45,7 +45,7 @@
 type Unanswered struct {
 	Agent  string        `json:"agent"`
 	Waited time.Duration `json:"waited_ns"`
-	Why    string        `json:"why"`
+	Reason string        `json:"why"`
 }
 
 // Listing is the instances of all agents, and the agents that did not answer.
@@ -170,14 +170,14 @@
 // Inspect returns the inspections of instances.
 func (f *Fleet) Inspect(ctx context.Context, rows []Row) []Inspected {
 	return f.forEachInstance(ctx, rows, func(ctx context.Context, r Row) (control.Inspection, error) {
-		return f.Agent(r.Agent).Inspect(ctx, r.Name)
+		return f.Client(r.Agent).Inspect(ctx, r.Name)
 	})
 }
 
 // SendStateCommand sends instances a command on their saved state.
-func (f *Fleet) SendStateCommand(ctx context.Context, rows []Row, k control.Keep) []Inspected {
+func (f *Fleet) SendStateCommand(ctx context.Context, rows []Row, k control.StateCommand) []Inspected {
 	return f.forEachInstance(ctx, rows, func(ctx context.Context, r Row) (control.Inspection, error) {
-		return f.Agent(r.Agent).SendStateCommand(ctx, r.Name, k)
+		return f.Client(r.Agent).SendStateCommand(ctx, r.Name, k)
 	})
 }
 
@@ -206,8 +206,8 @@
 	return all
 }
 
-// Agent returns the client of an agent, or nil if there is none of that name.
-func (f *Fleet) Agent(name string) *client.Client {
+// Client returns the client of an agent, or nil if there is none of that name.
+func (f *Fleet) Client(name string) *client.Client {
 	for _, a := range f.agents {
 		if a.Name() == name {
 			return a
--- a/internal/fleet/group/group_test.go
+++ b/internal/fleet/group/group_test.go
@@ -75,7 +75,7 @@
 			})
 		}
 		change(&cfg)
-		a, err := agent.New(cfg, agent.Options{Runner: h.machine.Runner(), Version: "test", First: true})
+		a, err := agent.New(cfg, agent.Options{Runner: h.machine.Runner(), Version: "test", FirstStart: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,7 +127,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	r, err := f.Give(ctx, o)
+	r, err := f.Execute(ctx, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -227,7 +227,7 @@
 				time.Sleep(delay) // varies the order of the commands
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
-				r, err := f.Give(ctx, order)
+				r, err := f.Execute(ctx, order)
 				if err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
@@ -275,7 +275,7 @@
 			t.Fatalf("seed %d: desired states differ: %v", seed, desired)
 		}
 		for _, h := range hosts {
-			if twice := h.machine.Twice(); len(twice) > 0 {
+			if twice := h.machine.StartedTwice(); len(twice) > 0 {
 				t.Fatalf("seed %d: %v ran twice", seed, twice)
 			}
 		}
@@ -353,7 +353,7 @@
 	var named []string
 	for _, s := range r.Silent {
 		named = append(named, s.Agent)
-		if s.Why == "" || s.Agent == "m00-hangs" && s.Waited < timeout/ListTimeShare/2 {
+		if s.Reason == "" || s.Agent == "m00-hangs" && s.Waited < timeout/ListTimeShare/2 {
 			t.Errorf("%+v, want why, and how long it was waited for", s)
 		}
 	}
@@ -491,7 +491,7 @@
 		t.Parallel()
 		hosts := startHosts(t, 2, 3)
 		f := newFleet(t, hosts)
-		hosts[0].machine.Fail("n2", errors.New("no such program"))
+		hosts[0].machine.FailStarts("n2", errors.New("no such program"))
 		r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1}, Select: selectAll}, 30*time.Second)
 		if by := outcomes(r); by[Done] != 1 || by[Failed] != 1 || by[Skipped] != 4 || !strings.Contains(r.Stopped, "m01/n2 did not come back") {
 			t.Errorf("%v, stopped %q", outcomes(r), r.Stopped)
@@ -502,7 +502,7 @@
 			}
 		}
 		// Repaired and resumed: finished instances are not restarted again, the rest are.
-		hosts[0].machine.Fail("n2", nil)
+		hosts[0].machine.FailStarts("n2", nil)
 		before := hosts[0].machine.Starts("n1")
 		again := execute(t, f, Order{Resume: r.ID}, 30*time.Second)
 		if by := outcomes(again); by[Done] != 6 || again.Stopped != "" || again.ID != r.ID {
@@ -517,7 +517,7 @@
 		hosts := startHosts(t, 1, 6)
 		f := newFleet(t, hosts)
 		m := hosts[0].machine
-		m.Answer("n1", map[string]int64{"served": 1000, "failed": 0})
+		m.SetCounts("n1", map[string]int64{"served": 1000, "failed": 0})
 		ctx, cancel := context.WithCancel(t.Context())
 		var answering sync.WaitGroup
 		answering.Go(func() { // n1's failures rise once n2 has been restarted
@@ -532,7 +532,7 @@
 				if served += 10; m.Starts("n2") > 1 {
 					failed += 10
 				}
-				m.Answer("n1", map[string]int64{"served": served, "failed": failed})
+				m.SetCounts("n1", map[string]int64{"served": served, "failed": failed})
 			}
 		})
 		r := execute(t, f, Order{Plan: Plan{Kind: protocol.Restart, MaxUnavailable: 1, Pause: 1500 * time.Millisecond}, Select: Selector{Names: []string{"n2", "n3", "n4", "n5", "n6", "n1"}}}, 60*time.Second)
@@ -555,12 +555,12 @@
 	id := protocol.NewID(time.Now(), 1)
 	request := protocol.CommandRequest{ID: id, Kind: protocol.Restart}
 	for _, r := range rows {
-		request.Instances = append(request.Instances, protocol.Seen{Name: r.Name, Generation: r.Generation})
+		request.Instances = append(request.Instances, protocol.InstanceGeneration{Name: r.Name, Generation: r.Generation})
 	}
-	if _, err := dead.All()[0].Open(ctx, request); err != nil {
+	if _, err := dead.Clients()[0].Open(ctx, request); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := dead.All()[0].Run(ctx, id, "n1"); err != nil {
+	if _, err := dead.Clients()[0].Run(ctx, id, "n1"); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
@@ -568,7 +568,7 @@
 	if r.Conflict == nil || r.Holder == nil || r.Holder.Command != id {
 		t.Fatalf("while the lease lasts: %+v", r)
 	}
-	for until := time.Now().Add(3 * protocol.LeaseFor); ; time.Sleep(100 * time.Millisecond) {
+	for until := time.Now().Add(3 * protocol.LeaseDuration); ; time.Sleep(100 * time.Millisecond) {
 		r = execute(t, alive, Order{Plan: Plan{Kind: protocol.Drain}, Select: Selector{Names: []string{"n4"}}}, 5*time.Second)
 		if r.Conflict == nil {
 			break
@@ -587,7 +587,7 @@
 }
 
 func TestFleetFileIsChecked(t *testing.T) {
-	if f, err := Load("../../../deploy/fleet.toml"); err != nil || len(f.All()) != 1 {
+	if f, err := Load("../../../deploy/fleet.toml"); err != nil || len(f.Clients()) != 1 {
 		t.Errorf("the example: %v", err)
 	}
 	path := filepath.Join(t.TempDir(), "fleet.toml")
--- a/internal/fleet/instance/instance.go
+++ b/internal/fleet/instance/instance.go
@@ -40,16 +40,16 @@
 	// launch, even if its process has exited, and "" if it is unknown. An error means that an
 	// unidentified process may be running.
 	Adopt(i Spec) (p Process, token string, pid int, err error)
-	// Names returns the instances with a running process, whether configured or not.
-	Names() ([]string, error)
+	// RunningInstances returns the instances with a running process, whether configured or not.
+	RunningInstances() ([]string, error)
 	// Up reports whether an instance answers its health check within a second.
 	Up(ctx context.Context, i Spec) bool
 	// Inspect returns the instance's status.
 	Inspect(ctx context.Context, i Spec) (control.Inspection, error)
-	// Keep sends an instance a command about the state that it saves for its next start.
-	Keep(ctx context.Context, i Spec, k control.Keep) error
-	// Tell sends the fleet-wide bans to an instance.
-	Tell(ctx context.Context, i Spec, w control.Word) (control.Fleet, error)
+	// SendStateCommand sends an instance a command about the state that it saves for its next start.
+	SendStateCommand(ctx context.Context, i Spec, k control.StateCommand) error
+	// SendFleetBans sends the fleet-wide bans to an instance.
+	SendFleetBans(ctx context.Context, i Spec, w control.FleetBans) (control.FleetStatus, error)
 	// Trim rotates the instance's log if it is too large.
 	Trim(i Spec) error
 }
--- a/internal/fleet/instance/processes.go
+++ b/internal/fleet/instance/processes.go
@@ -69,8 +69,8 @@
 	return p, p.Token, p.Pid, nil
 }
 
-// Names implements Runner.
-func (r *Processes) Names() ([]string, error) {
+// RunningInstances implements Runner.
+func (r *Processes) RunningInstances() ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(r.dir, "*.run"))
 	if err != nil {
 		return nil, err
@@ -109,14 +109,14 @@
 	return control.Inspect(ctx, i.Control)
 }
 
-// Keep implements Runner.
-func (r *Processes) Keep(ctx context.Context, i Spec, k control.Keep) error {
-	return control.TellKept(ctx, i.Control, k)
+// SendStateCommand implements Runner.
+func (r *Processes) SendStateCommand(ctx context.Context, i Spec, k control.StateCommand) error {
+	return control.SendStateCommand(ctx, i.Control, k)
 }
 
-// Tell implements Runner.
-func (r *Processes) Tell(ctx context.Context, i Spec, w control.Word) (control.Fleet, error) {
-	return control.Tell(ctx, i.Control, w)
+// SendFleetBans implements Runner.
+func (r *Processes) SendFleetBans(ctx context.Context, i Spec, w control.FleetBans) (control.FleetStatus, error) {
+	return control.SendFleetBans(ctx, i.Control, w)
 }
 
 // Trim implements Runner. Lines written between the copy and the truncation are lost.
--- a/internal/fleet/instance/processes_test.go
+++ b/internal/fleet/instance/processes_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	server, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: 50 * time.Millisecond}, sipua.Answer)
+	server, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: 50 * time.Millisecond}, sipua.RingAndAnswer)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/owner/fleet.go
+++ b/internal/fleet/owner/fleet.go
@@ -27,22 +27,22 @@
 // polled.
 const maxPolledPerSide = 50
 
-// Keeper executes duty Fleet while its agent owns it: it reconciles the fleet with its desired state. Package
+// FleetOwner executes duty Fleet while its agent owns it: it reconciles the fleet with its desired state. Package
 // reconcile decides the next steps; this package makes the calls. Run it with Run.
-type Keeper struct{ opt Options }
+type FleetOwner struct{ opt Options }
 
-// NewKeeper returns a Keeper.
-func NewKeeper(opt Options) *Keeper { return &Keeper{opt.withDefaults()} }
+// NewFleetOwner returns a Keeper.
+func NewFleetOwner(opt Options) *FleetOwner { return &FleetOwner{opt.withDefaults()} }
 
 // Run acquires the duty whenever it has no owner, until ctx ends: an owner is needed to count the servers even
 // before there is a desired state.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *FleetOwner) Run(ctx context.Context) {
 	contend(ctx, k.opt, duty.Fleet, func() bool {
 		_, ok := k.opt.Council.Known()
 		return ok
 	}, func(ctx context.Context, t *tenure) {
-		fr := &fleetRunner{tenure: t, seen: map[string]reconcile.Seen{}, busy: map[string]bool{}, trials: map[string]*trial{}, wake: make(chan struct{}, 1)}
-		for _, a := range k.opt.Fleet.All() {
+		fr := &fleetRunner{tenure: t, seen: map[string]reconcile.AgentStatus{}, busy: map[string]bool{}, trials: map[string]*trial{}, wake: make(chan struct{}, 1)}
+		for _, a := range k.opt.Fleet.Clients() {
 			fr.agents = append(fr.agents, a.Name())
 		}
 		fr.loop(ctx)
@@ -54,7 +54,7 @@
 	*tenure
 	agents     []string
 	state      *desired.State // as known to this agent's voter
-	countdown  reconcile.Countdown
+	countdown  reconcile.BanTimer
 	countedAt  time.Duration     // time of the latest count, by Options.Clock
 	trials     map[string]*trial // by group
 	progress   string            // latest fingerprint of the jobs submitted by duty Fleet
@@ -63,7 +63,7 @@
 	wake       chan struct{}
 
 	mu   sync.Mutex
-	seen map[string]reconcile.Seen
+	seen map[string]reconcile.AgentStatus
 	busy map[string]bool
 }
 
@@ -127,37 +127,37 @@
 func (fr *fleetRunner) startCalls(ctx context.Context) {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
-	for _, step := range reconcile.Next(fr.opt.Clock.Now(), fr.progressAt, fr.state.Document.Version, fr.agents, fr.seen, fr.busy) {
+	for _, step := range reconcile.NextCalls(fr.opt.Clock.Now(), fr.progressAt, fr.state.Document.Version, fr.agents, fr.seen, fr.busy) {
 		order := protocol.FleetOrder{Version: fr.state.Document.Version}
-		if step.Tell {
-			w := fr.state.Word()
+		if step.Update {
+			w := fr.state.FleetBans()
 			w.Token = uint64(fr.fence.Token)
-			order.Word = &w
+			order.Bans = &w
 		}
 		fr.busy[step.Agent] = true
-		a := fr.opt.Fleet.Agent(step.Agent)
+		a := fr.opt.Fleet.Client(step.Agent)
 		fr.work.Go(func() { fr.call(ctx, a, order) })
 	}
 }
 
 // call sends the desired state to an agent, or polls it, and stores its answer.
 func (fr *fleetRunner) call(ctx context.Context, a *client.Client, order protocol.FleetOrder) {
-	fr.opt.Step(BeforeWord, a.Name())
+	fr.opt.Hook(BeforeFleetCall, a.Name())
 	asked := fr.opt.Clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-	f, err := a.TellFleet(callCtx, order)
+	f, err := a.SendFleetOrder(callCtx, order)
 	cancel()
 	if fenced(err) {
 		fr.cancel(err)
 	}
-	fr.opt.Step(AfterWord, a.Name())
+	fr.opt.Hook(AfterFleetCall, a.Name())
 	fr.mu.Lock()
 	seen := fr.seen[a.Name()]
-	seen.Asked, seen.Tried, seen.Err = asked, true, ""
+	seen.AskedAt, seen.EverAsked, seen.Err = asked, true, ""
 	if err != nil {
 		seen.Err = err.Error()
 	} else {
-		seen.At, seen.Known, seen.Fleet = asked, true, f
+		seen.AsOf, seen.Answered, seen.Fleet = asked, true, f
 	}
 	fr.seen[a.Name()] = seen
 	delete(fr.busy, a.Name())
@@ -170,15 +170,15 @@
 
 // count ends expired bans, and stores the counts that later owners need.
 func (fr *fleetRunner) count(ctx context.Context, now time.Duration) {
-	expired, remaining := fr.countdown.Count(now, fr.state)
+	expired, remaining := fr.countdown.Advance(now, fr.state)
 	for _, e := range expired {
-		end := desired.Change{ID: newID(), Token: fr.fence.Token, By: duty.Fleet, At: time.Now(), Note: "expired", End: &e}
+		end := desired.Change{ID: newID(), Token: fr.fence.Token, By: duty.Fleet, At: time.Now(), Note: "expired", Expire: &e}
 		if _, err := fr.opt.Council.Do(ctx, duty.Command{Change: &end}); err != nil {
 			fr.log.Warn("ending an expired ban failed; retrying", "server", e.Server, "err", err)
 		}
 	}
 	fr.mu.Lock()
-	servers := reconcile.Servers(now, fr.seen)
+	servers := reconcile.CountServers(now, fr.seen)
 	fr.mu.Unlock()
 	if servers == 0 || servers == fr.state.Servers && servers == fr.servers {
 		servers = 0 // unchanged
@@ -186,8 +186,8 @@
 	if servers == 0 && len(remaining) == 0 {
 		return
 	}
-	note := duty.Note{Token: fr.fence.Token, Servers: servers, Left: remaining}
-	if _, err := fr.opt.Council.Do(ctx, duty.Command{Note: &note}); err != nil {
+	note := duty.Observation{Token: fr.fence.Token, Servers: servers, Left: remaining}
+	if _, err := fr.opt.Council.Do(ctx, duty.Command{Observation: &note}); err != nil {
 		fr.log.Debug("storing the counts failed; retrying", "err", err)
 		return
 	}
@@ -204,7 +204,7 @@
 		for _, t := range seen.Fleet.Instances {
 			all = append(all, reconcile.Instance{
 				Target: duty.Target{Agent: agent, Instance: t.Instance, Group: t.Group}, Zone: t.Zone, Program: t.Program,
-				Up: t.Desired == "up", Serves: t.State == protocol.StateUp, Fresh: seen.Fresh(now) && seen.At >= fr.progressAt,
+				Up: t.Desired == "up", Serving: t.State == protocol.StateUp, Fresh: seen.Fresh(now) && seen.AsOf >= fr.progressAt,
 			})
 		}
 	}
@@ -223,28 +223,28 @@
 		fr.progress, fr.progressAt = progress, now
 		return // the next decision needs polls from after the change
 	}
-	plan := reconcile.Upgrades(fr.state, fr.instances(now), jobs, func(name string) (reconcile.Verdict, string) {
+	plan := reconcile.PlanUpgrades(fr.state, fr.instances(now), jobs, func(name string) (reconcile.Verdict, string) {
 		if t := fr.trials[name]; t != nil && t.change == fr.state.Programs[name].Version {
 			return t.judge.Verdict(now, fr.state.Document.Budgets.Trial)
 		}
 		return reconcile.Pending, "is observed from now on"
 	})
-	fr.setMessages(plan.Says)
-	for name, sides := range plan.Judge {
+	fr.setMessages(plan.Messages)
+	for name, sides := range plan.Trials {
 		fr.pollTrial(ctx, now, name, sides)
 	}
-	if len(plan.Whole) > 0 {
-		if _, err := fr.opt.Council.Do(ctx, duty.Command{Note: &duty.Note{Token: fr.fence.Token, Whole: plan.Whole}}); err == nil {
-			for name, v := range plan.Whole {
+	if len(plan.Completed) > 0 {
+		if _, err := fr.opt.Council.Do(ctx, duty.Command{Observation: &duty.Observation{Token: fr.fence.Token, Whole: plan.Completed}}); err == nil {
+			for name, v := range plan.Completed {
 				fr.log.Info("all instances of the group have served with the version", "group", name, "version", v, "program", fr.state.Program(name))
 				c := fr.state.Programs[name]
-				c.Whole = true
+				c.Completed = true
 				fr.state.Programs[name] = c
 			}
 		}
 	}
 	for _, id := range plan.Cancel {
-		if _, err := fr.opt.Council.Do(ctx, duty.Command{Turn: &duty.Turn{Job: id, To: duty.Cancelled, By: duty.Fleet, Token: fr.fence.Token}}); err != nil {
+		if _, err := fr.opt.Council.Do(ctx, duty.Command{SetJobState: &duty.SetJobState{Job: id, State: duty.Cancelled, By: duty.Fleet, Token: fr.fence.Token}}); err != nil {
 			fr.log.Warn("cancelling an outdated job failed; retrying", "job", id, "err", err)
 		}
 	}
@@ -255,29 +255,29 @@
 			fr.log.Warn("submitting the job failed; retrying", "stage", j.Stage, "err", err)
 		}
 	}
-	for _, b := range plan.Back {
-		note := protocol.Clip(fmt.Sprintf("taken back: %s; %s", b.Why, fr.harmText(b.Group)))
+	for _, b := range plan.Reverts {
+		note := protocol.Truncate(fmt.Sprintf("taken back: %s; %s", b.Reason, fr.harmText(b.Group)))
 		fr.log.Warn("reverting version", "group", b.Group, "to", b.To, "why", note)
 		c := desired.Change{
-			ID: newID(), Token: fr.fence.Token, Saw: fr.state.Document.Version, By: duty.Fleet, At: time.Now(), Note: note,
-			Set: &desired.Part{Groups: map[string]*desired.Group{b.Group: {Program: b.To}}},
+			ID: newID(), Token: fr.fence.Token, BasedOn: fr.state.Document.Version, By: duty.Fleet, At: time.Now(), Note: note,
+			Set: &desired.Patch{Groups: map[string]*desired.Group{b.Group: {Program: b.To}}},
 		}
 		if _, err := fr.opt.Council.Do(ctx, duty.Command{Change: &c}); err != nil {
 			fr.log.Warn("reverting the version failed; retrying", "group", b.Group, "err", err)
 		}
 	}
-	maps.DeleteFunc(fr.trials, func(name string, _ *trial) bool { _, judged := plan.Judge[name]; return !judged })
+	maps.DeleteFunc(fr.trials, func(name string, _ *trial) bool { _, judged := plan.Trials[name]; return !judged })
 }
 
 func (fr *fleetRunner) harmText(name string) string {
 	if t := fr.trials[name]; t != nil {
-		return t.judge.Harm()
+		return t.judge.HarmSummary()
 	}
 	return "no answers were counted for it"
 }
 
 // pollTrial evaluates a finished poll of a trial and starts the next one.
-func (fr *fleetRunner) pollTrial(ctx context.Context, now time.Duration, name string, sides reconcile.Sides) {
+func (fr *fleetRunner) pollTrial(ctx context.Context, now time.Duration, name string, sides reconcile.Cohorts) {
 	t := fr.trials[name]
 	if change := fr.state.Programs[name].Version; t == nil || t.change != change {
 		t = &trial{change: change, health: group.NewHealth(fr.opt.Fleet)}
@@ -289,7 +289,7 @@
 	t.mu.Unlock()
 	if counts != nil {
 		t.polling = false
-		var newAnswers, oldAnswers duty.Answers
+		var newAnswers, oldAnswers duty.AnswerCounts
 		for key, c := range counts {
 			if slices.Contains(sides.New, key) {
 				newAnswers.Add(c)
@@ -309,7 +309,7 @@
 		rows = append(rows, group.Row{Agent: agent, Instance: protocol.Instance{Name: instance}})
 	}
 	fr.work.Go(func() {
-		polled := t.health.Each(ctx, rows)
+		polled := t.health.SampleEach(ctx, rows)
 		t.mu.Lock()
 		t.latest = polled
 		t.mu.Unlock()
--- a/internal/fleet/owner/owner.go
+++ b/internal/fleet/owner/owner.go
@@ -42,7 +42,7 @@
 	heldRetryDelay = time.Second // delay before the next attempt at an instance that is held by another operation
 )
 
-// Points in the processing of an order and of a fleet call at which Options.Step is called.
+// Points in the processing of an order and of a fleet call at which Options.Hook is called.
 const (
 	BeforeIntent  = "intent"   // before the intent is written
 	BeforeSend    = "send"     // before the order is sent
@@ -50,8 +50,8 @@
 	AfterEnd      = "answered" // after the outcome is known
 	BetweenOrders = "between"  // after the outcome is written
 
-	BeforeWord = "word" // before the desired state is sent to an agent, or the agent is polled
-	AfterWord  = "told" // after the agent has answered or the call has failed
+	BeforeFleetCall = "word" // before the desired state is sent to an agent, or the agent is polled
+	AfterFleetCall  = "told" // after the agent has answered or the call has failed
 )
 
 // Council gives access to the council.
@@ -64,7 +64,7 @@
 	Changed() <-chan struct{}
 	// Memories returns the data that the council stores of agents, which lists the instances of agents that
 	// this owner has never reached.
-	Memories() map[string]duty.Memory
+	Memories() map[string]duty.AgentData
 	// KnownDesired returns the desired state as known to this agent's voter, or nil if its version equals known.
 	KnownDesired(known desired.Version) *desired.State
 }
@@ -77,7 +77,7 @@
 	Council Council
 	Fleet   *group.Fleet
 	Log     *slog.Logger
-	Step    func(step, instance string) // test hook; may be nil
+	Hook    func(step, instance string) // test hook; may be nil
 }
 
 // Owner executes duty Rollouts while its agent owns it. Run it with Run.
@@ -88,8 +88,8 @@
 
 // withDefaults returns the options with defaults for unset fields.
 func (o Options) withDefaults() Options {
-	if o.Step == nil {
-		o.Step = func(string, string) {}
+	if o.Hook == nil {
+		o.Hook = func(string, string) {}
 	}
 	return o
 }
@@ -148,7 +148,7 @@
 // runJobs executes open jobs until the duty is lost, ctx ends or no job is open.
 func (o *Owner) runJobs(ctx context.Context, t *tenure) {
 	jr := &jobRunner{tenure: t, results: make(chan stepResult), health: map[string]*jobHealth{}, polls: map[string]pollResult{}}
-	for _, a := range o.opt.Fleet.All() {
+	for _, a := range o.opt.Fleet.Clients() {
 		jr.work.Go(func() { jr.pollAgent(ctx, a) })
 	}
 	jr.loop(ctx)
@@ -167,8 +167,8 @@
 		if raised {
 			list, err = a.Instances(callCtx)
 		} else {
-			var r protocol.Raised
-			r, err = a.Raise(callCtx, jr.fence)
+			var r protocol.FenceAnswer
+			r, err = a.RaiseToken(callCtx, jr.fence)
 			list = r.Instances
 		}
 		cancel()
@@ -192,23 +192,23 @@
 
 // latestInstances returns all instances as last polled, as package rollout needs them and as the agents
 // reported them. Instances of agents that were never reached are taken from the council's data.
-func (jr *jobRunner) latestInstances() (map[string]rollout.Seen, map[string]protocol.Instance) {
-	all, raw := map[string]rollout.Seen{}, map[string]protocol.Instance{}
+func (jr *jobRunner) latestInstances() (map[string]rollout.InstanceStatus, map[string]protocol.Instance) {
+	all, raw := map[string]rollout.InstanceStatus{}, map[string]protocol.Instance{}
 	for agent, m := range jr.opt.Council.Memories() {
 		for name, d := range m.Instances {
-			all[duty.Target{Agent: agent, Instance: name}.Key()] = rollout.Seen{Group: d.Group}
+			all[duty.Target{Agent: agent, Instance: name}.Key()] = rollout.InstanceStatus{Group: d.Group}
 		}
 	}
 	jr.mu.Lock()
 	defer jr.mu.Unlock()
 	for agent, l := range jr.polls {
-		maps.DeleteFunc(all, func(key string, _ rollout.Seen) bool { return strings.HasPrefix(key, agent+"/") }) // the agent's own answer replaces the council's data
+		maps.DeleteFunc(all, func(key string, _ rollout.InstanceStatus) bool { return strings.HasPrefix(key, agent+"/") }) // the agent's own answer replaces the council's data
 		for _, i := range l.instances {
 			key := duty.Target{Agent: agent, Instance: i.Name}.Key()
 			raw[key] = i
-			all[key] = rollout.Seen{
+			all[key] = rollout.InstanceStatus{
 				Group: i.Group, Reached: time.Since(l.at) < freshFor,
-				Serves: i.State == protocol.StateUp && i.Operation == "", Drained: i.Desired == "down", Zone: i.Labels["zone"], Stuck: stuckReason(i),
+				Serving: i.State == protocol.StateUp && i.Operation == "", Drained: i.Desired == "down", Zone: i.Labels["zone"], Stuck: stuckReason(i),
 			}
 		}
 	}
@@ -231,14 +231,14 @@
 // limits returns the fleet's rollout limits as known to this agent's voter.
 func (jr *jobRunner) limits() rollout.Limits {
 	if s := jr.opt.Council.KnownDesired(jr.version); s != nil {
-		jr.version, jr.bounds = s.Document.Version, rollout.Limits{Zone: s.Document.Budgets.Zone, Starts: s.Document.Budgets.Starts}
+		jr.version, jr.bounds = s.Document.Version, rollout.Limits{ZoneUnavailable: s.Document.Budgets.ZoneUnavailable, StartsPerSecond: s.Document.Budgets.StartsPerSecond}
 	}
 	return jr.bounds
 }
 
 // loop decides on steps and starts them until the ownership ends.
 func (jr *jobRunner) loop(ctx context.Context) {
-	desk := rollout.NewDesk()
+	desk := rollout.NewScheduler()
 	ticker := time.NewTicker(decisionInterval)
 	defer ticker.Stop()
 	for {
@@ -267,13 +267,13 @@
 		}
 		seen, raw := jr.latestInstances()
 		decision := desk.Next(time.Now(), v.Jobs, seen, jr.limits())
-		jr.setMessages(decision.Says)
-		for _, step := range decision.Leave {
-			_, _ = jr.mark(ctx, step, duty.Left, "the instance is drained and stays drained") // if it fails, the next iteration retries
+		jr.setMessages(decision.Messages)
+		for _, step := range decision.Skip {
+			_, _ = jr.mark(ctx, step, duty.Skipped, "the instance is drained and stays drained") // if it fails, the next iteration retries
 		}
 		for job, why := range decision.Stop {
 			jr.log.Warn("stopping job", "job", job, "why", why)
-			_, _ = jr.opt.Council.Do(ctx, duty.Command{Stop: &duty.Stop{Token: jr.fence.Token, Job: job, Why: why}}) // if it fails, the next iteration retries
+			_, _ = jr.opt.Council.Do(ctx, duty.Command{Stop: &duty.Stop{Token: jr.fence.Token, Job: job, Reason: why}}) // if it fails, the next iteration retries
 		}
 		for _, step := range decision.Begin {
 			i := raw[step.Target.Key()]
@@ -290,7 +290,7 @@
 
 // observe polls the answer counts of each open job's instances. A job's first owner stores the baseline from
 // before the job started; later counts are judged against it.
-func (jr *jobRunner) observe(ctx context.Context, jobs []*duty.Job, desk *rollout.Desk) {
+func (jr *jobRunner) observe(ctx context.Context, jobs []*duty.Job, desk *rollout.Scheduler) {
 	for _, j := range jobs {
 		h := jr.health[j.ID]
 		switch {
@@ -308,13 +308,13 @@
 			c, polls := h.get()
 			switch {
 			case polls == 0 || polls == h.judged:
-			case j.Before == nil && polls >= baselinePolls:
+			case j.Baseline == nil && polls >= baselinePolls:
 				h.judged = polls
-				base := duty.Base{Token: jr.fence.Token, Job: j.ID, Answers: c}
-				if _, err := jr.opt.Council.Do(ctx, duty.Command{Base: &base}); err != nil {
+				base := duty.Baseline{Token: jr.fence.Token, Job: j.ID, Answers: c}
+				if _, err := jr.opt.Council.Do(ctx, duty.Command{Baseline: &base}); err != nil {
 					jr.log.Debug("storing the baseline failed; retrying", "job", j.ID, "err", err)
 				}
-			case j.Before != nil:
+			case j.Baseline != nil:
 				h.judged = polls
 				desk.Observe(j.ID, c)
 			}
@@ -345,7 +345,7 @@
 	ticker := time.NewTicker(healthPeriod / 2)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
-		c := health.Look(ctx, rows())
+		c := health.Sample(ctx, rows())
 		h.mu.Lock()
 		h.latest, h.polls = c, n
 		h.mu.Unlock()
@@ -366,12 +366,12 @@
 
 // mark sets a step's phase at the council, retrying while the council is unavailable, and returns the step.
 func (jr *jobRunner) mark(ctx context.Context, step rollout.Step, phase, text string) (duty.Step, error) {
-	m := duty.Mark{Token: jr.fence.Token, Job: step.Job.ID, Key: step.Target.Key(), Phase: phase, Text: text, Forgotten: text == outcomeUnknown}
+	m := duty.SetPhase{Token: jr.fence.Token, Job: step.Job.ID, Key: step.Target.Key(), Phase: phase, Text: text, Forgotten: text == outcomeUnknown}
 	if phase == duty.Intent {
 		m.IntendedAt = time.Now().Truncate(time.Millisecond)
 	}
 	for {
-		a, err := jr.opt.Council.Do(ctx, duty.Command{Mark: &m})
+		a, err := jr.opt.Council.Do(ctx, duty.Command{SetPhase: &m})
 		var refused *protocol.Error
 		switch {
 		case fenced(err):
@@ -403,7 +403,7 @@
 func (jr *jobRunner) runStep(ctx context.Context, step rollout.Step, i protocol.Instance) stepResult {
 	key := step.Target.Key()
 	e := stepResult{job: step.Job.ID, key: key}
-	jr.opt.Step(BeforeIntent, key)
+	jr.opt.Hook(BeforeIntent, key)
 	if !jr.checkLease() {
 		e.withdrawn = true
 		return e
@@ -413,14 +413,14 @@
 		e.withdrawn = true // the job was paused or cancelled, or the duty was lost
 		return e
 	}
-	a := jr.opt.Fleet.Agent(step.Target.Agent)
+	a := jr.opt.Fleet.Client(step.Target.Agent)
 	if a == nil {
 		e.err = fmt.Errorf("agent %s is not in [council]", step.Target.Agent)
 		_, _ = jr.mark(ctx, step, duty.Failed, e.err.Error()) // if it fails, the next owner retries
 		return e
 	}
 	phase, text := jr.sendOrder(ctx, a, step, i, orderID(step.Job.ID, key, marked))
-	jr.opt.Step(AfterEnd, key)
+	jr.opt.Hook(AfterEnd, key)
 	if phase == "" && ctx.Err() != nil {
 		e.withdrawn = true // the intent stays, and the next owner checks the order's outcome
 		return e
@@ -428,13 +428,13 @@
 	if phase == duty.Failed {
 		e.err = errors.New(text)
 	}
-	e.withdrawn = phase == duty.Waiting
+	e.withdrawn = phase == duty.NotStarted
 	if _, err := jr.mark(ctx, step, phase, text); err != nil {
 		e.withdrawn = true
 		return e
 	}
 	jr.log.Info("order ended", "job", step.Job.ID, "instance", key, "phase", phase, "text", text)
-	jr.opt.Step(BetweenOrders, key)
+	jr.opt.Hook(BetweenOrders, key)
 	return e
 }
 
@@ -447,29 +447,29 @@
 				return phase, text
 			}
 		}
-		jr.opt.Step(BeforeSend, step.Target.Key())
+		jr.opt.Hook(BeforeSend, step.Target.Key())
 		if !jr.checkLease() {
-			return duty.Waiting, ""
+			return duty.NotStarted, ""
 		}
 		fence := jr.fence
 		_, err := a.Open(ctx, protocol.CommandRequest{
-			ID: id, Kind: step.Job.Kind, Instances: []protocol.Seen{{Name: name, Generation: i.Generation}},
+			ID: id, Kind: step.Job.Kind, Instances: []protocol.InstanceGeneration{{Name: name, Generation: i.Generation}},
 			Plan: fmt.Sprintf(`{"job":%q}`, step.Job.ID), Resume: true, Fence: &fence, OnBehalf: step.Job.Operator, Program: step.Job.Program,
 		})
 		var refused *protocol.Error
 		switch {
 		case err == nil:
-			o, err := group.Operate(ctx, a, id, name)
-			jr.opt.Step(AfterSend, step.Target.Key())
+			o, err := group.RunOperation(ctx, a, id, name)
+			jr.opt.Hook(AfterSend, step.Target.Key())
 			return jr.outcome(ctx, a, id, o, err)
 		case fenced(err):
 			jr.cancel(err)
-			return duty.Waiting, ""
+			return duty.NotStarted, ""
 		case errors.As(err, &refused) && refused.Code == protocol.CodeConflict:
 			// The instance is held by another operation, or has changed since it was polled.
 			jr.setMessage(step.Job.ID, "waits: "+refused.Text)
-			if j, ok := jr.job(step.Job.ID); ok && j.State != duty.Active && !step.Again {
-				return duty.Waiting, ""
+			if j, ok := jr.job(step.Job.ID); ok && j.State != duty.Active && !step.Resumed {
+				return duty.NotStarted, ""
 			}
 		case errors.As(err, &refused) && refused.Code == protocol.CodeTooOld:
 			if started(ctx, a, id, name) {
@@ -481,7 +481,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return duty.Waiting, ""
+			return duty.NotStarted, ""
 		case <-time.After(heldRetryDelay):
 		}
 		if _, raw := jr.latestInstances(); raw[step.Target.Key()].Name != "" {
@@ -504,7 +504,7 @@
 	var refused *protocol.Error
 	switch {
 	case errors.As(err, &refused) && refused.Code == protocol.CodeNotFound:
-		return true, duty.Left, "the instance was drained before the order was sent"
+		return true, duty.Skipped, "the instance was drained before the order was sent"
 	case err != nil:
 		return false, "", ""
 	}
@@ -514,12 +514,12 @@
 		case o.State == protocol.Done:
 			return true, duty.Done, "the instance was drained afterwards"
 		case o.State != protocol.Running:
-			return true, duty.Left, "the instance was drained; the order was " + o.State
+			return true, duty.Skipped, "the instance was drained; the order was " + o.State
 		default:
 			return false, "", ""
 		}
 	}
-	return true, duty.Left, "the instance was drained before the order was started"
+	return true, duty.Skipped, "the instance was drained before the order was started"
 }
 
 // outcome returns the phase and text of an operation that has ended.
@@ -528,7 +528,7 @@
 	switch {
 	case fenced(err):
 		jr.cancel(err)
-		return duty.Waiting, ""
+		return duty.NotStarted, ""
 	case errors.As(err, &refused):
 		return duty.Failed, refused.Text
 	case err != nil: // ctx ended before the operation did
--- a/internal/fleet/owner/tenure.go
+++ b/internal/fleet/owner/tenure.go
@@ -134,7 +134,7 @@
 		case <-ticker.C:
 		}
 		t.leaseMu.Lock()
-		r := duty.Renewal{Fence: t.fence, Says: maps.Clone(t.messages)}
+		r := duty.Renewal{Fence: t.fence, Messages: maps.Clone(t.messages)}
 		t.leaseMu.Unlock()
 		asked := t.opt.Clock.Now()
 		callCtx, cancel := context.WithTimeout(ctx, 2*interval)
@@ -161,7 +161,7 @@
 // lease, or has stopped, the tenure ends: renewals may still succeed at other voters, and the duty would
 // be kept without any work being done.
 func (t *tenure) voterHasApplied(v duty.View, ok bool) bool {
-	applied := ok && slices.ContainsFunc(v.Duties, func(d duty.Owned) bool { return d.Name == t.fence.Duty && d.Token >= t.fence.Token })
+	applied := ok && slices.ContainsFunc(v.Duties, func(d duty.LeasedDuty) bool { return d.Name == t.fence.Duty && d.Token >= t.fence.Token })
 	if !ok || !applied && time.Since(t.began) > t.opt.Lease {
 		t.cancel(errVoterStale)
 	}
--- a/internal/fleet/pki/pki.go
+++ b/internal/fleet/pki/pki.go
@@ -71,10 +71,10 @@
 
 // Request describes a certificate to issue.
 type Request struct {
-	Name  string
-	Role  string
-	Hosts []string // for role Agent: the host names and addresses at which tools reach it
-	For   time.Duration
+	Name     string
+	Role     string
+	Hosts    []string // for role Agent: the host names and addresses at which tools reach it
+	ValidFor time.Duration
 }
 
 // Issue creates NAME.pem and NAME.key in the authority's directory. It overwrites no file.
@@ -88,14 +88,14 @@
 		return errors.New("pki: an agent's certificate needs the host names or addresses at which tools reach it")
 	case r.Role != Agent && len(r.Hosts) > 0:
 		return fmt.Errorf("pki: a certificate for a %s has no host names or addresses", r.Role)
-	case r.For <= 0:
-		return fmt.Errorf("pki: validity of %v is not positive", r.For)
+	case r.ValidFor <= 0:
+		return fmt.Errorf("pki: validity of %v is not positive", r.ValidFor)
 	}
 	ca, err := tls.LoadX509KeyPair(filepath.Join(folder, caCert), filepath.Join(folder, caKey))
 	if err != nil {
 		return fmt.Errorf("pki: authority: %w", err)
 	}
-	c, err := template(r.Name, r.Role, now, r.For)
+	c, err := template(r.Name, r.Role, now, r.ValidFor)
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 // ServerConfig returns the TLS configuration of an agent as a server. refuse is called for
 // each rejected client with "certificate: " and the cause: none, expired, authority or other.
 func ServerConfig(ca, cert, key string, refuse func(cause string)) (*tls.Config, error) {
-	roots, err := tlsfile.Pool(ca)
+	roots, err := tlsfile.LoadCertPool(ca)
 	if err != nil {
 		return nil, err
 	}
@@ -209,7 +209,7 @@
 
 // ClientConfig returns the TLS configuration of a client of agents.
 func ClientConfig(ca, cert, key string) (*tls.Config, error) {
-	roots, err := tlsfile.Pool(ca)
+	roots, err := tlsfile.LoadCertPool(ca)
 	if err != nil {
 		return nil, err
 	}
@@ -220,9 +220,9 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: roots, Certificates: []tls.Certificate{own}}, nil
 }
 
-// Who returns the name and the role of a verified client. The role is empty if its
+// PeerIdentity returns the name and the role of a verified client. The role is empty if its
 // certificate has no known one.
-func Who(s *tls.ConnectionState) (name, role string) {
+func PeerIdentity(s *tls.ConnectionState) (name, role string) {
 	if len(s.PeerCertificates) == 0 {
 		return "", ""
 	}
--- a/internal/fleet/pki/pki_test.go
+++ b/internal/fleet/pki/pki_test.go
@@ -18,7 +18,7 @@
 	if err := Init(dir, "fleet", now); err == nil {
 		t.Error("a second authority overwrote the first")
 	}
-	ada := Request{Name: "ada", Role: Operator, For: time.Hour}
+	ada := Request{Name: "ada", Role: Operator, ValidFor: time.Hour}
 	if err := Issue(dir, ada, now); err != nil {
 		t.Fatal(err)
 	}
@@ -46,19 +46,19 @@
 
 func TestRequestsThatAreRefused(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	if err := Issue(dir, Request{Name: "ada", Role: Operator, For: time.Hour}, now); err == nil {
+	if err := Issue(dir, Request{Name: "ada", Role: Operator, ValidFor: time.Hour}, now); err == nil {
 		t.Error("issued without an authority")
 	}
 	if err := Init(dir, "fleet", now); err != nil {
 		t.Fatal(err)
 	}
 	for want, r := range map[string]Request{
-		"not a valid name":  {Name: "../ada", Role: Operator, For: time.Hour},
-		"\"ca\"":            {Name: "ca", Role: Operator, For: time.Hour},
-		"unknown role":      {Name: "ada", Role: "root", For: time.Hour},
+		"not a valid name":  {Name: "../ada", Role: Operator, ValidFor: time.Hour},
+		"\"ca\"":            {Name: "ca", Role: Operator, ValidFor: time.Hour},
+		"unknown role":      {Name: "ada", Role: "root", ValidFor: time.Hour},
 		"not positive":      {Name: "ada", Role: Operator},
-		"has no host names": {Name: "ada", Role: Viewer, Hosts: []string{"x"}, For: time.Hour},
-		"needs the":         {Name: "m1", Role: Agent, For: time.Hour},
+		"has no host names": {Name: "ada", Role: Viewer, Hosts: []string{"x"}, ValidFor: time.Hour},
+		"needs the":         {Name: "m1", Role: Agent, ValidFor: time.Hour},
 	} {
 		if err := Issue(dir, r, now); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %q", r, err, want)
--- a/internal/fleet/proc/proc.go
+++ b/internal/fleet/proc/proc.go
@@ -35,9 +35,9 @@
 // errNoProcess means that the process is not running.
 var errNoProcess = errors.New("no such process")
 
-// Of returns the identity of the process that currently has a process id. A zombie counts
+// IdentityOf returns the identity of the process that currently has a process id. A zombie counts
 // as ended.
-func Of(pid int) (Identity, error) {
+func IdentityOf(pid int) (Identity, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return Identity{}, errNoProcess
@@ -65,8 +65,8 @@
 	return Identity{pid, start, strings.TrimSpace(string(boot))}, nil
 }
 
-// Run is the content of a run file.
-type Run struct {
+// RunRecord is the content of a run file.
+type RunRecord struct {
 	Token string `json:"token"` // of this launch
 	Identity
 }
@@ -85,7 +85,7 @@
 
 // Process is a running or ended process. It is safe for concurrent use.
 type Process struct {
-	Run
+	RunRecord
 	pidfd *os.File
 	done  chan struct{}
 	cmd   *exec.Cmd // nil if adopted
@@ -123,7 +123,7 @@
 	if err == nil && len(why) > 0 {
 		err = errors.New(string(why))
 	}
-	var run Run
+	var run RunRecord
 	if err == nil {
 		run, err = readRun(spec.RunFile)
 	}
@@ -162,11 +162,11 @@
 	if err := unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return fmt.Errorf("%s: held by a process that runs: %w", runFile, err)
 	}
-	self, err := Of(os.Getpid())
+	self, err := IdentityOf(os.Getpid())
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(Run{token, self})
+	text, err := json.Marshal(RunRecord{token, self})
 	if err != nil {
 		return err
 	}
@@ -193,8 +193,8 @@
 	return run.Token
 }
 
-func readRun(path string) (Run, error) {
-	var r Run
+func readRun(path string) (RunRecord, error) {
+	var r RunRecord
 	f, err := os.Open(path)
 	if err != nil {
 		return r, err
@@ -226,7 +226,7 @@
 		run, err := readRun(runFile)
 		if err == nil {
 			var now Identity
-			if now, err = Of(run.Pid); err == nil && now == run.Identity {
+			if now, err = IdentityOf(run.Pid); err == nil && now == run.Identity {
 				return newProcess(run, nil)
 			}
 			if err == nil {
@@ -256,13 +256,13 @@
 	return false, err
 }
 
-func newProcess(run Run, cmd *exec.Cmd) (*Process, error) {
-	p := &Process{Run: run, cmd: cmd, done: make(chan struct{})}
+func newProcess(run RunRecord, cmd *exec.Cmd) (*Process, error) {
+	p := &Process{RunRecord: run, cmd: cmd, done: make(chan struct{})}
 	fd, err := unix.PidfdOpen(run.Pid, unix.PIDFD_NONBLOCK)
 	if err == nil {
 		// The id may have been reused before the pidfd was opened.
 		var now Identity
-		if now, err = Of(run.Pid); err == nil && now != run.Identity {
+		if now, err = IdentityOf(run.Pid); err == nil && now != run.Identity {
 			err = errNoProcess
 		}
 		if err != nil {
--- a/internal/fleet/proc/proc_test.go
+++ b/internal/fleet/proc/proc_test.go
@@ -78,7 +78,7 @@
 func TestStartSignalEnd(t *testing.T) {
 	s := spec(t.TempDir())
 	p := start(t, s, "token-1")
-	if now, err := Of(p.Pid); err != nil || now != p.Identity {
+	if now, err := IdentityOf(p.Pid); err != nil || now != p.Identity {
 		t.Errorf("identity %+v, %v, want %+v", now, err, p.Identity)
 	}
 	for { // wait until the program has installed its signal handler
@@ -111,7 +111,7 @@
 		t.Errorf("started %v, %v, want a refusal", q, err)
 	}
 	q, err := Adopt(s.RunFile)
-	if err != nil || q == nil || q.Run != p.Run {
+	if err != nil || q == nil || q.RunRecord != p.RunRecord {
 		t.Errorf("adopted %+v, %v, want the first one", q, err)
 	}
 	q.Release()
@@ -135,7 +135,7 @@
 	}
 	defer p.Release()
 	if p.Pid != pid || p.Token != "token-1" || !p.Adopted() {
-		t.Errorf("adopted %+v, want process %d", p.Run, pid)
+		t.Errorf("adopted %+v, want process %d", p.RunRecord, pid)
 	}
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 }
 
 // lockRunFile writes a run file and locks it as a running instance does.
-func lockRunFile(t *testing.T, path string, r Run) {
+func lockRunFile(t *testing.T, path string, r RunRecord) {
 	t.Helper()
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -166,7 +166,7 @@
 // Process ids are reused: a process with the recorded id but another start time or boot id
 // must not be adopted.
 func TestReusedProcessIDs(t *testing.T) {
-	self, err := Of(os.Getpid())
+	self, err := IdentityOf(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 		"no process":  func(i *Identity) { i.Pid = 1 << 30 },
 	} {
 		path := filepath.Join(t.TempDir(), "n1.run")
-		r := Run{"token-1", self}
+		r := RunRecord{"token-1", self}
 		change(&r.Identity)
 		text, err := json.Marshal(r)
 		if err != nil {
@@ -194,7 +194,7 @@
 		}
 	}
 	path := filepath.Join(t.TempDir(), "n1.run")
-	lockRunFile(t, path, Run{"token-1", self})
+	lockRunFile(t, path, RunRecord{"token-1", self})
 	if p, err := Adopt(path); err != nil || p == nil || p.Pid != os.Getpid() {
 		t.Errorf("adopted %v, %v, want this process", p, err)
 	}
--- a/internal/fleet/protocol/protocol.go
+++ b/internal/fleet/protocol/protocol.go
@@ -4,7 +4,7 @@
 //	GET    /v1/agent                              Agent
 //	GET    /v1/instances                          []Instance
 //	GET    /v1/instances/{name}/inspect           control.Inspection
-//	POST   /v1/instances/{name}/kept              control.Keep -> control.Inspection
+//	POST   /v1/instances/{name}/kept              control.StateCommand -> control.Inspection
 //	GET    /v1/commands                           []Command
 //	GET    /v1/commands/{id}                      Command
 //	POST   /v1/commands                           CommandRequest -> Command
@@ -13,9 +13,9 @@
 //	POST   /v1/commands/{id}/run/{instance}       Operation
 //	POST   /v1/commands/{id}/abort                Command
 //	GET    /v1/commands/{id}/run/{instance}       Operation; ?wait=MS waits for its end
-//	POST   /v1/fence                              Fence -> Raised
-//	GET    /v1/fleet                              Fleet
-//	POST   /v1/fleet                              FleetOrder -> Fleet
+//	POST   /v1/fence                              Fence -> FenceAnswer
+//	GET    /v1/fleet                              FleetStatus
+//	POST   /v1/fleet                              FleetOrder -> FleetStatus
 //	GET    /v1/recovery                           Recovery
 //	POST   /v1/recovery/{instance}                Decision -> Instance
 //
@@ -38,20 +38,20 @@
 	Version       = 1
 	VersionHeader = "Otterstep-Protocol"
 
-	// BodyMost limits a request's body, MaxAnswerSize an answer's, in bytes.
-	BodyMost      = 1 << 20
+	// MaxBodySize limits a request's body, MaxAnswerSize an answer's, in bytes.
+	MaxBodySize   = 1 << 20
 	MaxAnswerSize = 16 << 20
-	// InstancesMost limits the instances of one agent and of one command at it.
-	InstancesMost = 1000
-	// WaitMost limits how long a call may wait for an operation to end.
-	WaitMost = 30 * time.Second
+	// MaxInstances limits the instances of one agent and of one command at it.
+	MaxInstances = 1000
+	// MaxWait limits how long a call may wait for an operation to end.
+	MaxWait = 30 * time.Second
 
-	// WordsMost limits a reason or a note, in bytes; see Clip.
-	WordsMost = 200
+	// MaxTextSize limits a reason or a note, in bytes; see Clip.
+	MaxTextSize = 200
 
-	// LeaseFor is how long a command's lease on its instances lasts without renewal. It
+	// LeaseDuration is how long a command's lease on its instances lasts without renewal. It
 	// bounds how long a tool that died blocks them.
-	LeaseFor = 10 * time.Second
+	LeaseDuration = 10 * time.Second
 )
 
 // Token is the fencing token of a duty's owner: each acquisition gets a higher one than all
@@ -79,80 +79,80 @@
 // FenceHeader carries a Fence as text.
 const FenceHeader = "Otterstep-Fence"
 
-// String formats a fence as ReadFence parses it.
+// String formats a fence as ParseFence parses it.
 func (f Fence) String() string { return fmt.Sprintf("%s %d", f.Duty, uint64(f.Token)) }
 
-// ReadFence parses the value of FenceHeader.
-func ReadFence(text string) (*Fence, error) {
+// ParseFence parses the value of FenceHeader.
+func ParseFence(text string) (*Fence, error) {
 	duty, number, _ := strings.Cut(text, " ")
 	token, err := strconv.ParseUint(number, 10, 64)
-	if err != nil || !Name.MatchString(duty) || token == 0 {
+	if err != nil || !NamePattern.MatchString(duty) || token == 0 {
 		return nil, Errorf(CodeUsage, "%s: %.80q is not a duty and its token", FenceHeader, text)
 	}
 	return &Fence{duty, Token(token)}, nil
 }
 
-// Raised is the answer to a raised token: the agent's instances as of that token.
-type Raised struct {
+// FenceAnswer is the answer to a raised token: the agent's instances as of that token.
+type FenceAnswer struct {
 	Instances []Instance `json:"instances"`
 }
 
-// Fleet reports which version of the fleet's bans an agent and its instances have applied. A version counts for
+// FleetStatus reports which version of the fleet's bans an agent and its instances have applied. A version counts for
 // an instance only once the instance's current process has confirmed it.
-type Fleet struct {
-	Agent   string        `json:"agent"`
-	Version Token         `json:"version"` // the latest one stored on the agent's disk
-	Token   Token         `json:"token"`
-	Heard   time.Duration `json:"heard_ns"` // since the agent was last told that Version is the latest
-	Known   bool          `json:"heard"`    // whether it was told so since its start
+type FleetStatus struct {
+	Agent          string        `json:"agent"`
+	Version        Token         `json:"version"` // the latest one stored on the agent's disk
+	Token          Token         `json:"token"`
+	SinceConfirmed time.Duration `json:"heard_ns"` // since the agent was last told that Version is the latest
+	SinceKnown     bool          `json:"heard"`    // whether it was told so since its start
 	// Instances lists the instances that have a control socket.
-	Instances []Told `json:"instances"`
+	Instances []InstanceStatus `json:"instances"`
 }
 
 // FleetOrder is sent by the owner of the fleet's duty to an agent, under its token: the latest version, with
 // the bans if the agent lacks that version.
 type FleetOrder struct {
-	Version Token        `json:"version"`
-	Word    *cordon.Word `json:"word,omitempty"`
+	Version Token             `json:"version"`
+	Bans    *cordon.FleetBans `json:"word,omitempty"`
 }
 
-// Told reports which version of the fleet's bans an instance has applied.
-type Told struct {
-	Instance string    `json:"instance"`
-	Group    string    `json:"group,omitempty"`
-	Zone     string    `json:"zone,omitempty"` // its label "zone"
-	Version  Token     `json:"version"`        // last confirmed by its current process
-	Since    time.Time `json:"since,omitzero"` // when it confirmed Version
-	Waits    string    `json:"waits,omitempty"`
-	Runs     bool      `json:"runs"`
-	Listed   int       `json:"listed,omitempty"`
-	Missing  []string  `json:"missing,omitempty"` // banned servers that are not in its list
-	Hand     []string  `json:"by_hand,omitempty"` // servers cordoned manually at this instance
-	Desired  string    `json:"desired"`           // as in Instance, like the next two
-	State    string    `json:"state"`
-	Program  string    `json:"program,omitempty"`
+// InstanceStatus reports which version of the fleet's bans an instance has applied.
+type InstanceStatus struct {
+	Instance      string    `json:"instance"`
+	Group         string    `json:"group,omitempty"`
+	Zone          string    `json:"zone,omitempty"` // its label "zone"
+	Version       Token     `json:"version"`        // last confirmed by its current process
+	Since         time.Time `json:"since,omitzero"` // when it confirmed Version
+	PendingReason string    `json:"waits,omitempty"`
+	Running       bool      `json:"runs"`
+	Listed        int       `json:"listed,omitempty"`
+	Missing       []string  `json:"missing,omitempty"` // banned servers that are not in its list
+	ManualCordons []string  `json:"by_hand,omitempty"` // servers cordoned manually at this instance
+	Desired       string    `json:"desired"`           // as in Instance, like the next two
+	State         string    `json:"state"`
+	Program       string    `json:"program,omitempty"`
 }
 
 // Recovery reports the state of an agent's stored data, and the instances it does not start because of it.
 type Recovery struct {
-	Agent     string `json:"agent"`
-	Memory    string `json:"memory"`    // whether its stored data is whole, older than its copy, lost or blank
-	Forgetful bool   `json:"forgetful"` // it refuses orders of duty owners until the council has answered
-	Council   string `json:"council"`   // none, silent or answered
-	Folder    string `json:"folder"`
-	Starts    uint64 `json:"starts"`
-	Held      []Held `json:"held"`
+	Agent      string         `json:"agent"`
+	Memory     string         `json:"memory"`    // whether its stored data is whole, older than its copy, lost or blank
+	Forgetful  bool           `json:"forgetful"` // it refuses orders of duty owners until the council has answered
+	Council    string         `json:"council"`   // none, silent or answered
+	StateDirID string         `json:"folder"`
+	Starts     uint64         `json:"starts"`
+	Held       []HeldInstance `json:"held"`
 }
 
-// Held is an instance that is not started until its desired state is known.
-type Held struct {
+// HeldInstance is an instance that is not started until its desired state is known.
+type HeldInstance struct {
 	Instance string    `json:"instance"`
 	Since    time.Time `json:"since"`
-	Why      string    `json:"why"`
+	Reason   string    `json:"why"`
 	// Until is when the agent decides again without an operator. If zero, it waits for an operator's
 	// decision or for an answer.
-	Until time.Time `json:"until,omitzero"`
-	Runs  bool      `json:"runs"`
+	Until   time.Time `json:"until,omitzero"`
+	Running bool      `json:"runs"`
 }
 
 // Recover makes one voter the only voter of the council. The cluster's name is the operator's confirmation.
@@ -250,8 +250,8 @@
 	Order string `json:"order,omitempty"`
 }
 
-// Seen is an instance with the generation that the tool last read.
-type Seen struct {
+// InstanceGeneration is an instance with the generation that the tool last read.
+type InstanceGeneration struct {
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
 }
@@ -259,9 +259,9 @@
 // CommandRequest opens a command: it acquires a lease on all the instances at once,
 // or on none.
 type CommandRequest struct {
-	ID        string `json:"id"`
-	Kind      string `json:"kind"`
-	Instances []Seen `json:"instances"`
+	ID        string               `json:"id"`
+	Kind      string               `json:"kind"`
+	Instances []InstanceGeneration `json:"instances"`
 	// Plan is the tool's plan for the command, kept for a tool that resumes it.
 	Plan string `json:"plan,omitempty"`
 	// Resume reopens the ended command with this id.
@@ -386,16 +386,16 @@
 	return time.UnixMilli(ms), nil
 }
 
-// Operator matches an operator's name, taken from a certificate or a local user.
-var Operator = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@:-]{0,127}$`)
+// OperatorPattern matches an operator's name, taken from a certificate or a local user.
+var OperatorPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@:-]{0,127}$`)
 
-// Name matches the name of an agent, instance or group.
-var Name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// NamePattern matches the name of an agent, instance or group.
+var NamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Clip truncates a text to WordsMost bytes.
-func Clip(words string) string {
-	if len(words) <= WordsMost {
+// Truncate truncates a text to WordsMost bytes.
+func Truncate(words string) string {
+	if len(words) <= MaxTextSize {
 		return words
 	}
-	return strings.ToValidUTF8(words[:WordsMost], "") + "…"
+	return strings.ToValidUTF8(words[:MaxTextSize], "") + "…"
 }
--- a/internal/fleet/reconcile/reconcile.go
+++ b/internal/fleet/reconcile/reconcile.go
@@ -23,43 +23,45 @@
 	RetryDelay = 500 * time.Millisecond
 )
 
-// Seen is the status of an agent: its last answer and the time of the last call. Times are on the owner's clock.
-type Seen struct {
-	At    time.Duration // when the call that Fleet answers was sent
-	Known bool          // it has answered this owner
-	Fleet protocol.Fleet
-	Asked time.Duration
-	Tried bool // Asked is set
-	Err   string
+// AgentStatus is the status of an agent: its last answer and the time of the last call. Times are on the owner's clock.
+type AgentStatus struct {
+	AsOf      time.Duration // when the call that Fleet answers was sent
+	Answered  bool          // it has answered this owner
+	Fleet     protocol.FleetStatus
+	AskedAt   time.Duration
+	EverAsked bool // AskedAt is set
+	Err       string
 }
 
 // Fresh reports whether the status is recent enough for decisions.
-func (s Seen) Fresh(now time.Duration) bool { return s.Known && now >= s.At && now-s.At < MaxStatusAge }
+func (s AgentStatus) Fresh(now time.Duration) bool {
+	return s.Answered && now >= s.AsOf && now-s.AsOf < MaxStatusAge
+}
 
 // elapsed reports whether d has elapsed since the last call, or the clock was set back since then.
-func (s Seen) elapsed(now, d time.Duration) bool { return now < s.Asked || now-s.Asked >= d }
+func (s AgentStatus) elapsed(now, d time.Duration) bool { return now < s.AskedAt || now-s.AskedAt >= d }
 
 // Call is a call to one agent.
 type Call struct {
-	Agent string
-	Tell  bool // send the desired state; otherwise only request the status
+	Agent  string
+	Update bool // send the desired state; otherwise only request the status
 }
 
-// Next returns the calls to make now, in the order of the agents' names: at once to agents that lack the latest
+// NextCalls returns the calls to make now, in the order of the agents' names: at once to agents that lack the latest
 // version and to those not asked since the time since of the last event, to all others every PollInterval. Agents
 // in busy have a call in progress.
-func Next(now, since time.Duration, latest desired.Version, agents []string, seen map[string]Seen, busy map[string]bool) (steps []Call) {
+func NextCalls(now, since time.Duration, latest desired.Version, agents []string, seen map[string]AgentStatus, busy map[string]bool) (steps []Call) {
 	for _, name := range slices.Sorted(slices.Values(agents)) {
 		s := seen[name]
-		behind := s.Known && s.Fleet.Version < latest
+		behind := s.Answered && s.Fleet.Version < latest
 		var due bool
 		switch {
 		case busy[name]:
-		case !s.Tried:
+		case !s.EverAsked:
 			due = true
 		case s.Err != "":
 			due = s.elapsed(now, RetryDelay)
-		case behind, s.Asked < since:
+		case behind, s.AskedAt < since:
 			due = true
 		default:
 			due = s.elapsed(now, PollInterval)
@@ -67,58 +69,58 @@
 		if due {
 			// The version of an agent that has not answered this owner is unknown: it is sent the desired
 			// state, and answers with its version if it has it already.
-			steps = append(steps, Call{name, behind || !s.Known})
+			steps = append(steps, Call{name, behind || !s.Answered})
 		}
 	}
 	return steps
 }
 
-// Standing is the progress of a version over the whole fleet.
-type Standing struct {
-	Latest    desired.Version `json:"latest"`
-	Confirmed int             `json:"confirmed"` // instances
-	Waiting   []Waiting       `json:"waiting"`
+// Progress is the progress of a version over the whole fleet.
+type Progress struct {
+	Latest      desired.Version `json:"latest"`
+	Confirmed   int             `json:"confirmed"` // instances
+	Unconfirmed []Unconfirmed   `json:"waiting"`
 }
 
-// Waiting is an instance, or a whole agent, that has not confirmed the latest version, with the reason.
-type Waiting struct {
+// Unconfirmed is an instance, or a whole agent, that has not confirmed the latest version, with the reason.
+type Unconfirmed struct {
 	Agent    string          `json:"agent"`
 	Instance string          `json:"instance,omitempty"` // "": all instances of the agent
 	Version  desired.Version `json:"version"`            // the latest that it is known to have confirmed
-	Why      string          `json:"why"`
+	Reason   string          `json:"why"`
 }
 
-// Stands returns the progress of a version as far as it is known: an agent without a fresh status counts as not
+// VersionProgress returns the progress of a version as far as it is known: an agent without a fresh status counts as not
 // having confirmed anything.
-func Stands(now time.Duration, latest desired.Version, agents []string, seen map[string]Seen) Standing {
-	st := Standing{Latest: latest, Waiting: []Waiting{}}
+func VersionProgress(now time.Duration, latest desired.Version, agents []string, seen map[string]AgentStatus) Progress {
+	st := Progress{Latest: latest, Unconfirmed: []Unconfirmed{}}
 	for _, name := range slices.Sorted(slices.Values(agents)) {
 		s := seen[name]
 		if !s.Fresh(now) {
-			w := Waiting{Agent: name, Version: s.Fleet.Version, Why: "not reached"}
+			w := Unconfirmed{Agent: name, Version: s.Fleet.Version, Reason: "not reached"}
 			if s.Err != "" {
-				w.Why += ": " + protocol.Clip(s.Err)
+				w.Reason += ": " + protocol.Truncate(s.Err)
 			}
-			st.Waiting = append(st.Waiting, w)
+			st.Unconfirmed = append(st.Unconfirmed, w)
 			continue
 		}
 		for _, t := range s.Fleet.Instances {
 			switch {
-			case t.Version >= latest && t.Runs:
+			case t.Version >= latest && t.Running:
 				st.Confirmed++
 				continue
-			case t.Waits == "":
-				t.Waits = fmt.Sprintf("has not confirmed version %v", latest)
+			case t.PendingReason == "":
+				t.PendingReason = fmt.Sprintf("has not confirmed version %v", latest)
 			}
-			st.Waiting = append(st.Waiting, Waiting{name, t.Instance, t.Version, t.Waits})
+			st.Unconfirmed = append(st.Unconfirmed, Unconfirmed{name, t.Instance, t.Version, t.PendingReason})
 		}
 	}
 	return st
 }
 
-// Servers returns the number of servers in the fleet: the maximum that any instance lists, since one that has
+// CountServers returns the number of servers in the fleet: the maximum that any instance lists, since one that has
 // just started lists fewer. 0 means that no fresh status is available.
-func Servers(now time.Duration, seen map[string]Seen) (maxListed int) {
+func CountServers(now time.Duration, seen map[string]AgentStatus) (maxListed int) {
 	for _, s := range seen {
 		if !s.Fresh(now) {
 			continue
@@ -130,10 +132,10 @@
 	return maxListed
 }
 
-// Countdown measures the remaining time of bans that expire, on the clock of the duty's owner. Each owner
+// BanTimer measures the remaining time of bans that expire, on the clock of the duty's owner. Each owner
 // continues from the remaining time that was saved last, so that a ban lasts at least its duration, and longer
 // by the time that was not saved at each change of owners.
-type Countdown struct {
+type BanTimer struct {
 	bans    map[string]timedBan
 	last    time.Duration // on the clock
 	elapsed time.Duration // since the first call; a clock that is set back adds nothing
@@ -153,8 +155,8 @@
 	minSaveInterval = 10 * time.Second
 )
 
-// Count returns the expired bans, and the remaining times of the others if they are to be saved now.
-func (c *Countdown) Count(now time.Duration, s *desired.State) (expired []desired.BanExpiry, toSave map[string]time.Duration) {
+// Advance returns the expired bans, and the remaining times of the others if they are to be saved now.
+func (c *BanTimer) Advance(now time.Duration, s *desired.State) (expired []desired.BanExpiry, toSave map[string]time.Duration) {
 	if c.bans == nil {
 		c.bans, c.last = map[string]timedBan{}, now
 	}
@@ -164,11 +166,11 @@
 	shortest := time.Duration(0)
 	for _, id := range slices.Sorted(maps.Keys(s.Document.Bans)) {
 		b := s.Document.Bans[id]
-		if b.For == 0 {
+		if b.Duration == 0 {
 			continue
 		}
 		if _, known := c.bans[id]; !known {
-			c.bans[id] = timedBan{s.BanSince[id], b.Left, c.elapsed}
+			c.bans[id] = timedBan{s.BanSince[id], b.Remaining, c.elapsed}
 		}
 		ban := c.bans[id]
 		remaining := ban.remaining - (c.elapsed - ban.startedAt)
