--- a/internal/fleet/reconcile/reconcile_test.go
+++ b/internal/fleet/reconcile/reconcile_test.go
@@ -34,34 +34,34 @@
 				nodes[fmt.Sprint(a, "/n", n)] = &node{}
 			}
 		}
-		hangs, seen, now, latest := map[string]bool{}, map[string]Seen{}, time.Duration(0), desired.Version(1)
-		answer := func(a string) protocol.Fleet {
-			f := protocol.Fleet{Agent: a, Version: stored[a]}
+		hangs, seen, now, latest := map[string]bool{}, map[string]AgentStatus{}, time.Duration(0), desired.Version(1)
+		answer := func(a string) protocol.FleetStatus {
+			f := protocol.FleetStatus{Agent: a, Version: stored[a]}
 			for n := range 2 {
 				is := nodes[fmt.Sprint(a, "/n", n)]
 				if !is.down { // an agent always updates its own nodes
 					is.version = max(is.version, stored[a])
 				}
-				f.Instances = append(f.Instances, protocol.Told{Instance: fmt.Sprint("n", n), Version: is.version, Runs: !is.down, Listed: 8})
+				f.Instances = append(f.Instances, protocol.InstanceStatus{Instance: fmt.Sprint("n", n), Version: is.version, Running: !is.down, Listed: 8})
 			}
 			return f
 		}
 		round := func() {
-			for _, step := range Next(now, 0, latest, agents, seen, nil) {
+			for _, step := range NextCalls(now, 0, latest, agents, seen, nil) {
 				s := seen[step.Agent]
-				s.Asked, s.Tried = now, true
+				s.AskedAt, s.EverAsked = now, true
 				if hangs[step.Agent] {
 					s.Err = "no answer"
-					if step.Tell && rapid.Bool().Draw(t, "arrives") { // the call arrives, and only its answer is lost
+					if step.Update && rapid.Bool().Draw(t, "arrives") { // the call arrives, and only its answer is lost
 						stored[step.Agent] = max(stored[step.Agent], latest)
 					}
 					seen[step.Agent] = s
 					continue
 				}
-				if step.Tell {
+				if step.Update {
 					stored[step.Agent] = max(stored[step.Agent], latest)
 				}
-				seen[step.Agent] = Seen{At: now, Known: true, Fleet: answer(step.Agent), Asked: now, Tried: true}
+				seen[step.Agent] = AgentStatus{AsOf: now, Answered: true, Fleet: answer(step.Agent), AskedAt: now, EverAsked: true}
 			}
 			now += 100 * time.Millisecond
 		}
@@ -77,15 +77,15 @@
 				is.version = 0
 				is.down = !is.down
 			case 3: // another owner
-				seen = map[string]Seen{}
+				seen = map[string]AgentStatus{}
 			default:
 				round()
 			}
-			st := Stands(now, latest, agents, seen)
+			st := VersionProgress(now, latest, agents, seen)
 			confirmed := 0
 			for _, s := range seen {
 				for _, i := range s.Fleet.Instances {
-					if s.Fresh(now) && i.Runs && i.Version >= latest {
+					if s.Fresh(now) && i.Running && i.Version >= latest {
 						confirmed++
 					}
 				}
@@ -94,7 +94,7 @@
 				t.Fatalf("reports %d confirmed, only %d have confirmed", st.Confirmed, confirmed)
 			}
 			for _, a := range agents {
-				if s := seen[a]; !s.Fresh(now) && !strings.Contains(fmt.Sprint(st.Waiting), a) {
+				if s := seen[a]; !s.Fresh(now) && !strings.Contains(fmt.Sprint(st.Unconfirmed), a) {
 					t.Fatalf("%s is not reached and is missing from the report: %+v", a, st)
 				}
 			}
@@ -106,18 +106,18 @@
 		for range 25 { // 2.5 s: an agent that did not answer is called again after 500 ms, others after a second
 			round()
 		}
-		if st := Stands(now, latest, agents, seen); st.Confirmed != len(nodes) || len(st.Waiting) > 0 || Servers(now, seen) != 8 {
-			t.Fatalf("%+v, %d servers", st, Servers(now, seen))
+		if st := VersionProgress(now, latest, agents, seen); st.Confirmed != len(nodes) || len(st.Unconfirmed) > 0 || CountServers(now, seen) != 8 {
+			t.Fatalf("%+v, %d servers", st, CountServers(now, seen))
 		}
 	})
 }
 
 // An agent with a call in progress is not called again, and one that did not answer is called only after a delay.
 func TestCallTiming(t *testing.T) {
-	seen := map[string]Seen{
-		"behind": {At: 0, Known: true, Tried: true, Fleet: protocol.Fleet{Version: 1}},
-		"silent": {Tried: true, Err: "no answer"},
-		"well":   {At: 0, Known: true, Tried: true, Fleet: protocol.Fleet{Version: 2}},
+	seen := map[string]AgentStatus{
+		"behind": {AsOf: 0, Answered: true, EverAsked: true, Fleet: protocol.FleetStatus{Version: 1}},
+		"silent": {EverAsked: true, Err: "no answer"},
+		"well":   {AsOf: 0, Answered: true, EverAsked: true, Fleet: protocol.FleetStatus{Version: 2}},
 	}
 	agents := []string{"well", "silent", "behind", "new", "busy"}
 	for at, want := range map[time.Duration]string{
@@ -125,7 +125,7 @@
 		RetryDelay:   "[{behind true} {new true} {silent true}]",
 		PollInterval: "[{behind true} {new true} {silent true} {well false}]",
 	} {
-		if got := fmt.Sprint(Next(at, -2*time.Hour, 2, agents, seen, map[string]bool{"busy": true})); got != want {
+		if got := fmt.Sprint(NextCalls(at, -2*time.Hour, 2, agents, seen, map[string]bool{"busy": true})); got != want {
 			t.Errorf("at %v: %s, want %s", at, got, want)
 		}
 	}
@@ -135,30 +135,30 @@
 func TestBansLastTheirDuration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := desired.New()
-		s.Note(8, nil, nil)
+		s.Observe(8, nil, nil)
 		length := time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second
-		change := desired.Change{ID: protocol.NewID(time.UnixMilli(1), 1), Set: &desired.Part{Bans: map[string]*desired.Ban{"s1": {Server: "s1", Reason: "x", For: length}}}}
+		change := desired.Change{ID: protocol.NewID(time.UnixMilli(1), 1), Set: &desired.Patch{Bans: map[string]*desired.Ban{"s1": {Server: "s1", Reason: "x", Duration: length}}}}
 		if err := s.Apply(change); err != nil {
 			t.Fatal(err)
 		}
-		c, passed, clock := &Countdown{}, time.Duration(0), time.Duration(rapid.IntRange(0, 100).Draw(t, "clock"))*time.Second
+		c, passed, clock := &BanTimer{}, time.Duration(0), time.Duration(rapid.IntRange(0, 100).Draw(t, "clock"))*time.Second
 		for n := range 100_000 {
 			if n < 40 && rapid.IntRange(0, 9).Draw(t, "owner") == 0 {
-				c, clock = &Countdown{}, time.Duration(rapid.IntRange(0, 100).Draw(t, "clock"))*time.Second // on another machine
+				c, clock = &BanTimer{}, time.Duration(rapid.IntRange(0, 100).Draw(t, "clock"))*time.Second // on another machine
 			}
 			if n < 40 && rapid.IntRange(0, 9).Draw(t, "set") == 0 {
 				clock -= time.Hour
 			}
-			expired, left := c.Count(clock, s)
+			expired, left := c.Advance(clock, s)
 			for _, e := range expired {
 				if passed < length {
 					t.Fatalf("expired after %v of %v", passed, length)
 				}
-				if err := s.Apply(desired.Change{ID: protocol.NewID(time.UnixMilli(2), 2), End: &e}); err != nil {
+				if err := s.Apply(desired.Change{ID: protocol.NewID(time.UnixMilli(2), 2), Expire: &e}); err != nil {
 					t.Fatal(err)
 				}
 			}
-			s.Note(0, left, nil)
+			s.Observe(0, left, nil)
 			if len(s.Document.Bans) == 0 {
 				return
 			}
--- a/internal/fleet/reconcile/trial.go
+++ b/internal/fleet/reconcile/trial.go
@@ -42,8 +42,8 @@
 // Trial judges one version. The zero value has no observations.
 type Trial struct {
 	llr      [3]float64 // by kind
-	trial    duty.Answers
-	others   duty.Answers
+	trial    duty.AnswerCounts
+	others   duty.AnswerCounts
 	began    time.Duration
 	observed bool
 	failure  string
@@ -51,16 +51,16 @@
 
 var kindNames = [3]string{"failed", "refused", "late"}
 
-func badCounts(a duty.Answers) [3]int64 { return [3]int64{a.Failed, a.Refused, a.Late} }
+func badCounts(a duty.AnswerCounts) [3]int64 { return [3]int64{a.Failed, a.Refused, a.Late} }
 
 // Observe adds what the version's instances and the others of the group have answered since the last call.
-func (t *Trial) Observe(now time.Duration, trial, others duty.Answers) {
+func (t *Trial) Observe(now time.Duration, trial, others duty.AnswerCounts) {
 	if !t.observed {
 		t.began, t.observed = now, true
 	}
 	t.trial.Add(trial)
 	t.others.Add(others)
-	n, m := float64(trial.All()), float64(others.All())
+	n, m := float64(trial.Total()), float64(others.Total())
 	if n == 0 || m == 0 || t.failure != "" {
 		return // nothing to compare with, or already failed
 	}
@@ -77,7 +77,7 @@
 		t.llr[k] += weight * (float64(a[k])*math.Log(expectedIfWorse/expected) + float64(b[k])*math.Log((1-expectedIfWorse)/(1-expected)))
 		// Bounded below: earlier evidence for the version must not offset present evidence against it.
 		t.llr[k] = max(t.llr[k], math.Log(missRate/(1-falseAlarmRate)))
-		trialShare, othersShare := float64(trialTotals[k])/float64(t.trial.All()), float64(othersTotals[k])/float64(t.others.All())
+		trialShare, othersShare := float64(trialTotals[k])/float64(t.trial.Total()), float64(othersTotals[k])/float64(t.others.Total())
 		if t.llr[k] >= math.Log((1-missRate)*float64(len(kindNames))/falseAlarmRate) && trialShare-othersShare >= minExcessShare {
 			t.failure = fmt.Sprintf("%.1f%% of its answers are %s, and %.1f%% of the others'", 100*trialShare, kindNames[k], 100*othersShare)
 		}
@@ -92,25 +92,25 @@
 	case t.failure != "":
 		return Failed, t.failure
 	case !t.observed || watched < length:
-		return Pending, fmt.Sprintf("observed for %v of %v, %d answers", watched.Round(time.Second), length, t.trial.All())
-	case t.trial.All() < minAnswers && watched < maxTrialLengths*length:
-		return Pending, fmt.Sprintf("%d answers of the required %d in %v", t.trial.All(), minAnswers, watched.Round(time.Second))
+		return Pending, fmt.Sprintf("observed for %v of %v, %d answers", watched.Round(time.Second), length, t.trial.Total())
+	case t.trial.Total() < minAnswers && watched < maxTrialLengths*length:
+		return Pending, fmt.Sprintf("%d answers of the required %d in %v", t.trial.Total(), minAnswers, watched.Round(time.Second))
 	}
-	return Passed, fmt.Sprintf("%d answers in %v", t.trial.All(), watched.Round(time.Second))
+	return Passed, fmt.Sprintf("%d answers in %v", t.trial.Total(), watched.Round(time.Second))
 }
 
-// Harm describes the damage that a version has done: the bad answers that it gave in excess of the others' share,
+// HarmSummary describes the damage that a version has done: the bad answers that it gave in excess of the others' share,
 // and their share of all answers of the group in that time.
-func (t *Trial) Harm() string {
+func (t *Trial) HarmSummary() string {
 	trialCounts, othersCounts := badCounts(t.trial), badCounts(t.others)
 	excess := 0.0
 	for k := range kindNames {
 		othersShare := 0.0
-		if n := t.others.All(); n > 0 {
+		if n := t.others.Total(); n > 0 {
 			othersShare = float64(othersCounts[k]) / float64(n)
 		}
-		excess += max(0, float64(trialCounts[k])-othersShare*float64(t.trial.All()))
+		excess += max(0, float64(trialCounts[k])-othersShare*float64(t.trial.Total()))
 	}
-	all := t.trial.All() + t.others.All()
+	all := t.trial.Total() + t.others.Total()
 	return fmt.Sprintf("about %.0f of %d answers harmed, %.2f%%", excess, all, 100*excess/float64(max(1, all)))
 }
--- a/internal/fleet/reconcile/upgrade.go
+++ b/internal/fleet/reconcile/upgrade.go
@@ -28,37 +28,37 @@
 	Zone    string
 	Program string
 	Up      bool // it is desired to be up
-	Serves  bool
+	Serving bool
 	Fresh   bool // the state is recent enough for decisions
 }
 
 // Revert reverts a group's version.
 type Revert struct {
-	Group string
-	To    string // the previous version
-	Why   string
+	Group  string
+	To     string // the previous version
+	Reason string
 }
 
 // Plan is what to do for groups whose instances do not all have the desired program.
 type Plan struct {
-	Submit []*duty.Job
-	Cancel []string // jobs whose program is no longer desired
-	Back   []Revert
-	Says   map[string]string // by group
-	// Judge has the groups whose new version is to be compared with the old one, with the instances of each.
-	Judge map[string]Sides
-	// Whole has the groups all of whose instances now serve with the program of a version.
-	Whole map[string]desired.Version
+	Submit   []*duty.Job
+	Cancel   []string // jobs whose program is no longer desired
+	Reverts  []Revert
+	Messages map[string]string // by group
+	// Trials has the groups whose new version is to be compared with the old one, with the instances of each.
+	Trials map[string]Cohorts
+	// Completed has the groups all of whose instances now serve with the program of a version.
+	Completed map[string]desired.Version
 }
 
-// Sides are a group's instances, by AGENT/INSTANCE: those with the desired version, and the others.
-type Sides struct{ New, Old []string }
+// Cohorts are a group's instances, by AGENT/INSTANCE: those with the desired version, and the others.
+type Cohorts struct{ New, Old []string }
 
-// Upgrades plans the next steps. Each step is a separate job whose id is derived from the change, so that another
+// PlanUpgrades plans the next steps. Each step is a separate job whose id is derived from the change, so that another
 // owner that makes the same decision submits the same job. verdict judges a group's version; it is called only once
 // the trial's job has succeeded.
-func Upgrades(s *desired.State, all []Instance, jobs []*duty.Job, verdict func(group string) (Verdict, string)) Plan {
-	p := Plan{Says: map[string]string{}, Judge: map[string]Sides{}, Whole: map[string]desired.Version{}}
+func PlanUpgrades(s *desired.State, all []Instance, jobs []*duty.Job, verdict func(group string) (Verdict, string)) Plan {
+	p := Plan{Messages: map[string]string{}, Trials: map[string]Cohorts{}, Completed: map[string]desired.Version{}}
 	for _, j := range jobs {
 		if j.Kind == protocol.Upgrade && j.Operator == duty.Fleet && j.State == duty.Active && j.Open() && j.Program != s.Program(j.Targets[0].Group) {
 			p.Cancel = append(p.Cancel, j.ID)
@@ -105,9 +105,9 @@
 	// A version that the fleet itself has reverted to served before and needs no trial.
 	needsTrial := g.By != duty.Fleet && g.Version != 0 && len(all) > 1
 	if len(g.outdated) == 0 {
-		if len(g.updated) > 0 && g.unreached == "" && g.Version != 0 && !g.Whole && !slices.ContainsFunc(g.updated, func(i Instance) bool { return !i.Serves }) &&
+		if len(g.updated) > 0 && g.unreached == "" && g.Version != 0 && !g.Completed && !slices.ContainsFunc(g.updated, func(i Instance) bool { return !i.Serving }) &&
 			(!needsTrial || g.trialPassed(verdict)) {
-			p.Whole[group] = g.Version
+			p.Completed[group] = g.Version
 		}
 		return
 	}
@@ -128,11 +128,11 @@
 	outdated  []Instance  // desired to be up, without the program
 	updated   []Instance  // with the program, reached
 	unreached string      // one with the program that is not reached
-	cohorts   Sides
+	cohorts   Cohorts
 }
 
 func (c *groupUpgrade) setMessage(format string, args ...any) {
-	c.plan.Says[c.group] = fmt.Sprintf(format, args...)
+	c.plan.Messages[c.group] = fmt.Sprintf(format, args...)
 }
 
 // revertIfStopped plans to revert the version once a job of this change was stopped, and returns true then. If the revert itself
@@ -142,7 +142,7 @@
 		if j.State != duty.Stopped || j.Intents() > 0 {
 			continue
 		}
-		why := j.Why
+		why := j.Reason
 		for i, step := range j.Steps {
 			if step.Phase == duty.Failed {
 				why = fmt.Sprintf("%s: %s", j.Targets[i].Key(), step.Text)
@@ -151,7 +151,7 @@
 		if c.By == duty.Fleet || c.Version == 0 {
 			c.setMessage("STOPPED on the way to %s, %s: job %s: %s; continue with otterctl jobs resume", programLabel(c.want), j.Stage, j.ID, why)
 		} else {
-			c.plan.Back = append(c.plan.Back, Revert{c.group, c.Previous, j.Stage + ": " + why})
+			c.plan.Reverts = append(c.plan.Reverts, Revert{c.group, c.Previous, j.Stage + ": " + why})
 		}
 		return true
 	}
@@ -184,7 +184,7 @@
 	if waits {
 		return false
 	}
-	if !slices.ContainsFunc(c.updated, func(i Instance) bool { return i.Serves }) {
+	if !slices.ContainsFunc(c.updated, func(i Instance) bool { return i.Serving }) {
 		if c.unreached != "" {
 			c.setMessage("waits: %s has %s already and is not reached", c.unreached, programLabel(c.want))
 			return false
@@ -203,10 +203,10 @@
 
 // trialPassed reports whether the version has passed its trial; if it failed, it is reverted, and otherwise observed further.
 func (c *groupUpgrade) trialPassed(verdict func(string) (Verdict, string)) bool {
-	c.plan.Judge[c.group] = c.cohorts
+	c.plan.Trials[c.group] = c.cohorts
 	switch v, why := verdict(c.group); v {
 	case Failed:
-		c.plan.Back = append(c.plan.Back, Revert{c.group, c.Previous, why})
+		c.plan.Reverts = append(c.plan.Reverts, Revert{c.group, c.Previous, why})
 	case Pending:
 		c.setMessage("the trial of %s: %s", programLabel(c.want), why)
 	default:
@@ -239,7 +239,7 @@
 	_, _ = io.WriteString(h, fmt.Sprintf("%d %q %q %d", c.Version, c.group, stage, round))
 	j := &duty.Job{
 		ID: protocol.NewID(time.UnixMilli(max(0, c.At.UnixMilli())), h.Sum64()), Kind: protocol.Upgrade, Operator: duty.Fleet,
-		Program: c.want, Change: c.Version, Stage: stage, MaxUnavailable: c.state.Document.Budgets.Away,
+		Program: c.want, Change: c.Version, Stage: stage, MaxUnavailable: c.state.Document.Budgets.Unavailable,
 	}
 	for _, i := range targets {
 		j.Targets = append(j.Targets, i.Target)
--- a/internal/fleet/reconcile/upgrade_test.go
+++ b/internal/fleet/reconcile/upgrade_test.go
@@ -27,7 +27,7 @@
 }
 
 func (f *fleet) must(c duty.Command) duty.Result {
-	c.Form = duty.Form
+	c.FormatVersion = duty.FormatVersion
 	r := f.state.Apply(c)
 	if r.Err != nil {
 		f.t.Fatalf("%+v: %v", c, r.Err)
@@ -38,36 +38,36 @@
 func (f *fleet) change(by, group, program string, token duty.Token) {
 	f.ids++
 	f.must(duty.Command{Change: &desired.Change{
-		ID: protocol.NewID(time.UnixMilli(int64(f.ids)), 1), Saw: f.state.DesiredVersion(), By: by, At: time.UnixMilli(int64(f.ids)), Token: token,
-		Set: &desired.Part{Groups: map[string]*desired.Group{group: {Program: program}}},
+		ID: protocol.NewID(time.UnixMilli(int64(f.ids)), 1), BasedOn: f.state.DesiredVersion(), By: by, At: time.UnixMilli(int64(f.ids)), Token: token,
+		Set: &desired.Patch{Groups: map[string]*desired.Group{group: {Program: program}}},
 	}})
 }
 
 // decide does one decision round of an owner.
 func (f *fleet) decide() {
 	s := f.state.Desired()
-	plan := Upgrades(s, f.all, f.state.Jobs(), func(group string) (Verdict, string) {
+	plan := PlanUpgrades(s, f.all, f.state.Jobs(), func(group string) (Verdict, string) {
 		if f.harm[s.Program(group)] {
 			return Failed, "harm"
 		}
 		return Passed, ""
 	})
-	if len(plan.Whole) > 0 {
-		f.must(duty.Command{Note: &duty.Note{Token: f.token, Whole: plan.Whole}})
+	if len(plan.Completed) > 0 {
+		f.must(duty.Command{Observation: &duty.Observation{Token: f.token, Whole: plan.Completed}})
 	}
 	for _, id := range plan.Cancel {
-		f.must(duty.Command{Turn: &duty.Turn{Job: id, To: duty.Cancelled, By: duty.Fleet, Token: f.token}})
+		f.must(duty.Command{SetJobState: &duty.SetJobState{Job: id, State: duty.Cancelled, By: duty.Fleet, Token: f.token}})
 	}
 	for _, j := range plan.Submit {
 		for _, t := range j.Targets {
 			i := f.all[slices.IndexFunc(f.all, func(i Instance) bool { return i.Target == t })]
-			if !i.Up || !i.Fresh || i.Program == j.Program && i.Serves {
+			if !i.Up || !i.Fresh || i.Program == j.Program && i.Serving {
 				f.t.Fatalf("%s: submits %+v", j.Stage, i)
 			}
 		}
 		f.must(duty.Command{Submit: j})
 	}
-	for _, b := range plan.Back {
+	for _, b := range plan.Reverts {
 		f.change(duty.Fleet, b.Group, b.To, f.token)
 	}
 }
@@ -80,7 +80,7 @@
 		}
 		for n := range j.Steps {
 			at := (n + pick) % len(j.Steps)
-			if j.Steps[at].Phase != duty.Waiting {
+			if j.Steps[at].Phase != duty.NotStarted {
 				continue
 			}
 			i := &f.all[slices.IndexFunc(f.all, func(i Instance) bool { return i.Target == j.Targets[at] })]
@@ -89,15 +89,15 @@
 			case !i.Fresh:
 				continue
 			case !i.Up:
-				phase = duty.Left
+				phase = duty.Skipped
 			case f.bad[j.Program]:
 				phase = duty.Failed
 			}
-			if phase != duty.Left {
-				f.must(duty.Command{Mark: &duty.Mark{Token: f.token, Job: j.ID, Key: i.Key(), Phase: duty.Intent}})
-				i.Program, i.Serves = j.Program, phase == duty.Done
+			if phase != duty.Skipped {
+				f.must(duty.Command{SetPhase: &duty.SetPhase{Token: f.token, Job: j.ID, Key: i.Key(), Phase: duty.Intent}})
+				i.Program, i.Serving = j.Program, phase == duty.Done
 			}
-			f.must(duty.Command{Mark: &duty.Mark{Token: f.token, Job: j.ID, Key: i.Key(), Phase: phase}})
+			f.must(duty.Command{SetPhase: &duty.SetPhase{Token: f.token, Job: j.ID, Key: i.Key(), Phase: phase}})
 			return
 		}
 	}
@@ -110,7 +110,7 @@
 		f := &fleet{t: t, state: duty.New(), bad: map[string]bool{"bad": true}, harm: map[string]bool{"harm": true}}
 		for n := range rapid.IntRange(2, 9).Draw(t, "instances") {
 			f.all = append(f.all, Instance{
-				Target: duty.Target{Agent: fmt.Sprint("m", n%3), Instance: fmt.Sprint("n", n), Group: fmt.Sprint("g", n%2)}, Zone: fmt.Sprint("z", n%2+n%3%2), Up: true, Serves: true, Fresh: true,
+				Target: duty.Target{Agent: fmt.Sprint("m", n%3), Instance: fmt.Sprint("n", n), Group: fmt.Sprint("g", n%2)}, Zone: fmt.Sprint("z", n%2+n%3%2), Up: true, Serving: true, Fresh: true,
 			})
 		}
 		f.token = f.must(duty.Command{Acquire: &duty.Acquire{Duty: duty.Fleet, Owner: "m0"}}).Token
@@ -190,8 +190,8 @@
 	for _, j := range f.state.Jobs() {
 		jobs += fmt.Sprintf("; job %s is %s %+v", j.Stage, j.State, j.Steps)
 	}
-	plan := Upgrades(f.state.Desired(), f.all, f.state.Jobs(), func(string) (Verdict, string) { return Passed, "" })
-	return fmt.Sprint(plan.Says, f.state.Desired().Programs, jobs)
+	plan := PlanUpgrades(f.state.Desired(), f.all, f.state.Jobs(), func(string) (Verdict, string) { return Passed, "" })
+	return fmt.Sprint(plan.Messages, f.state.Desired().Programs, jobs)
 }
 
 // stopped reports whether something waits for an operator: a revert that was itself stopped.
@@ -213,11 +213,11 @@
 	burstShare                   float64
 }
 
-func (d *traffic) second() (trial, others duty.Answers) {
+func (d *traffic) second() (trial, others duty.AnswerCounts) {
 	if d.burstLeft--; d.burstLeft < 0 && d.rng.Float64() < d.burstRate {
 		d.burstLeft, d.burstShare = 1+d.rng.IntN(10), 0.05+0.5*d.rng.Float64()
 	}
-	answers := func(instances int, fault, slow float64) (a duty.Answers) {
+	answers := func(instances int, fault, slow float64) (a duty.AnswerCounts) {
 		for range instances {
 			local := 0.0 // a burst affects instances unevenly, as each has its own servers and clients
 			if d.burstLeft >= 0 {
@@ -299,7 +299,7 @@
 // A trial without traffic passes eventually, and the reports give the shares of bad answers and the harm.
 func TestTrialReports(t *testing.T) {
 	var quiet Trial
-	quiet.Observe(0, duty.Answers{Served: 1}, duty.Answers{Served: 9})
+	quiet.Observe(0, duty.AnswerCounts{Served: 1}, duty.AnswerCounts{Served: 9})
 	for at, want := range map[time.Duration]Verdict{29 * time.Second: Pending, 299 * time.Second: Pending, 300 * time.Second: Passed} {
 		if v, why := quiet.Verdict(at, 30*time.Second); v != want {
 			t.Errorf("after %v: %v, %s", at, v, why)
@@ -307,12 +307,12 @@
 	}
 	var bad Trial
 	for n := range 5 {
-		bad.Observe(time.Duration(n)*time.Second, duty.Answers{Failed: 20}, duty.Answers{Served: 100})
+		bad.Observe(time.Duration(n)*time.Second, duty.AnswerCounts{Failed: 20}, duty.AnswerCounts{Served: 100})
 	}
 	if v, why := bad.Verdict(4*time.Second, 30*time.Second); v != Failed || !strings.Contains(why, "100.0% of its answers are failed, and 0.0% of the others'") {
 		t.Error(v, why)
 	}
-	if got := bad.Harm(); got != "about 100 of 600 answers harmed, 16.67%" {
+	if got := bad.HarmSummary(); got != "about 100 of 600 answers harmed, 16.67%" {
 		t.Error(got)
 	}
 }
--- a/internal/fleet/record/record.go
+++ b/internal/fleet/record/record.go
@@ -111,26 +111,26 @@
 	err    error // why the record is broken
 }
 
-// Found reports what Open met besides valid entries.
-type Found struct {
-	New   bool   // there was no file
-	Torn  int    // bytes of a torn last line that were dropped
-	Aside string // where a damaged file was moved; entries before the damage were read
-	Why   string // what was wrong with it
+// OpenReport reports what Open met besides valid entries.
+type OpenReport struct {
+	Created   bool   // there was no file
+	TornBytes int    // bytes of a torn last line that were dropped
+	MovedTo   string // where a damaged file was moved; entries before the damage were read
+	Reason    string // what was wrong with it
 }
 
 // Open reads the file at path, passing each entry to read in order, and opens it for
 // appends. An entry that read refuses counts as damage. A damaged file is moved aside;
 // the caller should then call Rewrite with its state, as the new file is empty until
 // then. An error means that the file can't be read or written at all.
-func Open(fsys FS, path, owner string, read func(json.RawMessage) error) (*Log, Found, error) {
+func Open(fsys FS, path, owner string, read func(json.RawMessage) error) (*Log, OpenReport, error) {
 	l := &Log{fs: fsys, path: path, header: Header{FormatVersion, owner}}
 	text, err := fsys.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return l, Found{New: true}, l.Rewrite(nil)
+		return l, OpenReport{Created: true}, l.Rewrite(nil)
 	}
 	if err != nil {
-		return nil, Found{}, fmt.Errorf("record: %w", err)
+		return nil, OpenReport{}, fmt.Errorf("record: %w", err)
 	}
 	valid, damage := scan(text, func(line int, entry json.RawMessage) error {
 		if line > 1 {
@@ -151,17 +151,17 @@
 	if damage == nil && valid > 0 {
 		f, err := fsys.Append(path)
 		if err != nil {
-			return nil, Found{}, fmt.Errorf("record: %w", err)
+			return nil, OpenReport{}, fmt.Errorf("record: %w", err)
 		}
 		l.file, l.size = f, int64(valid)
 		torn := len(text) - valid
 		if torn > 0 {
 			if err := f.Truncate(l.size); err != nil {
 				f.Close()
-				return nil, Found{}, fmt.Errorf("record %s: dropping a torn last line: %w", path, err)
+				return nil, OpenReport{}, fmt.Errorf("record %s: dropping a torn last line: %w", path, err)
 			}
 		}
-		return l, Found{Torn: torn}, nil
+		return l, OpenReport{TornBytes: torn}, nil
 	}
 	if damage == nil {
 		damage = errors.New("no complete first line")
@@ -174,9 +174,9 @@
 		aside = path + ".damaged-" + strconv.Itoa(n)
 	}
 	if err := fsys.Rename(path, aside); err != nil {
-		return nil, Found{}, fmt.Errorf("record %s is damaged (%w) and can't be moved aside: %w", path, damage, err)
+		return nil, OpenReport{}, fmt.Errorf("record %s is damaged (%w) and can't be moved aside: %w", path, damage, err)
 	}
-	return l, Found{Aside: aside, Why: damage.Error()}, l.Rewrite(nil)
+	return l, OpenReport{MovedTo: aside, Reason: damage.Error()}, l.Rewrite(nil)
 }
 
 // Read passes the entries of the file at path, without its header, to read, and does not modify
--- a/internal/fleet/record/record_test.go
+++ b/internal/fleet/record/record_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-func open(t *testing.T, fsys FS, path string) (*Log, Found, []string) {
+func open(t *testing.T, fsys FS, path string) (*Log, OpenReport, []string) {
 	t.Helper()
 	var read []string
 	l, found, err := Open(fsys, path, "m1", func(e json.RawMessage) error {
@@ -35,7 +35,7 @@
 func TestEntriesSurviveReopening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	l, found, read := open(t, OS{}, path)
-	if !found.New || len(read) != 0 {
+	if !found.Created || len(read) != 0 {
 		t.Errorf("new file: %+v, %q", found, read)
 	}
 	var want []string
@@ -47,7 +47,7 @@
 	}
 	l.Close()
 	l, found, read = open(t, OS{}, path)
-	if found != (Found{}) || !slices.Equal(read, want) {
+	if found != (OpenReport{}) || !slices.Equal(read, want) {
 		t.Errorf("read %q, %+v, want %q", read, found, want)
 	}
 	if err := l.Rewrite("all"); err != nil {
@@ -91,7 +91,7 @@
 		if want := max(0, complete-1); len(read) != want {
 			t.Fatalf("cut at %d: %d entries, want %d", cut, len(read), want)
 		}
-		if (found.Aside != "") != (complete == 0) {
+		if (found.MovedTo != "") != (complete == 0) {
 			t.Errorf("cut at %d: %+v, want it moved aside only without a complete first line", cut, found)
 		}
 		if err := l.Append("next"); err != nil {
@@ -134,13 +134,13 @@
 			}
 		}
 		if at >= last {
-			if found.Aside != "" || len(read) != 2 {
+			if found.MovedTo != "" || len(read) != 2 {
 				t.Errorf("byte %d, in the last line: %+v, %q", at, found, read)
 			}
 			continue
 		}
-		kept, err := os.ReadFile(found.Aside)
-		if err != nil || string(kept) != string(damaged) || found.Why == "" {
+		kept, err := os.ReadFile(found.MovedTo)
+		if err != nil || string(kept) != string(damaged) || found.Reason == "" {
 			t.Errorf("byte %d: %+v, %v, want the damaged file moved aside", at, found, err)
 		}
 	}
@@ -152,7 +152,7 @@
 	l.Append("mine")
 	l.Close()
 	_, found, err := Open(OS{}, path, "m2", func(json.RawMessage) error { t.Error("read"); return nil })
-	if err != nil || !strings.Contains(found.Why, `"m1"`) {
+	if err != nil || !strings.Contains(found.Reason, `"m1"`) {
 		t.Errorf("%+v, %v, want the owner named", found, err)
 	}
 	if _, _, err := Open(OS{}, t.TempDir(), "m1", nil); err == nil {
--- a/internal/fleet/recovery/recovery_test.go
+++ b/internal/fleet/recovery/recovery_test.go
@@ -40,17 +40,17 @@
 			}
 			backups = append(backups, record)
 		}
-		f := Facts{Memory: Whole, Elapsed: time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "elapsed"))}
+		f := Facts{Record: Intact, Elapsed: time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "elapsed"))}
 		switch rapid.IntRange(0, 4).Draw(t, "loss") {
 		case 1:
-			record.exists, f.Memory = false, Lost
+			record.exists, f.Record = false, Lost
 		case 2:
-			record.exists, copied.exists, f.Memory = false, false, Blank
+			record.exists, copied.exists, f.Record = false, false, Empty
 		case 3:
 			if len(backups) > 0 {
 				record = rapid.SampledFrom(backups).Draw(t, "put back")
 				if record.generation < copied.generation {
-					f.Memory = Older
+					f.Record = Outdated
 				}
 			}
 		case 4: // both are restored from a backup, which only the council can detect
@@ -59,14 +59,14 @@
 				copied = record
 			}
 		}
-		f.Council = Council(rapid.IntRange(0, 2).Draw(t, "council"))
-		f.Known = council.exists
+		f.Council = CouncilState(rapid.IntRange(0, 2).Draw(t, "council"))
+		f.KnownToCouncil = council.exists
 		if rapid.Bool().Draw(t, "policy") {
 			f.StartAfter = 30 * time.Second
 		}
 		addClaim := func(source string, k storedState) {
 			if k.exists {
-				f.Words = append(f.Words, Word{Source: source, Up: k.up, Generation: k.generation})
+				f.Claims = append(f.Claims, Claim{Source: source, Up: k.up, Generation: k.generation})
 			}
 		}
 		addClaim("the record", record)
@@ -82,29 +82,29 @@
 				newest = k
 			}
 		}
-		starts := v.Do == Follow && v.Word.Up
+		starts := v.Action == Follow && v.Claim.Up
 		if starts && newest.exists && !newest.up {
 			t.Fatalf("%+v: starts an instance whose newest claim is down: %+v", f, v)
 		}
-		if starts && !newest.exists && f.Memory != Whole && f.StartAfter == 0 && (f.Council != Answered || f.Known) {
+		if starts && !newest.exists && f.Record != Intact && f.StartAfter == 0 && (f.Council != Answered || f.KnownToCouncil) {
 			t.Fatalf("%+v: starts an instance of unknown state: %+v", f, v)
 		}
-		if starts && f.Council == Silent && f.Memory != Whole && f.Elapsed < f.StartAfter {
+		if starts && f.Council == Unanswered && f.Record != Intact && f.Elapsed < f.StartAfter {
 			t.Fatalf("%+v: starts before its policy allows it: %+v", f, v)
 		}
-		if f.Council != Silent && newest.exists && v.Do != Follow {
+		if f.Council != Unanswered && newest.exists && v.Action != Follow {
 			t.Fatalf("%+v: is left undecided: %+v", f, v)
 		}
-		if v.Do == Follow && newest.exists && v.Word.Up != newest.up {
+		if v.Action == Follow && newest.exists && v.Claim.Up != newest.up {
 			t.Fatalf("%+v: follows %+v, the newest is %+v", f, v, newest)
 		}
-		if v.Do != Follow && v.Why == "" {
+		if v.Action != Follow && v.Reason == "" {
 			t.Fatalf("%+v: gives no reason: %+v", f, v)
 		}
 		if v.Until != 0 {
 			later := f
 			later.Elapsed = v.Until
-			if again := Decide(later); again.Do == v.Do && again.Until == v.Until {
+			if again := Decide(later); again.Action == v.Action && again.Until == v.Until {
 				t.Fatalf("%+v: the decision at %v is the same as before: %+v", f, v.Until, again)
 			}
 		}
@@ -112,27 +112,27 @@
 }
 
 func TestDecisions(t *testing.T) {
-	up, down := Word{Source: "the record", Up: true, Generation: 3}, Word{Source: "the council", Up: false, Generation: 3}
+	up, down := Claim{Source: "the record", Up: true, Generation: 3}, Claim{Source: "the council", Up: false, Generation: 3}
 	for name, c := range map[string]struct {
 		facts Facts
 		do    Action
 		up    bool
 	}{
-		"first start by the operator":                  {Facts{Memory: Blank, First: true}, Follow, true},
-		"first start by the operator, known to others": {Facts{Memory: Blank, First: true, Council: Answered, Known: true}, Hold, false},
-		"first start by the council":                   {Facts{Memory: Blank, Council: Answered}, Follow, true},
-		"nothing known":                                {Facts{Memory: Blank}, Hold, false},
-		"nothing known, and a policy":                  {Facts{Memory: Blank, StartAfter: time.Second, Elapsed: time.Second}, Follow, true},
-		"lost, nobody answers":                         {Facts{Memory: Lost, Council: Silent, Elapsed: time.Hour}, AwaitCouncil, false},
-		"lost, known down, and a policy":               {Facts{Memory: Lost, Council: Silent, StartAfter: time.Second, Elapsed: time.Hour, Words: []Word{down}}, AwaitCouncil, false},
-		"equal and different":                          {Facts{Words: []Word{up, down}, Council: Answered}, Hold, false},
-		"equal and different, not asked yet":           {Facts{Words: []Word{up, down}, Council: Silent}, AwaitCouncil, false},
-		"whole, alone":                                 {Facts{Words: []Word{up}}, Follow, true},
-		"whole, not asked yet":                         {Facts{Words: []Word{up}, Council: Silent}, AwaitCouncil, false},
-		"whole, nobody answers":                        {Facts{Words: []Word{up}, Council: Silent, Elapsed: ConfirmTimeout}, Follow, true},
+		"first start by the operator":                  {Facts{Record: Empty, FirstStart: true}, Follow, true},
+		"first start by the operator, known to others": {Facts{Record: Empty, FirstStart: true, Council: Answered, KnownToCouncil: true}, Hold, false},
+		"first start by the council":                   {Facts{Record: Empty, Council: Answered}, Follow, true},
+		"nothing known":                                {Facts{Record: Empty}, Hold, false},
+		"nothing known, and a policy":                  {Facts{Record: Empty, StartAfter: time.Second, Elapsed: time.Second}, Follow, true},
+		"lost, nobody answers":                         {Facts{Record: Lost, Council: Unanswered, Elapsed: time.Hour}, AwaitCouncil, false},
+		"lost, known down, and a policy":               {Facts{Record: Lost, Council: Unanswered, StartAfter: time.Second, Elapsed: time.Hour, Claims: []Claim{down}}, AwaitCouncil, false},
+		"equal and different":                          {Facts{Claims: []Claim{up, down}, Council: Answered}, Hold, false},
+		"equal and different, not asked yet":           {Facts{Claims: []Claim{up, down}, Council: Unanswered}, AwaitCouncil, false},
+		"whole, alone":                                 {Facts{Claims: []Claim{up}}, Follow, true},
+		"whole, not asked yet":                         {Facts{Claims: []Claim{up}, Council: Unanswered}, AwaitCouncil, false},
+		"whole, nobody answers":                        {Facts{Claims: []Claim{up}, Council: Unanswered, Elapsed: ConfirmTimeout}, Follow, true},
 		"new in the file":                              {Facts{}, Follow, true},
 	} {
-		if v := Decide(c.facts); v.Do != c.do || v.Word.Up != c.up {
+		if v := Decide(c.facts); v.Action != c.do || v.Claim.Up != c.up {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
--- a/internal/fleet/rollout/desk.go
+++ b/internal/fleet/rollout/desk.go
@@ -11,14 +11,14 @@
 	"otterstep/internal/fleet/duty"
 )
 
-// Seen is an instance's last state as observed by the duty's owner.
-type Seen struct {
+// InstanceStatus is an instance's last state as observed by the duty's owner.
+type InstanceStatus struct {
 	Group string
 	// Reached is set if the instance's agent refuses older owners and has answered a status
 	// request after that. The state of an instance that is not reached is unknown: an older
 	// owner's order may be in progress on it.
 	Reached bool
-	Serves  bool // it is up, and no operation is in progress on it
+	Serving bool // it is up, and no operation is in progress on it
 	Drained bool // it is desired to be down
 	Zone    string
 	Stuck   string // why it does not come back by itself, if it does not
@@ -26,34 +26,34 @@
 
 // Limits apply over all jobs together. The zero value sets no limit.
 type Limits struct {
-	Zone   int     // instances of a zone that may be away at once; 0: no limit
-	Starts float64 // instances started per second; 0: no limit
+	ZoneUnavailable int     // instances of a zone that may be away at once; 0: no limit
+	StartsPerSecond float64 // instances started per second; 0: no limit
 }
 
 // Step is one instance of a job to work on now.
 type Step struct {
 	Job    *duty.Job
 	Target duty.Target
-	// Again is set if an earlier owner recorded the intent: how far it got is not known here
+	// Resumed is set if an earlier owner recorded the intent: how far it got is not known here
 	// and has to be checked first.
-	Again bool
+	Resumed bool
 }
 
 // Decision is what to do now.
 type Decision struct {
-	Begin []Step
-	Leave []Step            // drained instances, which stay drained
-	Stop  map[string]string // jobs to stop, with the reason
-	Says  map[string]string // waiting jobs, with the reason
+	Begin    []Step
+	Skip     []Step            // drained instances, which stay drained
+	Stop     map[string]string // jobs to stop, with the reason
+	Messages map[string]string // waiting jobs, with the reason
 }
 
-// Desk decides for all jobs of a fleet together: they share the budget of each group with
+// Scheduler decides for all jobs of a fleet together: they share the budget of each group with
 // each other and with instances that are away for other reasons. It does no I/O and has no
 // clock. Each new owner of the duty creates one; earlier decisions are in the jobs' steps.
-type Desk struct {
+type Scheduler struct {
 	plans     map[string]*jobPlan
 	busy      map[string]string // job by key, for the instances being worked on
-	nextStart time.Time         // when the next instance may be started, by Limits.Starts
+	nextStart time.Time         // when the next instance may be started, by Limits.StartsPerSecond
 }
 
 // jobPlan is a job's plan since it was submitted or last resumed; for a job that is not active,
@@ -64,16 +64,18 @@
 	active      bool
 }
 
-// NewDesk creates a Desk without jobs.
-func NewDesk() *Desk { return &Desk{plans: map[string]*jobPlan{}, busy: map[string]string{}} }
+// NewScheduler creates a Desk without jobs.
+func NewScheduler() *Scheduler {
+	return &Scheduler{plans: map[string]*jobPlan{}, busy: map[string]string{}}
+}
 
 // Busy returns the number of steps that were begun and have not ended.
-func (d *Desk) Busy() int { return len(d.busy) }
+func (d *Scheduler) Busy() int { return len(d.busy) }
 
 // Next returns what to do now. seen has every instance of the fleet by key. No step of a job
 // begins before its Before is known.
-func (d *Desk) Next(now time.Time, jobs []*duty.Job, seen map[string]Seen, limits Limits) Decision {
-	decision := Decision{Stop: map[string]string{}, Says: map[string]string{}}
+func (d *Scheduler) Next(now time.Time, jobs []*duty.Job, seen map[string]InstanceStatus, limits Limits) Decision {
+	decision := Decision{Stop: map[string]string{}, Messages: map[string]string{}}
 	intents := map[string]string{} // by key, of any job
 	for _, j := range jobs {
 		for i, step := range j.Steps {
@@ -84,7 +86,7 @@
 	}
 	zones := map[string]int{} // instances that are away
 	for key, s := range seen {
-		if !s.Drained && (!s.Reached || !s.Serves || d.busy[key] != "" || intents[key] != "") {
+		if !s.Drained && (!s.Reached || !s.Serving || d.busy[key] != "" || intents[key] != "") {
 			zones[s.Zone]++
 		}
 	}
@@ -93,12 +95,12 @@
 			delete(d.plans, j.ID)
 			continue
 		}
-		if j.Before == nil && j.Intents() == 0 {
+		if j.Baseline == nil && j.Intents() == 0 {
 			continue
 		}
 		p := d.plans[j.ID]
-		if active := j.State == duty.Active; p == nil || p.resumeCount != j.Round || p.active != active {
-			p = &jobPlan{d.newPlan(j), j.Round, active}
+		if active := j.State == duty.Active; p == nil || p.resumeCount != j.ResumeCount || p.active != active {
+			p = &jobPlan{d.newPlan(j), j.ResumeCount, active}
 			d.plans[j.ID] = p
 		}
 		p.SetGroup(groupKeys(j, jobs, seen))
@@ -106,22 +108,22 @@
 		allow := func(key string, serving bool) bool {
 			s := seen[key]
 			switch {
-			case limits.Starts > 0 && now.Before(d.nextStart):
-				limitReason = "for the start rate limit, as " + strconv.FormatFloat(limits.Starts, 'g', 3, 64) + " instances per second may be started"
+			case limits.StartsPerSecond > 0 && now.Before(d.nextStart):
+				limitReason = "for the start rate limit, as " + strconv.FormatFloat(limits.StartsPerSecond, 'g', 3, 64) + " instances per second may be started"
 				return false
-			case serving && limits.Zone > 0 && zones[s.Zone] >= limits.Zone:
-				limitReason = fmt.Sprintf("%d of zone %q are away, and at most %d may be", zones[s.Zone], s.Zone, limits.Zone)
+			case serving && limits.ZoneUnavailable > 0 && zones[s.Zone] >= limits.ZoneUnavailable:
+				limitReason = fmt.Sprintf("%d of zone %q are away, and at most %d may be", zones[s.Zone], s.Zone, limits.ZoneUnavailable)
 				return false
 			}
-			if limits.Starts > 0 {
-				d.nextStart = now.Add(time.Duration(float64(time.Second) / limits.Starts))
+			if limits.StartsPerSecond > 0 {
+				d.nextStart = now.Add(time.Duration(float64(time.Second) / limits.StartsPerSecond))
 			}
 			if serving {
 				zones[s.Zone]++
 			}
 			return true
 		}
-		toStart := p.Next(now, func(key string) Standing {
+		toStart := p.Next(now, func(key string) InstanceState {
 			s, known := seen[key]
 			step, ownStep := j.Step(key)
 			switch {
@@ -133,10 +135,10 @@
 				return Started // whatever its observed state
 			case s.Drained:
 				return Drained
-			case !s.Serves:
+			case !s.Serving:
 				return Away
 			}
-			return Serves
+			return Serving
 		}, allow)
 		for _, key := range toStart {
 			i := slices.IndexFunc(j.Targets, func(t duty.Target) bool { return t.Key() == key })
@@ -144,15 +146,15 @@
 			decision.Begin = append(decision.Begin, Step{j, j.Targets[i], j.Steps[i].Phase == duty.Intent})
 		}
 		for i, t := range j.Targets {
-			if s := seen[t.Key()]; j.State == duty.Active && j.Steps[i].Phase == duty.Waiting && d.busy[t.Key()] == "" && s.Reached && s.Drained {
-				decision.Leave = append(decision.Leave, Step{Job: j, Target: t})
+			if s := seen[t.Key()]; j.State == duty.Active && j.Steps[i].Phase == duty.NotStarted && d.busy[t.Key()] == "" && s.Reached && s.Drained {
+				decision.Skip = append(decision.Skip, Step{Job: j, Target: t})
 			}
 		}
-		if why := p.Stopped(); why != "" && j.State == duty.Active {
+		if why := p.StopReason(); why != "" && j.State == duty.Active {
 			decision.Stop[j.ID] = why
 		}
 		if why := p.WaitReason(); why != "" {
-			decision.Says[j.ID] = "waits: " + cmp.Or(limitReason, why) + unreachedSuffix(j, seen) + stuckSuffix(p.opt.Group, seen)
+			decision.Messages[j.ID] = "waits: " + cmp.Or(limitReason, why) + unreachedSuffix(j, seen) + stuckSuffix(p.opt.Group, seen)
 		}
 	}
 	return decision
@@ -160,7 +162,7 @@
 
 // stuckSuffix describes the instances of a group that do not come back by themselves: a job that waits for these waits for
 // an operator.
-func stuckSuffix(group []string, seen map[string]Seen) string {
+func stuckSuffix(group []string, seen map[string]InstanceStatus) string {
 	n, first := 0, ""
 	for _, key := range group {
 		if s := seen[key]; s.Stuck != "" && !s.Drained {
@@ -179,9 +181,9 @@
 }
 
 // unreachedSuffix names an agent that is not reached and without which a job can't continue.
-func unreachedSuffix(j *duty.Job, seen map[string]Seen) string {
+func unreachedSuffix(j *duty.Job, seen map[string]InstanceStatus) string {
 	for i, t := range j.Targets {
-		if s, known := seen[t.Key()]; (j.Steps[i].Phase == duty.Waiting || j.Steps[i].Phase == duty.Intent) && (!known || !s.Reached) {
+		if s, known := seen[t.Key()]; (j.Steps[i].Phase == duty.NotStarted || j.Steps[i].Phase == duty.Intent) && (!known || !s.Reached) {
 			return "; agent " + t.Agent + " is not reached, and what it has counts as away"
 		}
 	}
@@ -190,7 +192,7 @@
 
 // groupKeys returns the keys that count against a job's budget: the instances of its groups, as observed
 // and as named by any job, since an agent that was never reached has instances too.
-func groupKeys(j *duty.Job, jobs []*duty.Job, seen map[string]Seen) []string {
+func groupKeys(j *duty.Job, jobs []*duty.Job, seen map[string]InstanceStatus) []string {
 	groups, keys := map[string]bool{}, map[string]bool{}
 	for _, t := range j.Targets {
 		groups[t.Group], keys[t.Key()] = true, true
@@ -211,14 +213,14 @@
 }
 
 // newPlan creates the plan for the rest of a job. Steps that may be in progress come first.
-func (d *Desk) newPlan(j *duty.Job) *Plan {
+func (d *Scheduler) newPlan(j *duty.Job) *Plan {
 	opt := Options{MaxUnavailable: j.MaxUnavailable, Pause: j.Pause, NoStallTimeout: true, FinishOnly: j.State != duty.Active, Group: []string{}}
 	var waiting []string
 	for i, t := range j.Targets {
 		switch j.Steps[i].Phase {
 		case duty.Intent:
 			opt.Instances = append(opt.Instances, t.Key())
-		case duty.Waiting:
+		case duty.NotStarted:
 			if j.State == duty.Active {
 				waiting = append(waiting, t.Key())
 			}
@@ -226,8 +228,8 @@
 	}
 	opt.Instances = append(opt.Instances, waiting...)
 	baseline := Counts{}
-	if j.Before != nil {
-		baseline = *j.Before
+	if j.Baseline != nil {
+		baseline = *j.Baseline
 	}
 	p, err := New(opt, baseline)
 	if err != nil { // duty.CheckJob has excluded it
@@ -238,7 +240,7 @@
 }
 
 // Ended records the end of a step; err is why its instance did not come back.
-func (d *Desk) Ended(now time.Time, job, key string, err error) {
+func (d *Scheduler) Ended(now time.Time, job, key string, err error) {
 	delete(d.busy, key)
 	if p := d.plans[job]; p != nil {
 		p.Ended(now, key, err)
@@ -246,7 +248,7 @@
 }
 
 // Withdrawn records that the step was not begun, and queues the instance again.
-func (d *Desk) Withdrawn(job, key string) {
+func (d *Scheduler) Withdrawn(job, key string) {
 	delete(d.busy, key)
 	if p := d.plans[job]; p != nil {
 		p.Withdrawn(key)
@@ -254,7 +256,7 @@
 }
 
 // Observe judges the recent answers of a job's instances.
-func (d *Desk) Observe(job string, c Counts) {
+func (d *Scheduler) Observe(job string, c Counts) {
 	if p := d.plans[job]; p != nil {
 		p.Observe(c)
 	}
--- a/internal/fleet/rollout/desk_test.go
+++ b/internal/fleet/rollout/desk_test.go
@@ -30,7 +30,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		maxAway := rapid.IntRange(1, 3).Draw(t, "most")
 		agents := rapid.IntRange(1, 3).Draw(t, "agents")
-		limits := Limits{Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Starts: float64(rapid.IntRange(0, 2).Draw(t, "starts")) / 2}
+		limits := Limits{ZoneUnavailable: rapid.IntRange(0, 2).Draw(t, "zone"), StartsPerSecond: float64(rapid.IntRange(0, 2).Draw(t, "starts")) / 2}
 		zone := func(agent string) string { // the last agent has its own zone
 			if agent == "m3" {
 				return "z2"
@@ -48,7 +48,7 @@
 		}
 		state := duty.New()
 		must := func(c duty.Command) duty.Result {
-			c.Form = duty.Form
+			c.FormatVersion = duty.FormatVersion
 			return state.Apply(c)
 		}
 		ids := []string{protocol.NewID(time.UnixMilli(5), 1), protocol.NewID(time.UnixMilli(5), 2)}
@@ -63,14 +63,14 @@
 		}
 		unreachable := map[string]bool{}
 		neverReached := map[string]bool{} // agents that this owner has never reached
-		seen := func() map[string]Seen {
-			all := map[string]Seen{}
+		seen := func() map[string]InstanceStatus {
+			all := map[string]InstanceStatus{}
 			for _, target := range targets {
 				m := fleet[target.Key()]
 				if neverReached[target.Agent] = neverReached[target.Agent] && unreachable[target.Agent]; neverReached[target.Agent] {
 					continue
 				}
-				all[target.Key()] = Seen{Group: "g", Reached: !unreachable[target.Agent], Serves: m.up && m.orderedBy == "", Drained: m.drained, Zone: zone(target.Agent)}
+				all[target.Key()] = InstanceStatus{Group: "g", Reached: !unreachable[target.Agent], Serving: m.up && m.orderedBy == "", Drained: m.drained, Zone: zone(target.Agent)}
 			}
 			return all
 		}
@@ -92,7 +92,7 @@
 		}
 		now := time.Unix(0, 0)
 		token := must(duty.Command{Acquire: &duty.Acquire{Duty: duty.Rollouts, Owner: "a"}}).Token
-		desk := NewDesk()
+		desk := NewScheduler()
 		var begun []time.Time           // by this owner
 		inProgress := map[string]Step{} // orders of this owner
 		finish := func(key string, err error) {
@@ -106,22 +106,22 @@
 				m.restarts[step.Job.ID]++
 			}
 			m.orderedBy = ""
-			if r := must(duty.Command{Mark: &duty.Mark{Token: token, Job: step.Job.ID, Key: key, Phase: phase}}); r.Err != nil {
+			if r := must(duty.Command{SetPhase: &duty.SetPhase{Token: token, Job: step.Job.ID, Key: key, Phase: phase}}); r.Err != nil {
 				t.Fatal(r.Err)
 			}
 			desk.Ended(now, step.Job.ID, key, err)
 		}
 		decide := func() {
 			for _, j := range state.Jobs() {
-				must(duty.Command{Base: &duty.Base{Token: token, Job: j.ID}})
+				must(duty.Command{Baseline: &duty.Baseline{Token: token, Job: j.ID}})
 			}
 			before, inZone, addedIn := away(), map[string]int{"z1": awayIn("z1"), "z2": awayIn("z2")}, map[string]int{}
 			d := desk.Next(now, state.Jobs(), seen(), limits)
-			for _, step := range d.Leave {
-				must(duty.Command{Mark: &duty.Mark{Token: token, Job: step.Job.ID, Key: step.Target.Key(), Phase: duty.Left}})
+			for _, step := range d.Skip {
+				must(duty.Command{SetPhase: &duty.SetPhase{Token: token, Job: step.Job.ID, Key: step.Target.Key(), Phase: duty.Skipped}})
 			}
 			for id, why := range d.Stop {
-				must(duty.Command{Stop: &duty.Stop{Token: token, Job: id, Why: why}})
+				must(duty.Command{Stop: &duty.Stop{Token: token, Job: id, Reason: why}})
 			}
 			added := 0
 			for _, step := range d.Begin {
@@ -130,10 +130,10 @@
 				if unreachable[step.Target.Agent] {
 					t.Fatalf("%s: order to an agent that can't be reached", key)
 				}
-				if r := must(duty.Command{Mark: &duty.Mark{Token: token, Job: step.Job.ID, Key: key, Phase: duty.Intent}}); r.Err != nil {
+				if r := must(duty.Command{SetPhase: &duty.SetPhase{Token: token, Job: step.Job.ID, Key: key, Phase: duty.Intent}}); r.Err != nil {
 					t.Fatalf("%s: %v", key, r.Err)
 				}
-				if !step.Again && m.drained {
+				if !step.Resumed && m.drained {
 					t.Fatalf("%s: order to a drained instance", key)
 				}
 				if m.up && m.orderedBy == "" && m.restarts[step.Job.ID] == 0 {
@@ -146,18 +146,18 @@
 				}
 			}
 			for z, n := range addedIn {
-				if limits.Zone > 0 && inZone[z]+n > limits.Zone {
-					t.Fatalf("%d of %s were away, and %d more are now, at most %d may be", inZone[z], z, n, limits.Zone)
+				if limits.ZoneUnavailable > 0 && inZone[z]+n > limits.ZoneUnavailable {
+					t.Fatalf("%d of %s were away, and %d more are now, at most %d may be", inZone[z], z, n, limits.ZoneUnavailable)
 				}
 			}
-			if limits.Starts > 0 {
+			if limits.StartsPerSecond > 0 {
 				for _, step := range d.Begin {
-					if !step.Again { // a resumed step is not a new start
+					if !step.Resumed { // a resumed step is not a new start
 						begun = append(begun, now)
 					}
 				}
-				if n := len(begun); n > 1 && begun[n-1].Sub(begun[n-2]) < time.Duration(float64(time.Second)/limits.Starts) {
-					t.Fatalf("started at %v, at most %v per second allowed", begun[n-2:], limits.Starts)
+				if n := len(begun); n > 1 && begun[n-1].Sub(begun[n-2]) < time.Duration(float64(time.Second)/limits.StartsPerSecond) {
+					t.Fatalf("started at %v, at most %v per second allowed", begun[n-2:], limits.StartsPerSecond)
 				}
 			}
 			if added > 0 && before+added > maxAway {
@@ -177,8 +177,8 @@
 			case 2:
 				unreachable[target.Agent] = !unreachable[target.Agent]
 			case 3: // another owner; orders of the previous one continue at the agents
-				token = must(duty.Command{Acquire: &duty.Acquire{Duty: duty.Rollouts, Owner: "b", After: token}}).Token
-				desk, inProgress, begun = NewDesk(), map[string]Step{}, nil
+				token = must(duty.Command{Acquire: &duty.Acquire{Duty: duty.Rollouts, Owner: "b", PreviousToken: token}}).Token
+				desk, inProgress, begun = NewScheduler(), map[string]Step{}, nil
 				for agent := range unreachable {
 					neverReached[agent] = unreachable[agent]
 				}
@@ -187,8 +187,8 @@
 					m.drained, m.up = true, false
 				}
 			case 5:
-				must(duty.Command{Turn: &duty.Turn{Job: rapid.SampledFrom(ids).Draw(t, "job"), By: "eve",
-					To: rapid.SampledFrom([]string{duty.Paused, duty.Active, duty.Cancelled}).Draw(t, "to")}})
+				must(duty.Command{SetJobState: &duty.SetJobState{Job: rapid.SampledFrom(ids).Draw(t, "job"), By: "eve",
+					State: rapid.SampledFrom([]string{duty.Paused, duty.Active, duty.Cancelled}).Draw(t, "to")}})
 			case 6:
 				if step, ok := inProgress[key]; ok && m.orderedBy == "" && m.restarts[step.Job.ID] == 0 {
 					break
@@ -218,7 +218,7 @@
 			}
 			for _, j := range state.Jobs() { // stopped and paused ones are resumed
 				if j.State == duty.Stopped || j.State == duty.Paused {
-					must(duty.Command{Turn: &duty.Turn{Job: j.ID, To: duty.Active, By: "eve"}})
+					must(duty.Command{SetJobState: &duty.SetJobState{Job: j.ID, State: duty.Active, By: "eve"}})
 				}
 			}
 		}
@@ -231,34 +231,34 @@
 }
 
 func TestWaitReason(t *testing.T) {
-	d := NewDesk()
-	j := &duty.Job{ID: "x", State: duty.Active, MaxUnavailable: 1, Before: &Counts{}, Targets: []duty.Target{{Agent: "m1", Instance: "n1", Group: "g"}, {Agent: "m2", Instance: "n2", Group: "g"}}, Steps: make([]duty.Step, 2)}
-	seen := map[string]Seen{"m1/n1": {Group: "g", Reached: true, Serves: true}, "m2/n2": {Group: "g"}, "m3/n3": {Group: "other"}}
+	d := NewScheduler()
+	j := &duty.Job{ID: "x", State: duty.Active, MaxUnavailable: 1, Baseline: &Counts{}, Targets: []duty.Target{{Agent: "m1", Instance: "n1", Group: "g"}, {Agent: "m2", Instance: "n2", Group: "g"}}, Steps: make([]duty.Step, 2)}
+	seen := map[string]InstanceStatus{"m1/n1": {Group: "g", Reached: true, Serving: true}, "m2/n2": {Group: "g"}, "m3/n3": {Group: "other"}}
 	decision := d.Next(time.Unix(0, 0), []*duty.Job{j}, seen, Limits{})
 	want := "waits: 1 of 2 are away, and at most 1 may be; agent m2 is not reached, and what it has counts as away"
-	if len(decision.Begin) > 0 || decision.Says["x"] != want {
-		t.Errorf("begins %+v, says %q", decision.Begin, decision.Says["x"])
+	if len(decision.Begin) > 0 || decision.Messages["x"] != want {
+		t.Errorf("begins %+v, says %q", decision.Begin, decision.Messages["x"])
 	}
 }
 
 // Instances at an agent that was never reached count against the budget, also of a job that does not name
 // them. A test campaign (seed 1054) found two jobs that restarted one instance each at the same time.
 func TestUnreachedInstancesCount(t *testing.T) {
-	j := &duty.Job{ID: "x", State: duty.Active, MaxUnavailable: 1, Before: &Counts{}, Targets: []duty.Target{{Agent: "m2", Instance: "n2", Group: "g"}}, Steps: make([]duty.Step, 1)}
-	up := Seen{Group: "g", Reached: true, Serves: true}
+	j := &duty.Job{ID: "x", State: duty.Active, MaxUnavailable: 1, Baseline: &Counts{}, Targets: []duty.Target{{Agent: "m2", Instance: "n2", Group: "g"}}, Steps: make([]duty.Step, 1)}
+	up := InstanceStatus{Group: "g", Reached: true, Serving: true}
 	for name, c := range map[string]struct {
-		seen   map[string]Seen
+		seen   map[string]InstanceStatus
 		others []*duty.Job
 		begins int
 	}{
-		"all serve":               {map[string]Seen{"m1/n1": up, "m2/n2": up}, nil, 1},
-		"the council knows of it": {map[string]Seen{"m1/n1": {Group: "g"}, "m2/n2": up}, nil, 0},
-		"another job names it": {map[string]Seen{"m2/n2": up}, []*duty.Job{{
+		"all serve":               {map[string]InstanceStatus{"m1/n1": up, "m2/n2": up}, nil, 1},
+		"the council knows of it": {map[string]InstanceStatus{"m1/n1": {Group: "g"}, "m2/n2": up}, nil, 0},
+		"another job names it": {map[string]InstanceStatus{"m2/n2": up}, []*duty.Job{{
 			ID: "y", State: duty.Finished, Targets: []duty.Target{{Agent: "m1", Instance: "n1", Group: "g"}}, Steps: []duty.Step{{Phase: duty.Done}}}}, 0},
-		"of another group": {map[string]Seen{"m1/n1": {Group: "h"}, "m2/n2": up}, nil, 1},
+		"of another group": {map[string]InstanceStatus{"m1/n1": {Group: "h"}, "m2/n2": up}, nil, 1},
 	} {
-		d := NewDesk()
-		d.Next(time.Unix(0, 0), append(c.others, j), map[string]Seen{"m2/n2": {Group: "g"}}, Limits{}) // before any agent was reached
+		d := NewScheduler()
+		d.Next(time.Unix(0, 0), append(c.others, j), map[string]InstanceStatus{"m2/n2": {Group: "g"}}, Limits{}) // before any agent was reached
 		if to := d.Next(time.Unix(1, 0), append(c.others, j), c.seen, Limits{}); len(to.Begin) != c.begins {
 			t.Errorf("%s: begins %d, want %d", name, len(to.Begin), c.begins)
 		}
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -22,12 +22,12 @@
 	stallTimeout = 30 * time.Second
 )
 
-// Standing is the state of an instance with respect to a plan.
-type Standing int
+// InstanceState is the state of an instance with respect to a plan.
+type InstanceState int
 
 // The states of an instance.
 const (
-	Serves Standing = iota
+	Serving InstanceState = iota
 	// Away does not serve. It counts as away, and restarting it makes no further instance unavailable; but
 	// it may come up by itself while the order to it is on its way, so that no more of these are worked on
 	// at once than may be away.
@@ -50,7 +50,7 @@
 }
 
 // Counts are the answers of a group over some time.
-type Counts = duty.Answers
+type Counts = duty.AnswerCounts
 
 // Plan is a rollout in progress. Create it with New.
 type Plan struct {
@@ -80,7 +80,7 @@
 // Next returns the instances to restart now. state returns the state of an instance of the group. allow, unless it is
 // nil, reports whether further limits allow one to be started; serving means that the instance serves now. Each instance
 // returned counts as being worked on until Ended or Withdrawn.
-func (p *Plan) Next(now time.Time, state func(name string) Standing, allow func(name string, serving bool) bool) []string {
+func (p *Plan) Next(now time.Time, state func(name string) InstanceState, allow func(name string, serving bool) bool) []string {
 	p.waitReason = ""
 	if p.stopReason != "" {
 		return nil
@@ -108,7 +108,7 @@
 	var toStart []string
 	p.waiting = slices.DeleteFunc(p.waiting, func(name string) bool {
 		switch state(name) {
-		case Serves:
+		case Serving:
 			if away >= p.opt.MaxUnavailable || allow != nil && !allow(name, true) {
 				return false
 			}
@@ -203,16 +203,16 @@
 	}
 }
 
-// Stopped returns why the plan was stopped; "" while it continues.
-func (p *Plan) Stopped() string { return p.stopReason }
+// StopReason returns why the plan was stopped; "" while it continues.
+func (p *Plan) StopReason() string { return p.stopReason }
 
-// Over reports whether no instance is being worked on and none will be.
-func (p *Plan) Over() bool {
+// Finished reports whether no instance is being worked on and none will be.
+func (p *Plan) Finished() bool {
 	return len(p.working) == 0 && (len(p.waiting) == 0 || p.stopReason != "")
 }
 
-// Left returns the instances that were not touched.
-func (p *Plan) Left() []string { return slices.Clone(p.waiting) }
+// Untouched returns the instances that were not touched.
+func (p *Plan) Untouched() []string { return slices.Clone(p.waiting) }
 
 // Done returns the instances that came back.
 func (p *Plan) Done() []string { return slices.Clone(p.done) }
--- a/internal/fleet/rollout/rollout_test.go
+++ b/internal/fleet/rollout/rollout_test.go
@@ -18,10 +18,10 @@
 	return list
 }
 
-func serves(up func(string) bool) func(string) Standing {
-	return func(name string) Standing {
+func serves(up func(string) bool) func(string) InstanceState {
+	return func(name string) InstanceState {
 		if up(name) {
-			return Serves
+			return Serving
 		}
 		return Away
 	}
@@ -44,7 +44,7 @@
 		working := map[string]time.Time{} // when they come back
 		started := map[string]int{}
 		var lastEnd time.Time
-		for step := 0; !p.Over(); step++ {
+		for step := 0; !p.Finished(); step++ {
 			if step > 5000 {
 				t.Fatalf("seed %d: plan does not end: %+v", seed, p)
 			}
@@ -90,8 +90,8 @@
 				t.Fatalf("seed %d: %d away, at most %d may be", seed, len(away), opt.MaxUnavailable)
 			}
 		}
-		if p.Stopped() == "" && (len(p.Done()) != len(all) || len(p.Left()) != 0) {
-			t.Fatalf("seed %d: done %v, left %v", seed, p.Done(), p.Left())
+		if p.StopReason() == "" && (len(p.Done()) != len(all) || len(p.Untouched()) != 0) {
+			t.Fatalf("seed %d: done %v, left %v", seed, p.Done(), p.Untouched())
 		}
 	}
 }
@@ -116,10 +116,10 @@
 			t.Fatalf("first turn %v", turn)
 		}
 		c.do(p)
-		if turn := p.Next(now.Add(time.Hour), serves(up), nil); len(turn) > 0 || !strings.Contains(p.Stopped(), c.reason) {
-			t.Errorf("%s: %v, stopped %q, want %q", name, turn, p.Stopped(), c.reason)
+		if turn := p.Next(now.Add(time.Hour), serves(up), nil); len(turn) > 0 || !strings.Contains(p.StopReason(), c.reason) {
+			t.Errorf("%s: %v, stopped %q, want %q", name, turn, p.StopReason(), c.reason)
 		}
-		if left := p.Left(); !slices.Equal(left, []string{"n1", "n2"}) {
+		if left := p.Untouched(); !slices.Equal(left, []string{"n1", "n2"}) {
 			t.Errorf("%s: left %v", name, left)
 		}
 	}
@@ -132,8 +132,8 @@
 	}
 	p.Observe(Counts{Failed: minAnswers - 1})
 	p.Observe(Counts{Served: 1000, Failed: 40, Refused: 100})
-	if p.Stopped() != "" {
-		t.Errorf("stopped: %s", p.Stopped())
+	if p.StopReason() != "" {
+		t.Errorf("stopped: %s", p.StopReason())
 	}
 	if _, err := New(Options{Instances: names(1)}, Counts{}); err == nil {
 		t.Error("MaxUnavailable 0 was accepted")
@@ -155,7 +155,7 @@
 		t.Fatalf("restarts %v while one is away", turn)
 	}
 	p.Next(now.Add(stallTimeout), serves(up), nil)
-	if !strings.Contains(p.Stopped(), "1 instances are away") {
-		t.Errorf("stopped %q", p.Stopped())
+	if !strings.Contains(p.StopReason(), "1 instances are away") {
+		t.Errorf("stopped %q", p.StopReason())
 	}
 }
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -18,14 +18,14 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// InterimMost is the maximum number of 1xx responses before the final one.
-const InterimMost = 16
+// MaxInterim is the maximum number of 1xx responses before the final one.
+const MaxInterim = 16
 
 // ErrMalformed is wrapped by all errors about malformed responses.
 var ErrMalformed = errors.New("malformed HTTP/1.1 response")
 
-// Spoilt returns an error that wraps ErrMalformed and describes the malformation.
-func Spoilt(format string, args ...any) error {
+// Malformed returns an error that wraps ErrMalformed and describes the malformation.
+func Malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
@@ -34,9 +34,9 @@
 	Code   int
 	Header http.Header
 	Closes bool // the server closes the connection after this response
-	// Trails reports that trailers follow although a length is given, which HTTP/2 permits and
+	// TrailersWithLength reports that trailers follow although a length is given, which HTTP/2 permits and
 	// HTTP/1.1 does not.
-	Trails bool
+	TrailersWithLength bool
 }
 
 // ReadHead reads the status line and header fields of one response (RFC 9112, section 4).
@@ -50,10 +50,10 @@
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || len(code) != 3 {
-		return h, Spoilt("invalid status line %.40q", line)
+		return h, Malformed("invalid status line %.40q", line)
 	}
 	if h.Code, err = strconv.Atoi(code); err != nil || h.Code < 100 {
-		return h, Spoilt("invalid status line %.40q", line)
+		return h, Malformed("invalid status line %.40q", line)
 	}
 	fields, err := text.ReadMIMEHeader()
 	if err != nil {
@@ -70,11 +70,11 @@
 func validateFields(h http.Header) error {
 	for name, values := range h {
 		if !httpguts.ValidHeaderFieldName(name) {
-			return Spoilt("invalid field name %.40q", name)
+			return Malformed("invalid field name %.40q", name)
 		}
 		for _, v := range values {
 			if !httpguts.ValidHeaderFieldValue(v) {
-				return Spoilt("invalid value of field %s", name)
+				return Malformed("invalid value of field %s", name)
 			}
 		}
 	}
@@ -89,20 +89,20 @@
 	UntilClose bool // the body extends to the end of the connection
 }
 
-// Framed returns the body that follows the head (RFC 9112, section 6.3). More than one
+// OpenBody returns the body that follows the head (RFC 9112, section 6.3). More than one
 // length, or a transfer coding other than chunked, is an error because the end of such a body
 // is ambiguous.
-func (h *Head) Framed(in *bufio.Reader, method string) (Body, error) {
+func (h *Head) OpenBody(in *bufio.Reader, method string) (Body, error) {
 	lengths, codings := h.Header["Content-Length"], h.Header["Transfer-Encoding"]
 	none := func() (http.Header, error) { return nil, nil }
 	if len(codings) > 0 && (len(lengths) > 0 || len(codings) > 1 || !strings.EqualFold(codings[0], "chunked")) {
-		return Body{}, Spoilt("%d Content-Length fields with Transfer-Encoding %.40q", len(lengths), codings)
+		return Body{}, Malformed("%d Content-Length fields with Transfer-Encoding %.40q", len(lengths), codings)
 	}
 	length := int64(-1)
 	for i, text := range lengths {
 		n, err := strconv.ParseUint(text, 10, 63)
 		if err != nil || i > 0 {
-			return Body{}, Spoilt("invalid Content-Length %.40q", lengths)
+			return Body{}, Malformed("invalid Content-Length %.40q", lengths)
 		}
 		length = int64(n)
 	}
@@ -143,5 +143,5 @@
 	return n, err
 }
 
-// Unbounded is a connection's read limit for a body, whose size the caller bounds itself.
-const Unbounded = math.MaxInt64
+// NoReadLimit is a connection's read limit for a body, whose size the caller bounds itself.
+const NoReadLimit = math.MaxInt64
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -15,7 +15,7 @@
 	if h, err = ReadHead(in); err != nil {
 		return h, "", err
 	}
-	b, err := h.Framed(in, method)
+	b, err := h.OpenBody(in, method)
 	if err != nil {
 		return h, "", err
 	}
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -24,7 +24,7 @@
 	ManualCordons []cordon.Entry    `json:"hand"`            // manual cordons
 	Delisted      []string          `json:"known,omitempty"` // servers that have left the list
 	Quiesce       life.QuiesceState `json:"drained"`
-	FleetBans     *cordon.Word      `json:"word,omitempty"` // latest fleet bans
+	FleetBans     *cordon.FleetBans `json:"word,omitempty"` // latest fleet bans
 }
 
 // ConnCounts is the number of connections that a process has open.
@@ -39,7 +39,7 @@
 	Version   int                `json:"v,omitempty"` // in the first message only
 	State     *State             `json:"state,omitempty"`
 	Entry     *cordon.Entry      `json:"entry,omitempty"`
-	FleetBans *cordon.Word       `json:"word,omitempty"` // fleet bans
+	FleetBans *cordon.FleetBans  `json:"word,omitempty"` // fleet bans
 	Quiesce   *life.QuiesceState `json:"drained,omitempty"`
 	Serving   bool               `json:"serving,omitempty"`
 	Conns     *ConnCounts        `json:"holds,omitempty"`
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -39,24 +39,24 @@
 	BootMs   int64   `json:"boot_ms,omitempty"`
 }
 
-// View is a snapshot of a node's state.
-type View struct {
+// Snapshot is a snapshot of a node's state.
+type Snapshot struct {
 	FormatVersion int                  `json:"form"`
 	Sequence      uint64               `json:"sequence"` // number of the save; the higher one is the later
 	Node          string               `json:"node"`     // the owner, checked also by processes that do not hold the lock
 	Saved         confidence.Timestamp `json:"saved"`
 	Confirmed     confidence.Timestamp `json:"confirmed"` // when discovery last answered
-	By            string               `json:"by"`        // source of the servers
+	Source        string               `json:"by"`        // source of the servers
 	Rev           int64                `json:"rev"`       // discovery's revision
 	Servers       []Server             `json:"servers"`
-	Hand          []cordon.Entry       `json:"hand,omitempty"` // manual cordons
-	Held          bool                 `json:"held,omitempty"` // frozen by an operator: only manual cordons and fleet bans are updated
+	ManualCordons []cordon.Entry       `json:"hand,omitempty"` // manual cordons
+	Frozen        bool                 `json:"held,omitempty"` // frozen by an operator: only manual cordons and fleet bans are updated
 	Memory        *policy.Memory       `json:"memory,omitempty"`
-	Fleet         *cordon.Word         `json:"fleet,omitempty"` // latest fleet bans
+	Fleet         *cordon.FleetBans    `json:"fleet,omitempty"` // latest fleet bans
 }
 
 // check validates a snapshot that was read for node.
-func (v *View) check(node string) error {
+func (v *Snapshot) check(node string) error {
 	switch {
 	case v.Node != "" && v.Node != node:
 		return fmt.Errorf("it is the record of %q, not of %q", v.Node, node)
@@ -91,12 +91,12 @@
 
 // Open reads the latest readable snapshot of a node, nil if there is none. problems describes what is wrong with
 // the files, for the operator; no problem keeps a node from starting. An unreadable file is moved aside.
-func Open(fsys record.FS, path, node string) (s *Store, v *View, problems []string) {
+func Open(fsys record.FS, path, node string) (s *Store, v *Snapshot, problems []string) {
 	s = &Store{fs: fsys, path: path, node: node}
 	if err := s.acquireLock(); err != nil {
 		problems = append(problems, err.Error())
 	}
-	var best *View
+	var best *Snapshot
 	for n := range suffixes {
 		got, err := s.readGeneration(n)
 		if err != nil {
@@ -130,12 +130,12 @@
 }
 
 // readGeneration reads one generation; if this process holds the lock it also opens the file for writing.
-func (s *Store) readGeneration(n int) (v *View, err error) {
+func (s *Store) readGeneration(n int) (v *Snapshot, err error) {
 	decode := func(text json.RawMessage) error {
 		if len(text) == 0 || string(text) == "null" {
 			return nil
 		}
-		var got View
+		var got Snapshot
 		if err := json.Unmarshal(text, &got); err != nil {
 			return err
 		}
@@ -165,10 +165,10 @@
 	}
 	s.logs[n] = log
 	switch {
-	case found.Aside != "":
-		return nil, fmt.Errorf("kept: %s can't be used (%s) and was moved to %s", path, found.Why, found.Aside)
-	case found.Torn > 0:
-		return v, fmt.Errorf("kept: %s is incomplete: its last %d bytes were cut off", path, found.Torn)
+	case found.MovedTo != "":
+		return nil, fmt.Errorf("kept: %s can't be used (%s) and was moved to %s", path, found.Reason, found.MovedTo)
+	case found.TornBytes > 0:
+		return v, fmt.Errorf("kept: %s is incomplete: its last %d bytes were cut off", path, found.TornBytes)
 	}
 	return v, nil
 }
@@ -178,7 +178,7 @@
 
 // Save writes a snapshot in place of the older generation. The newer generation stays intact until the write is
 // complete on disk.
-func (s *Store) Save(v View) error {
+func (s *Store) Save(v Snapshot) error {
 	if len(v.Servers) > MaxServers {
 		return fmt.Errorf("kept: %d servers, at most %d are stored", len(v.Servers), MaxServers)
 	}
--- a/internal/kept/kept_test.go
+++ b/internal/kept/kept_test.go
@@ -16,15 +16,15 @@
 	"otterstep/internal/fleet/record"
 )
 
-func view(rev int64, servers int) View {
-	v := View{Rev: rev, By: "discovery", Saved: confidence.Timestamp{Wall: time.Unix(1000+rev, 0).UTC(), Boot: "b"}, Hand: []cordon.Entry{{ID: "s1", Out: true, Stamp: 3}}}
+func view(rev int64, servers int) Snapshot {
+	v := Snapshot{Rev: rev, Source: "discovery", Saved: confidence.Timestamp{Wall: time.Unix(1000+rev, 0).UTC(), Boot: "b"}, ManualCordons: []cordon.Entry{{ID: "s1", Out: true, Stamp: 3}}}
 	for n := range servers {
 		v.Servers = append(v.Servers, Server{UID: fmt.Sprint("s", n), Endpoint: "127.0.0.1:1", State: "in_service", BootMs: int64(n)})
 	}
 	return v
 }
 
-func open(t *testing.T, path string) (*Store, *View, []string) {
+func open(t *testing.T, path string) (*Store, *Snapshot, []string) {
 	t.Helper()
 	s, v, problems := Open(record.OS{}, path, "n1")
 	t.Cleanup(s.Close)
--- a/internal/ledger/cold.go
+++ b/internal/ledger/cold.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Cold sums the work that all nodes together send to one cold server, and by how much it exceeds the allowed amount
+// ColdLoad sums the work that all nodes together send to one cold server, and by how much it exceeds the allowed amount
 // plus random variation. The zero value is ready for a server that has just started.
-type Cold struct {
+type ColdLoad struct {
 	arrivals []arrival // the arrivals within the window
 	sum      float64   // the sum of their work
-	excess   float64   // see Over
+	excess   float64   // see Excess
 }
 
 // arrival is the arrival of a request, with its work as a multiple of the mean.
@@ -22,7 +22,7 @@
 // Add records a request that arrives now, no earlier than the previous one, with its work as a multiple of the mean.
 // allowed is the number N of requests of mean work that the server may currently get within the window. Up to
 // N + 2*sqrt(N) + 2 counts as random variation; anything beyond that is recorded as excess.
-func (c *Cold) Add(now, window time.Duration, work, allowed float64) {
+func (c *ColdLoad) Add(now, window time.Duration, work, allowed float64) {
 	c.arrivals = append(c.arrivals, arrival{now, work})
 	c.sum += work
 	for now-c.arrivals[0].at >= window {
@@ -32,8 +32,8 @@
 	c.excess = max(c.excess, c.sum-allowed-2*math.Sqrt(allowed)-2)
 }
 
-// Restart discards the recorded arrivals because the server has restarted; Over is kept.
-func (c *Cold) Restart() { c.arrivals, c.sum = nil, 0 }
+// Restart discards the recorded arrivals because the server has restarted; Excess is kept.
+func (c *ColdLoad) Restart() { c.arrivals, c.sum = nil, 0 }
 
-// Over returns the largest excess in any window so far, in requests of mean work; 0 if there was none.
-func (c *Cold) Over() float64 { return c.excess }
+// Excess returns the largest excess in any window so far, in requests of mean work; 0 if there was none.
+func (c *ColdLoad) Excess() float64 { return c.excess }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger checks the four rules from outside the nodes, by the requests that servers
+// Package rulecheck checks the four rules from outside the nodes, by the requests that servers
 // receive and the answers that clients get: no request is lost, no effect happens twice,
 // drains are kept, and no cold server is pushed over. It uses neither a clock nor sockets, so
 // that the simulation and the stand-in servers on loopback share it.
@@ -35,23 +35,23 @@
 
 func (o Outcome) String() string { return [...]string{"served", "refused", "failed", "lost"}[o] }
 
-// Breach is a kind of rule violation.
-type Breach string
+// Violation is a kind of rule violation.
+type Violation string
 
 // The kinds of violations.
 const (
-	NoAnswer     Breach = "a request without an answer"
-	SecondAnswer Breach = "a second answer"
-	LateAnswer   Breach = "an answer after the deadline"
-	LateAttempt  Breach = "an attempt after the answer"
-	RanTwice     Breach = "an effect happened twice"
-	RefusedRan   Breach = "a refused request has run"
-	AfterDrain   Breach = "a new request after a drain"
-	PushedOver   Breach = "a cold server was pushed over"
+	NoAnswer     Violation = "a request without an answer"
+	SecondAnswer Violation = "a second answer"
+	LateAnswer   Violation = "an answer after the deadline"
+	LateAttempt  Violation = "an attempt after the answer"
+	RanTwice     Violation = "an effect happened twice"
+	RefusedRan   Violation = "a refused request has run"
+	AfterDrain   Violation = "a new request after a drain"
+	PushedOver   Violation = "a cold server was pushed over"
 )
 
 // Rule returns the rule that b violates.
-func (b Breach) Rule() string {
+func (b Violation) Rule() string {
 	switch b {
 	case RanTwice, RefusedRan:
 		return "no effect happens twice"
@@ -81,26 +81,26 @@
 // Answered reports whether the request has its final answer or counts as lost.
 func (r *Record) Answered() bool { return r.answered }
 
-// Ledger checks the rules. Its memory use is bounded; callers hold the records. It is not
+// Checker checks the rules. Its memory use is bounded; callers hold the records. It is not
 // safe for concurrent use.
-type Ledger struct {
+type Checker struct {
 	drainGrace   time.Duration // grace period for attempts after a node is told of a drain
 	sendGrace    time.Duration // grace period for attempts that were in flight when the answer was given
-	counts       map[Breach]int
+	counts       map[Violation]int
 	descriptions []string
 	violations   int
 	repeats      int
 }
 
-// New creates a Ledger with the grace periods for drains and for attempts that cross their
+// New creates a Checker with the grace periods for drains and for attempts that cross their
 // request's answer.
-func New(drainGrace, sendGrace time.Duration) *Ledger {
-	return &Ledger{drainGrace: drainGrace, sendGrace: sendGrace, counts: map[Breach]int{}}
+func New(drainGrace, sendGrace time.Duration) *Checker {
+	return &Checker{drainGrace: drainGrace, sendGrace: sendGrace, counts: map[Violation]int{}}
 }
 
 // Attempt records an attempt at a server. told is when the node was told that the server
 // accepts no new requests; 0 if it was not.
-func (l *Ledger) Attempt(now time.Duration, r *Record, id, server string, told time.Duration) {
+func (l *Checker) Attempt(now time.Duration, r *Record, id, server string, told time.Duration) {
 	if r.answered && now-r.answeredAt > l.sendGrace {
 		l.record(LateAttempt, "%s was sent to %s %v after its final answer", id, server, now-r.answeredAt)
 	}
@@ -111,7 +111,7 @@
 
 // Ran records that a server runs a request. It returns false for a repeat that servers drop:
 // a keyed request that ran less than window ago.
-func (l *Ledger) Ran(now time.Duration, r *Record, id, server string, effect Effect, window time.Duration) bool {
+func (l *Checker) Ran(now time.Duration, r *Record, id, server string, effect Effect, window time.Duration) bool {
 	r.effect = effect
 	if effect == Keyed && r.ran > 0 && now-r.lastRan < window {
 		l.repeats++
@@ -127,7 +127,7 @@
 }
 
 // checkRefusal checks the guarantee of a refusal: that retrying the request is harmless.
-func (l *Ledger) checkRefusal(r *Record, id string) {
+func (l *Checker) checkRefusal(r *Record, id string) {
 	if r.answered && r.outcome == Refused && r.effect == Unsafe && r.ran > 0 {
 		l.record(RefusedRan, "%s was refused and has run", id)
 	}
@@ -135,7 +135,7 @@
 
 // Answer records a request's final answer at its client, or Lost. deadline, if not 0, is
 // when the answer was due.
-func (l *Ledger) Answer(now time.Duration, r *Record, id string, o Outcome, deadline time.Duration) {
+func (l *Checker) Answer(now time.Duration, r *Record, id string, o Outcome, deadline time.Duration) {
 	if r.answered {
 		l.record(SecondAnswer, "%s was answered twice, %v and %v", id, r.outcome, o)
 		return
@@ -150,10 +150,10 @@
 	l.checkRefusal(r, id)
 }
 
-// Fell records that a cold server was overloaded until it fell over.
-func (l *Ledger) Fell(server string) { l.record(PushedOver, "%s fell over", server) }
+// FellOver records that a cold server was overloaded until it fell over.
+func (l *Checker) FellOver(server string) { l.record(PushedOver, "%s fell over", server) }
 
-func (l *Ledger) record(b Breach, format string, args ...any) {
+func (l *Checker) record(b Violation, format string, args ...any) {
 	l.violations++
 	l.counts[b]++
 	if len(l.descriptions) < maxDescriptions {
@@ -163,13 +163,13 @@
 
 // Report is the result of a check.
 type Report struct {
-	Breaks  int            // violations in total
-	Broken  map[Breach]int // violations by kind
-	Words   []string       // descriptions of the first violations
-	Repeats int            // keyed repeats that servers dropped
+	Violations     int               // violations in total
+	Broken         map[Violation]int // violations by kind
+	Descriptions   []string          // descriptions of the first violations
+	DroppedRepeats int               // keyed repeats that servers dropped
 }
 
 // Report returns the result so far.
-func (l *Ledger) Report() Report {
-	return Report{Breaks: l.violations, Broken: maps.Clone(l.counts), Words: slices.Clone(l.descriptions), Repeats: l.repeats}
+func (l *Checker) Report() Report {
+	return Report{Violations: l.violations, Broken: maps.Clone(l.counts), Descriptions: slices.Clone(l.descriptions), DroppedRepeats: l.repeats}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Compares Ledger, which keeps only bounded state, with a reference model that evaluates
+// Compares Checker, which keeps only bounded state, with a reference model that evaluates
 // the complete history of each request at the end: both must count the same violations.
 func TestAgainstReferenceModel(t *testing.T) {
 	type event struct {
@@ -19,7 +19,7 @@
 	const drain, late, window = 500 * time.Millisecond, 300 * time.Millisecond, time.Second
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		l, want := New(drain, late), map[Breach]int{}
+		l, want := New(drain, late), map[Violation]int{}
 		for range 20 {
 			effect, r := Effect(rng.IntN(3)), &Record{}
 			deadline := time.Duration(1+rng.IntN(3000)) * time.Millisecond
@@ -80,14 +80,14 @@
 		}
 		got := l.Report()
 		sum := 0
-		for _, b := range []Breach{NoAnswer, SecondAnswer, LateAnswer, LateAttempt, RanTwice, RefusedRan, AfterDrain, PushedOver} {
+		for _, b := range []Violation{NoAnswer, SecondAnswer, LateAnswer, LateAttempt, RanTwice, RefusedRan, AfterDrain, PushedOver} {
 			if got.Broken[b] != want[b] {
 				t.Fatalf("seed %d: %q %d times, want %d", seed, b, got.Broken[b], want[b])
 			}
 			sum += want[b]
 		}
-		if got.Breaks != sum || len(got.Words) != min(sum, maxDescriptions) {
-			t.Fatalf("seed %d: %d violations, %d descriptions, want %d", seed, got.Breaks, len(got.Words), sum)
+		if got.Violations != sum || len(got.Descriptions) != min(sum, maxDescriptions) {
+			t.Fatalf("seed %d: %d violations, %d descriptions, want %d", seed, got.Violations, len(got.Descriptions), sum)
 		}
 	}
 }
@@ -96,9 +96,9 @@
 func TestDescriptionsAreBounded(t *testing.T) {
 	l := New(0, 0)
 	for range 10 * maxDescriptions {
-		l.Fell("s1")
+		l.FellOver("s1")
 	}
-	if r := l.Report(); r.Breaks != 10*maxDescriptions || len(r.Words) != maxDescriptions || r.Broken[PushedOver] != 10*maxDescriptions {
-		t.Errorf("%d violations, %d descriptions", r.Breaks, len(r.Words))
+	if r := l.Report(); r.Violations != 10*maxDescriptions || len(r.Descriptions) != maxDescriptions || r.Broken[PushedOver] != 10*maxDescriptions {
+		t.Errorf("%d violations, %d descriptions", r.Violations, len(r.Descriptions))
 	}
 }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -30,8 +30,8 @@
 	closeIdleAfter    = 1600 * time.Millisecond // after the call to quiesce: idle connections are closed
 )
 
-// Life is the lifecycle of one node. The zero value is Starting; it is safe for concurrent use.
-type Life struct {
+// Lifecycle is the lifecycle of one node. The zero value is Starting; it is safe for concurrent use.
+type Lifecycle struct {
 	mu         sync.Mutex
 	ready      bool
 	ending     bool
@@ -40,21 +40,21 @@
 }
 
 // Ready records that the first list of servers is in place.
-func (l *Life) Ready() {
+func (l *Lifecycle) Ready() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready = true
 }
 
 // End records that the node was told to shut down.
-func (l *Life) End() {
+func (l *Lifecycle) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ending = true
 }
 
 // Quiesce drains the node from now on. A repeated call does not restart the drain.
-func (l *Life) Quiesce(now time.Time) QuiesceState {
+func (l *Lifecycle) Quiesce(now time.Time) QuiesceState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes++
@@ -65,7 +65,7 @@
 }
 
 // Resume ends a quiesce.
-func (l *Life) Resume() QuiesceState {
+func (l *Lifecycle) Resume() QuiesceState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes++
@@ -80,14 +80,14 @@
 }
 
 // QuiesceState returns the latest quiesce or resume call.
-func (l *Life) QuiesceState() QuiesceState {
+func (l *Lifecycle) QuiesceState() QuiesceState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return QuiesceState{!l.quiescedAt.IsZero(), l.changes}
 }
 
 // Merge applies a call that the other process received, if it is later than the latest one here.
-func (l *Life) Merge(now time.Time, d QuiesceState) {
+func (l *Lifecycle) Merge(now time.Time, d QuiesceState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.Changes <= l.changes {
@@ -103,7 +103,7 @@
 }
 
 // State returns the current state.
-func (l *Life) State() State {
+func (l *Lifecycle) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -117,22 +117,24 @@
 	return Serving
 }
 
-// Up reports whether /up answers that new connections are accepted. While the node shuts down it stays true,
+// AcceptsConnections reports whether /up answers that new connections are accepted. While the node shuts down it stays true,
 // since clients go on connecting for a while, unless failOnEnd makes it false at once.
-func (l *Life) Up(failOnEnd bool) bool {
+func (l *Lifecycle) AcceptsConnections(failOnEnd bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ready && l.quiescedAt.IsZero() && !(l.ending && failOnEnd)
 }
 
-// Closes reports whether answers close their connections because the node is quiesced.
-func (l *Life) Closes(now time.Time) bool { return l.quiescedFor(now) >= closeAnswersAfter }
+// ClosesAfterAnswer reports whether answers close their connections because the node is quiesced.
+func (l *Lifecycle) ClosesAfterAnswer(now time.Time) bool {
+	return l.quiescedFor(now) >= closeAnswersAfter
+}
 
-// Leaves reports whether idle connections are closed because the node is quiesced.
-func (l *Life) Leaves(now time.Time) bool { return l.quiescedFor(now) >= closeIdleAfter }
+// ClosesIdle reports whether idle connections are closed because the node is quiesced.
+func (l *Lifecycle) ClosesIdle(now time.Time) bool { return l.quiescedFor(now) >= closeIdleAfter }
 
 // quiescedFor returns how long the node has been quiesced, or a negative duration if it is not.
-func (l *Life) quiescedFor(now time.Time) time.Duration {
+func (l *Lifecycle) quiescedFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.quiescedAt.IsZero() {
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -8,12 +8,12 @@
 
 func TestStates(t *testing.T) {
 	at := time.Unix(100, 0)
-	var l Life
+	var l Lifecycle
 	step := func(name string, do func(), want State, closes, leaves bool) {
 		t.Helper()
 		do()
-		if got := l.State(); got != want || l.Closes(at) != closes || l.Leaves(at) != leaves {
-			t.Errorf("%s: %v, closes %v, leaves %v; want %v, %v, %v", name, got, l.Closes(at), l.Leaves(at), want, closes, leaves)
+		if got := l.State(); got != want || l.ClosesAfterAnswer(at) != closes || l.ClosesIdle(at) != leaves {
+			t.Errorf("%s: %v, closes %v, leaves %v; want %v, %v, %v", name, got, l.ClosesAfterAnswer(at), l.ClosesIdle(at), want, closes, leaves)
 		}
 	}
 	step("initial state", func() {}, Starting, false, false)
@@ -36,7 +36,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		at := time.Unix(100, 0)
-		var one, other Life
+		var one, other Lifecycle
 		var last QuiesceState
 		for range 1 + rng.IntN(12) {
 			a, b := &one, &other
--- a/internal/listed/listed.go
+++ b/internal/listed/listed.go
@@ -25,13 +25,13 @@
 	for i, s := range all {
 		key := fmt.Sprintf("%s[%d]", key, i+1)
 		if _, err := netip.ParseAddrPort(s.Address); err != nil {
-			f.Bad(key+".address", "%q is not an IP address and port", s.Address)
+			f.Errorf(key+".address", "%q is not an IP address and port", s.Address)
 		}
 		if s.Name == "" || names[s.Name] {
-			f.Bad(key+".name", "%q: server names must be set and unique", s.Name)
+			f.Errorf(key+".name", "%q: server names must be set and unique", s.Name)
 		}
 		if s.Weight < 0 || s.Zone < 0 {
-			f.Bad(key, "weight and zone must not be negative")
+			f.Errorf(key, "weight and zone must not be negative")
 		}
 		names[s.Name] = true
 	}
--- a/internal/node/attempt_time_test.go
+++ b/internal/node/attempt_time_test.go
@@ -30,7 +30,7 @@
 func TestTimeLeftExcludesConnect(t *testing.T) {
 	t.Parallel()
 	h := newSlowHandshake(t)
-	up := &upstream{pool: conns.New(conns.Options{IdleFor: time.Hour, Connect: patience, Most: 1, TLS: h.config})}
+	up := &upstream{pool: conns.New(conns.Options{MaxIdle: time.Hour, ConnectTimeout: testTimeout, MaxConns: 1, TLS: h.config})}
 	t.Cleanup(up.pool.Close)
 	begins, wait := recordingTurn{permit, make(chan time.Time, 1)}, 10*time.Second
 	began := time.Now()
@@ -67,7 +67,7 @@
 			io.WriteString(conn, ok("x"))
 			return true
 		})
-		addr, _ := startNodeConfigured(t, newRegistry(t, listed(s, "s1"), listed(s, "s2")), operator.File{}, Reloads{}, quiet(), func(cfg *Config) {
+		addr, _ := startNodeConfigured(t, newRegistry(t, listedTarget(s, "s1"), listedTarget(s, "s2")), operator.File{}, Reloads{}, quiet(), func(cfg *Config) {
 			cfg.Site = siteOf(t, strings.Replace(settings, "6000", c.window, 1))
 		})
 		code, _, _ := do(t, clientRequest(t, addr, "push", "2.9"))
@@ -92,10 +92,10 @@
 			io.WriteString(c, "here")
 			return false
 		})
-		addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+		addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 		c := connect(t, addr)
 		c.send(t, strings.Replace(requestText(t, addr, "book", "2.9"), "HTTP/1.1", "HTTP/1.0", 1))
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		text, err := io.ReadAll(c.in)
 		whole := strings.HasSuffix(string(text), "\r\n\r\nmade here") && strings.Contains(string(text), " 200 ")
 		if reset && (err != nil && !errors.Is(err, io.ErrUnexpectedEOF) || strings.Contains(string(text), " 200 ")) || !reset && !whole {
--- a/internal/node/bodies.go
+++ b/internal/node/bodies.go
@@ -22,14 +22,14 @@
 
 // byteBudget limits the total number of bytes reserved.
 type byteBudget struct {
-	most     atomic.Int64
+	limit    atomic.Int64
 	reserved atomic.Int64
 }
 
-func (b *byteBudget) reserve(n int64) bool { return b.reserveWithin(n, b.most.Load()) }
+func (b *byteBudget) reserve(n int64) bool { return b.reserveWithin(n, b.limit.Load()) }
 
 // reserveLarge reserves bytes from the first three quarters only; the rest is for smaller bodies.
-func (b *byteBudget) reserveLarge(n int64) bool { return b.reserveWithin(n, b.most.Load()/4*3) }
+func (b *byteBudget) reserveLarge(n int64) bool { return b.reserveWithin(n, b.limit.Load()/4*3) }
 
 func (b *byteBudget) reserveWithin(n, most int64) bool {
 	if b.reserved.Add(n) > most {
@@ -175,7 +175,7 @@
 		case kept == b.length: // complete; reading on would wait for io.EOF while the client awaits its answer
 			return b, false, nil
 		}
-		if kept >= f.bodies.most.Load()/4 {
+		if kept >= f.bodies.limit.Load()/4 {
 			break
 		}
 	}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -34,7 +34,7 @@
 // many requests are open, further requests are refused immediately. More than most+spare
 // connections are never accepted.
 type clients struct {
-	most, spare int // under mu
+	limit, spare int // under mu
 
 	mu      sync.Mutex
 	conns   map[*client]struct{}
@@ -49,14 +49,14 @@
 // the eviction.
 type client struct {
 	net.Conn
-	group   *clients
-	list    *list.List // the list that holds it, silent or idle; nil while a request is open
-	element *list.Element
-	since   time.Time      // when it was added to the list
-	evicted bool           // evicted, unless data arrives first
-	active  bool           // a request is open
-	begun   bool           // a request's head has arrived in part
-	framing framingChecker // used by the reading goroutine
+	group       *clients
+	list        *list.List // the list that holds it, silent or idle; nil while a request is open
+	element     *list.Element
+	since       time.Time      // when it was added to the list
+	evicted     bool           // evicted, unless data arrives first
+	active      bool           // a request is open
+	headStarted bool           // a request's head has arrived in part
+	framing     framingChecker // used by the reading goroutine
 
 	socket    syscall.RawConn    // nil if the connection has none
 	readAhead *readAheadConn     // the same as Conn
@@ -80,7 +80,7 @@
 
 func newClients(descriptors int) *clients {
 	spare := descriptors / 8
-	return &clients{most: descriptors - spare, spare: spare, conns: map[*client]struct{}{}}
+	return &clients{limit: descriptors - spare, spare: spare, conns: map[*client]struct{}{}}
 }
 
 // clientListener wraps accepted connections in client.
@@ -98,7 +98,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.spare = n / 8
-	g.most = n - g.spare
+	g.limit = n - g.spare
 	g.evict()
 }
 
@@ -106,7 +106,7 @@
 func (g *clients) atCapacity() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.conns) >= g.most+g.spare
+	return len(g.conns) >= g.limit+g.spare
 }
 
 func (l clientListener) Accept() (net.Conn, error) {
@@ -203,7 +203,7 @@
 	if c.list == &c.group.idle {
 		c.move(nil)
 	}
-	c.begun = !c.active
+	c.headStarted = !c.active
 	c.undoEviction()
 }
 
@@ -222,7 +222,7 @@
 	defer g.mu.Unlock()
 	c := conn.(*client)
 	c.move(nil)
-	c.active, c.begun = s == http.StateActive, false
+	c.active, c.headStarted = s == http.StateActive, false
 	switch s {
 	case http.StateNew:
 		g.conns[c] = struct{}{}
@@ -258,10 +258,10 @@
 
 // run evicts connections once they are old enough, as eviction otherwise happens only on state
 // changes. It also evicts all idle connections when the node has been quiesced for long enough.
-func (g *clients) run(ctx context.Context, state *life.Life) {
+func (g *clients) run(ctx context.Context, state *life.Lifecycle) {
 	for every := time.Tick(evictInterval); ctx.Err() == nil; <-every {
-		if state.Leaves(time.Now()) {
-			g.leave()
+		if state.ClosesIdle(time.Now()) {
+			g.evictAllIdle()
 		}
 		g.mu.Lock()
 		g.evict()
@@ -274,7 +274,7 @@
 
 // evict evicts connections beyond most as far as that is safe; mu must be held.
 func (g *clients) evict() {
-	for g.count() > g.most && (g.evictFrom(&g.silent, evictSilentAfter) || g.evictFrom(&g.idle, evictIdleAfter)) {
+	for g.count() > g.limit && (g.evictFrom(&g.silent, evictSilentAfter) || g.evictFrom(&g.idle, evictIdleAfter)) {
 	}
 }
 
@@ -299,25 +299,25 @@
 	c.Conn.SetReadDeadline(pastTime)
 }
 
-// leave evicts all connections on which no request is open or has begun. A request that has
+// evictAllIdle evicts all connections on which no request is open or has begun. A request that has
 // arrived by then is answered, whereas http.Server.Shutdown would cut it off.
-func (g *clients) leave() {
+func (g *clients) evictAllIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range []*list.List{&g.silent, &g.idle} {
 		for e := l.Front(); e != nil; {
 			c := e.Value.(*client)
-			if e = e.Next(); !c.begun {
+			if e = e.Next(); !c.headStarted {
 				c.evict()
 			}
 		}
 	}
 }
 
-// trim evicts connections that have been idle long enough for a race with a request to be
+// evictLongIdle evicts connections that have been idle long enough for a race with a request to be
 // rare. The others are closed after their next answer; evicting them too would make a client
 // that uses its connections in rotation hit many closes at once.
-func (g *clients) trim() {
+func (g *clients) evictLongIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for g.evictFrom(&g.idle, evictIdleAfter) {
@@ -328,7 +328,7 @@
 func (g *clients) full() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.count()-g.silent.Len()-g.idle.Len() > g.most
+	return g.count()-g.silent.Len()-g.idle.Len() > g.limit
 }
 
 // connected returns the number of connections, including evicted ones.
@@ -345,5 +345,5 @@
 func (g *clients) nearLimit() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.count() > g.most*3/4
+	return g.count() > g.limit*3/4
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -26,7 +26,7 @@
 	}
 	defer c.Close()
 	go io.WriteString(c, text) // the node may stop reading at any point
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -62,8 +62,8 @@
 // lengths could smuggle a second request in the first one's body; in a trial 72 such requests
 // were forwarded.
 func TestInvalidConnectionsAreRejected(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	s := newServer(t, respondWith(ok("x"), true))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	hidden := requestTextWith(t, "read")
 	for name, c := range map[string]struct {
 		text  string
@@ -111,7 +111,7 @@
 		io.WriteString(c, ok("first"))
 		return true
 	})
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	first, second := clientRequest(t, addr, "book", "2.9"), clientRequest(t, addr, "read", "2.9")
 	second.Header.Set("X-Correlation-Id", first.Header.Get("X-Correlation-Id"))
 	done := make(chan string, 1)
@@ -144,10 +144,10 @@
 // Guards against denial of service by silent connections: as they never became idle and so were
 // not evicted, hundreds of them filled the limit and stalled the listener for seconds.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	s := newServer(t, respondWith(ok("x"), true))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	var silent []net.Conn
-	for range 3 * mostClients {
+	for range 3 * maxClients {
 		c, _ := dialClient(t, addr)
 		silent = append(silent, c)
 	}
@@ -156,7 +156,7 @@
 		t.Errorf("answered %d, %v after silent connections; want 200", code, err)
 	}
 	for _, c := range silent {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := c.Read(make([]byte, 1)); err == nil {
 			t.Fatal("a silent connection receives data")
 		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
@@ -169,9 +169,9 @@
 // the connection is aborted and must be complete. In a trial, a regular client whose id was in
 // use got a chunked answer without its last chunk.
 func TestErrorIsCompleteNearDescriptorLimit(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
-	for range mostClients*3/4 + 1 {
+	s := newServer(t, respondWith(ok("x"), true))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
+	for range maxClients*3/4 + 1 {
 		_, ask := dialClient(t, addr)
 		if code, err := ask(); code != http.StatusOK {
 			t.Fatalf("answered %d, %v; want 200", code, err)
@@ -242,7 +242,7 @@
 		g.connState(conns[i], http.StateNew)
 		g.connState(conns[i], http.StateIdle)
 	}
-	g.leave()
+	g.evictAllIdle()
 	go io.WriteString(peers[0], "GET")
 	waitFor(t, "data that undoes the eviction", func() bool {
 		n, _ := conns[0].Read(make([]byte, 3))
@@ -269,7 +269,7 @@
 	if n, err := c.Read(make([]byte, 3)); n != 3 {
 		t.Fatal(n, err)
 	}
-	if g.leave(); g.evicted != 0 {
+	if g.evictAllIdle(); g.evicted != 0 {
 		t.Error("a new connection was evicted while its first head was arriving")
 	}
 	g.connState(c, http.StateActive)
@@ -278,12 +278,12 @@
 	if n, err := c.Read(make([]byte, 3)); n != 3 {
 		t.Fatal(n, err)
 	}
-	g.leave()
+	g.evictAllIdle()
 	if g.evicted != 0 {
 		t.Error("a connection was evicted while its next head was arriving")
 	}
 	g.connState(c, http.StateIdle)
-	g.leave() // races with the end of the head
+	g.evictAllIdle() // races with the end of the head
 	if g.evicted != 1 {
 		t.Fatal("an idle connection was not evicted")
 	}
@@ -303,7 +303,7 @@
 // Guards the memory limit: the total of all bodies is limited by their declared lengths, which
 // are reserved before any of a body is read.
 func TestBodyBudgetIsReservedBeforeReading(t *testing.T) {
-	f := newFront(idle(t), nil, wire.Site{Classes: []string{"book"}}, newClients(8), 10<<10, new(life.Life), false)
+	f := newFront(idle(t), nil, wire.Site{Classes: []string{"book"}}, newClients(8), 10<<10, new(life.Lifecycle), false)
 	f.site.Settings.Classes = siteOf(t, settings).Settings.Classes[2:]
 	ask := func() (code int, read int64) {
 		body := &countingReader{}
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -17,15 +17,15 @@
 // must get its 4xx. After the idle clients have closed, new ones are served.
 func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	t.Parallel()
-	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	d, log := newRegistry(t, listed(one, "s1")), &lines{}
+	one, two := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	d, log := newRegistry(t, listedTarget(one, "s1")), &logBuffer{}
 	addr, _ := startNodeConfigured(t, d, operator.File{}, Reloads{}, slog.New(slog.NewTextHandler(log, nil)), func(*Config) {})
-	d.told(t)
+	d.awaitApplied(t)
 	d.set(func() { d.down = true })
 	waitFor(t, "log line that discovery is down", func() bool { return strings.Contains(log.String(), "discovery is down") })
 	var idle []*clientConn
 	connectIdle := func() {
-		for range 2 * mostClients { // a third sends one request, a third half a head, a third nothing
+		for range 2 * maxClients { // a third sends one request, a third half a head, a third nothing
 			c := connect(t, addr)
 			switch len(idle) % 3 {
 			case 0:
@@ -51,11 +51,11 @@
 	expectServed("1")
 	d.set(func() { d.down = false })
 	connectIdle()
-	gone := listed(one, "s1")
+	gone := listedTarget(one, "s1")
 	gone.State = "terminating"
-	d.change(listed(two, "s2"))
+	d.change(listedTarget(two, "s2"))
 	d.change(gone)
-	d.told(t)
+	d.awaitApplied(t)
 	expectServed("2")
 	if code := sendRaw(t, addr, "GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n"); code != http.StatusBadRequest {
 		t.Errorf("an invalid request is answered %d, want 400", code)
@@ -77,8 +77,8 @@
 // A client that sends its head one byte at a time is subject to the same timeout as others. Runs in real time for 2.5 s.
 func TestSlowHeadTimesOut(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	s := newServer(t, respondWith(ok("x"), true))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	c := connect(t, addr)
 	began := time.Now()
 	go func() {
@@ -89,7 +89,7 @@
 			<-time.After(100 * time.Millisecond)
 		}
 	}()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadAll(c.in); err != nil {
 		t.Logf("ended with %v", err) // a reset, if bytes were still in flight
 	}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -47,14 +47,14 @@
 	}
 	go l.Run(t.Context())
 	for id := range policy.ServerID(servers) {
-		l.Members(policy.ListDelta, []policy.Entry{{Server: id + 1, State: policy.Ready}}, []string{at})
+		l.UpdateServers(policy.ListDelta, []policy.Entry{{Server: id + 1, State: policy.Ready}}, []string{at})
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := newClients(512)
-	f := newFront(l, up, site, g, 1<<20, new(life.Life), false)
+	f := newFront(l, up, site, g, 1<<20, new(life.Lifecycle), false)
 	s := f.server(quiet())
 	t.Cleanup(func() { s.Close(); listener.Close() })
 	return &fixture{listener.Addr().String(), l, f, s}, func() { go func() { _ = s.Serve(g.listener(listener)) }() }
@@ -197,7 +197,7 @@
 			})
 			t.Run("during a connect", func(t *testing.T) {
 				h := newSlowHandshake(t)
-				up := &upstream{pool: conns.New(conns.Options{IdleFor: time.Hour, Connect: patience, Most: 8, TLS: h.config})}
+				up := &upstream{pool: conns.New(conns.Options{MaxIdle: time.Hour, ConnectTimeout: testTimeout, MaxConns: 8, TLS: h.config})}
 				t.Cleanup(up.pool.Close)
 				b := startFront(t, up, 1, h.addr)
 				c := connect(t, b.addr)
@@ -222,7 +222,7 @@
 	for way, leave := range disconnects {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, says(ok("x"), true))
+			s := newServer(t, respondWith(ok("x"), true))
 			b, accept := startPaused(t, testUpstream(t, 64), 8, s.addr)
 			for n := range 60 {
 				c := connect(t, b.addr)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -61,19 +61,19 @@
 	kinds     []string
 	clock     core.Clock
 	log       *slog.Logger
-	// members receives each list; endpoints[i] belongs to entries[i].
-	members func(kind policy.ListKind, entries []policy.Entry, endpoints []string)
-	// apart receives the servers whose model is model, and members the others, if another
+	// onList receives each list; endpoints[i] belongs to entries[i].
+	onList func(kind policy.ListKind, entries []policy.Entry, endpoints []string)
+	// onModelList receives the servers whose model is model, and members the others, if another
 	// front has its own servers in the list. It is nil otherwise.
-	apart func(kind policy.ListKind, entries []policy.Entry, endpoints []string)
-	model string
-	// listed, if not nil, is called with all targets of an answer before members is.
-	listed func(all bool, targets []target)
-	// heard, if not nil, is called with the version of each answer after it was applied.
-	heard func(rev int64)
-	// first is called once, after the first list was applied or the first call has failed
+	onModelList func(kind policy.ListKind, entries []policy.Entry, endpoints []string)
+	model       string
+	// onTargets, if not nil, is called with all targets of an answer before members is.
+	onTargets func(all bool, targets []target)
+	// onVersion, if not nil, is called with the version of each answer after it was applied.
+	onVersion func(rev int64)
+	// onFirst is called once, after the first list was applied or the first call has failed
 	// and the cached list is used instead.
-	first func()
+	onFirst func()
 
 	// withTimeout sets the timeout of a call: context.WithTimeout, except in tests.
 	withTimeout func(context.Context, time.Duration) (context.Context, context.CancelFunc)
@@ -91,15 +91,15 @@
 
 func newDiscovery(addr string, site wire.Site, c core.Clock, log *slog.Logger) *discovery {
 	return &discovery{
-		addr: addr, onRequest: site.Settings.ListAsked, zones: site.Zones, kinds: site.Kinds, clock: c, log: log,
+		addr: addr, onRequest: site.Settings.ListWatched, zones: site.Zones, kinds: site.Kinds, clock: c, log: log,
 		requested: make(chan struct{}, 1), newAddrs: make(chan string),
 		withTimeout: context.WithTimeout,
 		client:      http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 	}
 }
 
-// watch requests the next call after a failed one; it never blocks.
-func (d *discovery) watch() {
+// requestCall requests the next call after a failed one; it never blocks.
+func (d *discovery) requestCall() {
 	select {
 	case d.requested <- struct{}{}:
 	default:
@@ -129,8 +129,8 @@
 	}
 }
 
-// move makes run continue at another address.
-func (d *discovery) move(ctx context.Context, addr string) {
+// setAddress makes run continue at another address.
+func (d *discovery) setAddress(ctx context.Context, addr string) {
 	select {
 	case d.newAddrs <- addr:
 	case <-ctx.Done():
@@ -169,7 +169,7 @@
 			for len(d.requested) > 0 {
 				<-d.requested
 			}
-			d.members(policy.ListFailed, nil, nil)
+			d.onList(policy.ListFailed, nil, nil)
 			d.awaitRequest(ctx)
 			continue
 		}
@@ -185,7 +185,7 @@
 func (d *discovery) notifyFirst() {
 	if !d.firstCalled {
 		d.firstCalled = true
-		d.first()
+		d.onFirst()
 	}
 }
 
@@ -249,8 +249,8 @@
 	if list.All || len(list.Targets) > 0 || d.onRequest {
 		d.deliver(kind, list.Targets)
 	}
-	if d.heard != nil {
-		d.heard(d.rev)
+	if d.onVersion != nil {
+		d.onVersion(d.rev)
 	}
 	return nil
 }
@@ -266,19 +266,19 @@
 	return fmt.Errorf("list: %w", err)
 }
 
-// recall applies the list that this node had saved. Discovery may have restarted its version numbers since, so
+// applySaved applies the list that this node had saved. Discovery may have restarted its version numbers since, so
 // only a full list confirms the entries.
-func (d *discovery) recall(targets []target) {
+func (d *discovery) applySaved(targets []target) {
 	d.cached = true
 	d.unconfirmed = true
 	d.deliver(policy.ListCached, targets)
 	d.unconfirmed = false
 }
 
-// begin applies the list given at the start, which may be outdated. If discovery is one service for all nodes, the
+// applyInitial applies the list given at the start, which may be outdated. If discovery is one service for all nodes, the
 // first call asks for changes since that list, which costs the service less than the full list would, and saves
 // it a second call for each start of a node.
-func (d *discovery) begin(known hostList) {
+func (d *discovery) applyInitial(known hostList) {
 	d.cached = known.All && len(known.Targets) > 0
 	if d.onRequest && d.cached {
 		d.revKnown, d.rev = true, known.Rev
@@ -288,10 +288,10 @@
 
 // deliver distributes discovery's targets to the pools that they belong to.
 func (d *discovery) deliver(kind policy.ListKind, targets []target) {
-	if d.listed != nil {
-		d.listed(kind != policy.ListDelta, targets)
+	if d.onTargets != nil {
+		d.onTargets(kind != policy.ListDelta, targets)
 	}
-	if d.apart != nil {
+	if d.onModelList != nil {
 		var apart, rest []target
 		for _, t := range targets {
 			if t.Model == d.model {
@@ -300,12 +300,12 @@
 				rest = append(rest, t)
 			}
 		}
-		d.deliverTo(kind, apart, d.apart)
+		d.deliverTo(kind, apart, d.onModelList)
 		if targets = rest; kind == policy.ListDelta && len(rest) == 0 && len(apart) > 0 && !d.onRequest {
 			return
 		}
 	}
-	d.deliverTo(kind, targets, d.members)
+	d.deliverTo(kind, targets, d.onList)
 }
 
 // deliverTo converts discovery's targets into entries of the decision module and passes them to members.
@@ -314,7 +314,7 @@
 	for i, t := range targets {
 		entries[i] = policy.Entry{
 			Server: serverID(t.UID), Zone: slices.Index(d.zones, t.AZ), Cell: t.PodGroup, Kind: slices.Index(d.kinds, t.Model),
-			State: state(t.State), Weight: max(0, t.CapacityHint), Started: d.clock.FromUnixMs(t.BootMs), Doubted: d.unconfirmed,
+			State: serverState(t.State), Weight: max(0, t.CapacityHint), Started: d.clock.FromUnixMs(t.BootMs), Unconfirmed: d.unconfirmed,
 		}
 		endpoints[i] = t.Endpoint
 		if kind == policy.ListDelta {
@@ -324,12 +324,12 @@
 	members(kind, entries, endpoints)
 }
 
-// state maps discovery's name of a server state. A server in an unknown state gets no new requests.
-func state(word string) policy.State {
+// serverState maps discovery's name of a server state. A server in an unknown state gets no new requests.
+func serverState(word string) policy.State {
 	switch word {
 	case "in_service":
 		return policy.Ready
-	case wordGone:
+	case stateTerminated:
 		return policy.Gone
 	}
 	return policy.Draining
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -47,25 +47,25 @@
 
 func follow(t *testing.T, addr, mode string, known hostList) *follower {
 	t.Helper()
-	return followBy(t, addr, mode, known, context.WithTimeout)
+	return followWithTimeout(t, addr, mode, known, context.WithTimeout)
 }
 
-// followBy is follow with a replacement for context.WithTimeout.
-func followBy(t *testing.T, addr, mode string, known hostList, limit func(context.Context, time.Duration) (context.Context, context.CancelFunc)) *follower {
+// followWithTimeout is follow with a replacement for context.WithTimeout.
+func followWithTimeout(t *testing.T, addr, mode string, known hostList, limit func(context.Context, time.Duration) (context.Context, context.CancelFunc)) *follower {
 	t.Helper()
 	site := siteOf(t, strings.Replace(settings, "{", fmt.Sprintf(`{"RegistryMode": %q,`, mode), 1))
 	f := &follower{ready: make(chan struct{}), lists: make(chan string, 16)}
 	f.discovery = newDiscovery(addr, site, core.NewClock(), slog.New(slog.NewTextHandler(&f.log, nil)))
 	f.withTimeout = limit
-	f.first = func() { close(f.ready) }
-	f.members = func(kind policy.ListKind, entries []policy.Entry, _ []string) {
+	f.onFirst = func() { close(f.ready) }
+	f.onList = func(kind policy.ListKind, entries []policy.Entry, _ []string) {
 		f.lists <- fmt.Sprintf("%d:%d", kind, len(entries))
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		f.begin(known)
+		f.applyInitial(known)
 		f.run(ctx)
 	}()
 	f.stop = func() { stop(); <-ended }
@@ -95,7 +95,7 @@
 	if len(d.calls) > 0 {
 		t.Fatal("discovery was called before the decision module requested it")
 	}
-	f.watch()
+	f.requestCall()
 	if q := <-d.calls; !strings.Contains(q, "since=7&") {
 		t.Fatalf("first call %q, want changes since the cached list", q)
 	}
@@ -104,7 +104,7 @@
 	if q := <-d.calls; !strings.Contains(q, "since=8&") {
 		t.Fatalf("second call %q, want a watch from version 8", q)
 	}
-	f.move(t.Context(), next.Listener.Addr().String())
+	f.setAddress(t.Context(), next.Listener.Addr().String())
 	if q := <-next.calls; q != "" {
 		t.Fatalf("first call to the new discovery service %q, want the full list", q)
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -26,7 +26,7 @@
 	f.draining.Store(true)
 	waitUntil(timetable.CloseIdle, g.empty)
 	waitUntil(timetable.AnswersDue, func() bool {
-		g.leave()
+		g.evictAllIdle()
 		return g.empty()
 	})
 	shutdownCtx, cancel := context.WithDeadline(ctx, terminatedAt.Add(timetable.CloseAll))
--- a/internal/node/fleetbans.go
+++ b/internal/node/fleetbans.go
@@ -58,13 +58,13 @@
 }
 
 // tell applies bans. When it returns, they are in force in both processes of the node, and on disk.
-func (f *fleetBans) tell(ctx context.Context, w control.Word) (control.Fleet, error) {
+func (f *fleetBans) tell(ctx context.Context, w control.FleetBans) (control.FleetStatus, error) {
 	before := f.ops.fleetBans().Version
-	switch err := f.ops.applyFleet(ctx, w.Word); {
+	switch err := f.ops.applyFleet(ctx, w.FleetBans); {
 	case errors.Is(err, cordon.ErrOutdated):
-		return control.Fleet{}, fmt.Errorf("%w: %w", control.ErrOldWord, err)
+		return control.FleetStatus{}, fmt.Errorf("%w: %w", control.ErrOutdatedBans, err)
 	case err != nil:
-		return control.Fleet{}, err
+		return control.FleetStatus{}, err
 	}
 	f.mu.Lock()
 	repeated := f.version == w.Version && !f.since.IsZero()
@@ -73,8 +73,8 @@
 		if before == w.Version { // the saved version, or version 0: applyFleet has logged nothing
 			f.log.Info("the fleet's word", "version", w.Version, "token", w.Token, "out", len(w.Bans), "as", "before")
 		}
-		if err := f.ops.propagate(ctx, handover.Message{FleetBans: &w.Word}); err != nil {
-			return control.Fleet{}, err
+		if err := f.ops.propagate(ctx, handover.Message{FleetBans: &w.FleetBans}); err != nil {
+			return control.FleetStatus{}, err
 		}
 	}
 	f.mu.Lock()
@@ -89,12 +89,12 @@
 }
 
 // inspect returns the status for the control socket.
-func (f *fleetBans) inspect() *control.Fleet {
+func (f *fleetBans) inspect() *control.FleetStatus {
 	w := f.ops.fleetBans()
 	missing, cordoned, listed := f.ops.fleetStatus()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	status := &control.Fleet{Version: w.Version, Token: w.Token, Since: f.since, Sure: f.sure, Bans: len(w.Bans), Listed: listed, Missing: missing, Hand: cordoned}
+	status := &control.FleetStatus{Version: w.Version, Token: w.Token, Since: f.since, Sure: f.sure, Bans: len(w.Bans), Listed: listed, Missing: missing, Hand: cordoned}
 	if !f.waitOver {
 		status.Waits = fmt.Sprintf("for the fleet's word, up to %v", f.wait)
 	}
--- a/internal/node/fleetbans_test.go
+++ b/internal/node/fleetbans_test.go
@@ -15,11 +15,11 @@
 )
 
 // sendFleetBans sends fleet bans to a node that may still be starting.
-func sendFleetBans(t *testing.T, socket string, w control.Word) (status control.Fleet) {
+func sendFleetBans(t *testing.T, socket string, w control.FleetBans) (status control.FleetStatus) {
 	t.Helper()
 	waitFor(t, "acceptance of fleet bans", func() bool {
 		var err error
-		status, err = control.Tell(context.Background(), socket, w)
+		status, err = control.SendFleetBans(context.Background(), socket, w)
 		return err == nil
 	})
 	return status
@@ -29,15 +29,15 @@
 // bans, and keeps fleet bans and manual cordons apart. The bans still hold after a restart without its agent.
 func TestFleetBans(t *testing.T) {
 	t.Parallel()
-	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	d := newRegistry(t, listed(one, "s1"), listed(two, "s2"))
+	one, two := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	d := newRegistry(t, listedTarget(one, "s1"), listedTarget(two, "s2"))
 	dir := t.TempDir()
 	var op operator.File
 	op.Control.Socket = filepath.Join(dir, "s")
 	op.Fleet.Wait.Duration = time.Minute
 	op.Kept.File, op.Kept.Every.Duration = filepath.Join(dir, "kept"), time.Second
-	ban := func(version, token uint64, sure bool, ids ...string) control.Word {
-		w := control.Word{Word: cordon.Word{Version: version, Token: token}, Sure: sure}
+	ban := func(version, token uint64, sure bool, ids ...string) control.FleetBans {
+		w := control.FleetBans{FleetBans: cordon.FleetBans{Version: version, Token: token}, Sure: sure}
 		for _, id := range ids {
 			w.Bans = append(w.Bans, cordon.Ban{ID: id, Reason: "disk", By: "ada"})
 		}
@@ -66,8 +66,8 @@
 	if got := by(); got["1"] > 0 || got["2"] == 0 {
 		t.Errorf("with s1 banned: %v", got)
 	}
-	for _, old := range []control.Word{ban(4, 2, true), ban(6, 1, true)} {
-		if _, err := control.Tell(t.Context(), op.Control.Socket, old); !errors.Is(err, control.ErrOldWord) {
+	for _, old := range []control.FleetBans{ban(4, 2, true), ban(6, 1, true)} {
+		if _, err := control.SendFleetBans(t.Context(), op.Control.Socket, old); !errors.Is(err, control.ErrOutdatedBans) {
 			t.Errorf("version %d with token %d: %v", old.Version, old.Token, err)
 		}
 	}
@@ -106,12 +106,12 @@
 // A node without [fleet] in its operator's file accepts no fleet bans.
 func TestFleetBansNotAccepted(t *testing.T) {
 	t.Parallel()
-	d := newRegistry(t, listed(newServer(t, says(ok("1"), true)), "s1"))
+	d := newRegistry(t, listedTarget(newServer(t, respondWith(ok("1"), true)), "s1"))
 	var op operator.File
 	op.Control.Socket = filepath.Join(t.TempDir(), "s")
 	startWithOperatorAPIAs(t, d, op)
 	waitFor(t, "answer on the control socket", func() bool {
-		_, err := control.Tell(t.Context(), op.Control.Socket, control.Word{})
+		_, err := control.SendFleetBans(t.Context(), op.Control.Socket, control.FleetBans{})
 		return errors.Is(err, control.ErrNoFleet)
 	})
 }
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -27,21 +27,21 @@
 	upstream     *upstream
 	site         wire.Site
 	clients      *clients
-	life         *life.Life
+	life         *life.Lifecycle
 	failUpAtOnce bool // /up fails as soon as termination begins
 	classes      map[string]int
 	tenants      map[string]int
 	draining     atomic.Bool // the node drains: answers close their connections
-	giving       atomic.Bool // the same while another process takes over
+	handingOver  atomic.Bool // the same while another process takes over
 	bodies       byteBudget  // memory for clients' larger bodies
 }
 
-func newFront(l *core.Loop, up *upstream, site wire.Site, g *clients, bodies int64, state *life.Life, tellUp bool) *front {
+func newFront(l *core.Loop, up *upstream, site wire.Site, g *clients, bodies int64, state *life.Lifecycle, tellUp bool) *front {
 	f := &front{
 		loop: l, upstream: up, site: site, clients: g, life: state, failUpAtOnce: tellUp,
 		classes: map[string]int{}, tenants: map[string]int{},
 	}
-	f.bodies.most.Store(bodies)
+	f.bodies.limit.Store(bodies)
 	for i, name := range site.Classes {
 		f.classes[name] = i
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// mostBody is the maximum size of a request body. The body memory limits how much of it is buffered.
-const mostBody = 64 << 20
+// maxRequestBody is the maximum size of a request body. The body memory limits how much of it is buffered.
+const maxRequestBody = 64 << 20
 
 // clientError is an invalid request, with the status code and text of the response.
 type clientError struct {
@@ -80,7 +80,7 @@
 	full := f.clients.full()
 	if r.URL.Path == "/up" {
 		f.announceClose(w)
-		if !f.life.Up(f.failUpAtOnce) {
+		if !f.life.AcceptsConnections(f.failUpAtOnce) {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 		}
 		return
@@ -107,7 +107,7 @@
 	// The time that a client waits counts from the request's last byte.
 	arrived := f.loop.Clock().Now()
 	q.Deadline = arrived + m.timeLeft
-	if q.Coming = m.bodyPending(); q.Coming {
+	if q.Uploading = m.bodyPending(); q.Uploading {
 		// The unread rest of the body would precede the next request on the connection.
 		w.Header().Set("Connection", "close")
 		_ = http.NewResponseController(w).EnableFullDuplex() // always supported in HTTP/1
@@ -130,17 +130,17 @@
 	case in := <-m.handoff.Answers():
 		f.relay(w, r, in)
 	case a := <-answers:
-		if a.Kind == core.Duplicate {
+		if a.Outcome == core.Duplicate {
 			f.rejectRequest(w, &clientError{http.StatusConflict, "X-Correlation-Id: in use"})
 			return
 		}
 		f.announceClose(w)
 		writeAnswer(w, r, a)
-		if q.Coming {
+		if q.Uploading {
 			m.body.discard(w)
 		}
 	case <-r.Context().Done(): // the client disconnected
-		f.loop.Leave(taken)
+		f.loop.ClientGone(taken)
 		panic(http.ErrAbortHandler) // returning would send a 200, and a client that only half-closed could still receive it
 	case <-f.loop.Stopped():
 		http.Error(w, "shutting down", http.StatusBadGateway)
@@ -157,14 +157,14 @@
 // connection, so that the client does not take the answer for complete.
 func (f *front) relay(w http.ResponseWriter, r *http.Request, in *passing.Answer) {
 	status := policy.Cancelled
-	defer func() { in.End(status) }() // also after a panic
+	defer func() { in.Finish(status) }() // also after a panic
 	f.announceClose(w)
 	setAnswerHeaders(w, in.Header.Get("Content-Type"), in.Length)
 	w.WriteHeader(http.StatusOK)
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
 	switch err := in.Copy(r.Context(), w, clientWriteTimeout, *buf); {
-	case errors.Is(err, passing.ErrGone):
+	case errors.Is(err, passing.ErrClientGone):
 		panic(http.ErrAbortHandler)
 	case err != nil:
 		status = policy.Reset
@@ -177,7 +177,7 @@
 // left. Such a close is announced, so no request can race with it. It is called when the answer
 // is ready, because the node's state may have changed since the request arrived.
 func (f *front) announceClose(w http.ResponseWriter) {
-	if f.draining.Load() || f.giving.Load() || f.clients.nearLimit() || f.life.Closes(time.Now()) {
+	if f.draining.Load() || f.handingOver.Load() || f.clients.nearLimit() || f.life.ClosesAfterAnswer(time.Now()) {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -265,7 +265,7 @@
 	case rules.Effect == policy.Safe && r.ContentLength != 0:
 		return q, nil, badRequest("a %s has no body here", method)
 	}
-	if r.ContentLength > mostBody {
+	if r.ContentLength > maxRequestBody {
 		return q, nil, &clientError{http.StatusRequestEntityTooLarge, "body over 64 MiB"}
 	}
 	q.Name = id
@@ -306,7 +306,7 @@
 // writeAnswer writes an answer to the client. Write errors are ignored: they mean that the client
 // disconnected.
 func writeAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
-	switch a.Kind {
+	switch a.Outcome {
 	case core.Served:
 		p := a.Body.(reply)
 		length := int64(len(p.body))
@@ -319,7 +319,7 @@
 		writeRefusal(w, a.RetryAfter)
 	case core.Failed:
 		http.Error(w, "failed", http.StatusBadGateway)
-	case core.Overdue:
+	case core.DeadlineExceeded:
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
 	}
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -94,9 +94,9 @@
 		s.log.Error("operators' calls can't be stored for the next process", "err", err)
 		return
 	}
-	if found.Aside != "" {
+	if found.MovedTo != "" {
 		s.log.Error("stored operators' calls can't be read: check the file, servers may have been cordoned",
-			"kept", found.Aside, "why", found.Why)
+			"kept", found.MovedTo, "why", found.Reason)
 	}
 	s.calls = log
 }
@@ -133,7 +133,7 @@
 }
 
 // mergeFleet applies fleet bans that another process received. Bans that are older than those here are ignored.
-func (s *handoverManager) mergeFleet(w cordon.Word) {
+func (s *handoverManager) mergeFleet(w cordon.FleetBans) {
 	if err := s.ops.applyFleet(context.Background(), w); err != nil && !errors.Is(err, cordon.ErrOutdated) {
 		s.log.Error("the fleet's word, received from another process, is not in force here", "err", err)
 	}
@@ -183,7 +183,7 @@
 		s.mu.Unlock()
 		s.adjustLimits()
 	case m.Memory != nil:
-		if err := s.ops.loop.Recall(context.Background(), *m.Memory); err != nil {
+		if err := s.ops.loop.Restore(context.Background(), *m.Memory); err != nil {
 			s.log.Error("the predecessor's learnt state can't be used; this process starts without it", "err", err)
 		}
 	case m.Serving:
@@ -196,7 +196,7 @@
 // sendMemory sends the successor what this process's decision module has learnt, so that it can carry the full load
 // from its first request on.
 func (s *handoverManager) sendMemory() {
-	mem, err := s.ops.loop.Pass(context.Background())
+	mem, err := s.ops.loop.HandOver(context.Background())
 	if err != nil {
 		return // the loop has stopped
 	}
@@ -282,12 +282,12 @@
 		return
 	}
 	s.log.Info("handover", "role", role.String())
-	s.front.giving.Store(role == handover.HandingOver)
+	s.front.handingOver.Store(role == handover.HandingOver)
 	s.listener.SetOpen(role.Accepts() && !s.ending.Load())
-	s.ops.loop.Share(role.LoadShare())
+	s.ops.loop.SetNodePart(role.LoadShare())
 	if s.cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(role.MemoryShare() * float64(memoryLimit(s.cfg.MemoryMB))))
-		s.front.bodies.most.Store(int64(role.MemoryShare() * float64(bodyLimit(s.cfg.MemoryMB))))
+		s.front.bodies.limit.Store(int64(role.MemoryShare() * float64(bodyLimit(s.cfg.MemoryMB))))
 	}
 	s.adjustLimits()
 	if role == handover.HandingOver {
@@ -304,9 +304,9 @@
 	defer every.Stop()
 	reported := handover.ConnCounts{}
 	for {
-		s.clients.trim()
+		s.clients.evictLongIdle()
 		open, idle := s.pool.pool.Count()
-		s.pool.pool.SetMost(open - idle + handingOverIdle)
+		s.pool.pool.SetMaxConns(open - idle + handingOverIdle)
 		open, _ = s.pool.pool.Count()
 		if now := (handover.ConnCounts{Clients: s.clients.connected(), Servers: open}); now != reported {
 			if reported = now; link.Send(handover.Message{Conns: &reported}) != nil {
@@ -336,7 +336,7 @@
 	case handover.HandingOver: // it no longer accepts, and reportConns closes its connections
 		return
 	}
-	s.pool.pool.SetMost(max(servers, minDescriptors))
+	s.pool.pool.SetMaxConns(max(servers, minDescriptors))
 	s.clients.setDescriptors(max(clients, minDescriptors))
 }
 
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -57,29 +57,29 @@
 	operatorAddr string // address of its operator API
 	stop         context.CancelFunc
 	ended        chan error
-	log          *lines
+	log          *logBuffer
 }
 
-// lines is a log that tests can read while it is written.
-type lines struct {
+// logBuffer is a log that tests can read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
 // operatorAddr returns the address of the operator API from the log, or "" if it is not logged yet.
-func (l *lines) operatorAddr() string {
+func (l *logBuffer) operatorAddr() string {
 	_, rest, _ := strings.Cut(l.String(), "operators' door\" listen=")
 	at, _, _ := strings.Cut(rest, "\n")
 	return at
@@ -103,7 +103,7 @@
 	cfg := p.cfg
 	cfg.Operator = "127.0.0.1:0"
 	ctx, stop := context.WithCancel(context.Background())
-	r := &process{p.t, "", stop, make(chan error, 1), &lines{}}
+	r := &process{p.t, "", stop, make(chan error, 1), &logBuffer{}}
 	go func() {
 		r.ended <- serve(ctx, cfg, p.op, listener, Reloads{}, slog.New(slog.NewTextHandler(r.log, nil)))
 	}()
@@ -161,9 +161,9 @@
 		io.WriteString(c, ok("x"))
 		return true
 	})
-	d := newRegistry(t, listed(s, "s1"))
+	d := newRegistry(t, listedTarget(s, "s1"))
 	p := newPlatform(t, d)
-	p.cfg.Known.Targets = []target{listed(s, "s1")}
+	p.cfg.Known.Targets = []target{listedTarget(s, "s1")}
 	current := p.start()
 	current.awaitReady()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -234,10 +234,10 @@
 // finds no running one.
 func TestOperatorCallsSurviveUpgrades(t *testing.T) {
 	t.Parallel()
-	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	d := newRegistry(t, listed(one, "s1"), listed(two, "s2"))
+	one, two := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	d := newRegistry(t, listedTarget(one, "s1"), listedTarget(two, "s2"))
 	p := newPlatform(t, d)
-	p.cfg.Known.Targets = []target{listed(one, "s1"), listed(two, "s2")}
+	p.cfg.Known.Targets = []target{listedTarget(one, "s1"), listedTarget(two, "s2")}
 	served := func() map[string]int {
 		got := map[string]int{}
 		for range 6 {
@@ -303,17 +303,17 @@
 // uncordons made at the predecessor both reach the disk; after the predecessor's end the successor writes.
 func TestStateFilesOfTwoProcesses(t *testing.T) {
 	t.Parallel()
-	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	d := newRegistry(t, listed(one, "s1"), listed(two, "s2"))
+	one, two := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	d := newRegistry(t, listedTarget(one, "s1"), listedTarget(two, "s2"))
 	p := newPlatform(t, d)
-	p.cfg.Known.Targets = []target{listed(one, "s1"), listed(two, "s2")}
+	p.cfg.Known.Targets = []target{listedTarget(one, "s1"), listedTarget(two, "s2")}
 	p.op.Kept.File, p.op.Kept.Every.Duration = filepath.Join(t.TempDir(), "kept"), time.Second
 	out := func(uid string, want bool) {
 		t.Helper()
 		waitFor(t, fmt.Sprint("state on disk with ", uid, " cordoned: ", want), func() bool {
 			s, v, _ := kept.Open(record.OS{}, p.op.Kept.File, p.cfg.Name)
 			defer s.Close()
-			return v != nil && slices.ContainsFunc(v.Hand, func(e cordon.Entry) bool { return e.ID == uid && e.Out == want })
+			return v != nil && slices.ContainsFunc(v.ManualCordons, func(e cordon.Entry) bool { return e.ID == uid && e.Out == want })
 		})
 	}
 	first := p.start()
@@ -336,8 +336,8 @@
 // successor works.
 func TestSuccessorThatDiesEarly(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, says(ok("x"), true))
-	d := newRegistry(t, listed(s, "s1"))
+	s := newServer(t, respondWith(ok("x"), true))
+	d := newRegistry(t, listedTarget(s, "s1"))
 	p := newPlatform(t, d)
 	old := p.start()
 	old.awaitReady()
@@ -375,8 +375,8 @@
 // An unreadable handover file in $TMPDIR is logged and moved aside.
 func TestDamagedCallsFileIsMovedAside(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, says(ok("x"), true))
-	d := newRegistry(t, listed(s, "s1"))
+	s := newServer(t, respondWith(ok("x"), true))
+	d := newRegistry(t, listedTarget(s, "s1"))
 	p := newPlatform(t, d)
 	base := filepath.Join(p.cfg.Temp, "otterstep-n0.hand")
 	for _, text := range []string{"no record at all\nof any kind\n", ""} {
@@ -421,7 +421,7 @@
 	next.end()
 	// Entries that are rejected are logged.
 	ops := newOperations(nil, nil, quiet())
-	log := &lines{}
+	log := &logBuffer{}
 	ops.log = slog.New(slog.NewTextHandler(log, nil))
 	ops.merge(nil, []cordon.Entry{{ID: "", Out: true}})
 	if !strings.Contains(log.String(), "repeat it") {
@@ -445,7 +445,7 @@
 		io.WriteString(c, ok("again"))
 		return true
 	})
-	d := newRegistry(t, listed(s, "s1"), listed(s, "s2"))
+	d := newRegistry(t, listedTarget(s, "s1"), listedTarget(s, "s2"))
 	p := newPlatform(t, d)
 	old := p.start()
 	old.awaitReady()
--- a/internal/node/inspect.go
+++ b/internal/node/inspect.go
@@ -54,17 +54,17 @@
 }
 
 // ApplyStateCommand implements control.Node.
-func (i *inspector) ApplyStateCommand(k control.Keep) error {
+func (i *inspector) ApplyStateCommand(k control.StateCommand) error {
 	if i.saver == nil {
-		return control.ErrNothingKept
+		return control.ErrNoSavedState
 	}
 	return i.saver.command(k)
 }
 
 // ApplyFleetBans implements control.Node.
-func (i *inspector) ApplyFleetBans(ctx context.Context, w control.Word) (control.Fleet, error) {
+func (i *inspector) ApplyFleetBans(ctx context.Context, w control.FleetBans) (control.FleetStatus, error) {
 	if i.fleet == nil {
-		return control.Fleet{}, control.ErrNoFleet
+		return control.FleetStatus{}, control.ErrNoFleet
 	}
 	return i.fleet.tell(ctx, w)
 }
@@ -78,7 +78,7 @@
 	}
 	a := control.Inspection{
 		Form: control.Version, Name: i.cfg.Name, Version: buildinfo.Version(), Started: i.started, State: state, Listen: i.listen,
-		Open: view.Open, Held: view.Held, Attempts: view.Out, Clients: i.clients.inspect(),
+		Open: view.Open, Held: view.Queued, Attempts: view.InFlight, Clients: i.clients.inspect(),
 		Descriptors: control.Descriptors{Open: descriptors(), Limit: i.cfg.Sockets},
 		Memory:      memory(i.cfg.MemoryMB), Servers: serversOf(view, i.loop.Clock()),
 		Counts: countsOf(view, func(class int) string { return i.cfg.Site.Classes[class] }),
@@ -101,7 +101,7 @@
 	for _, v := range views {
 		a.Web = append(a.Web, control.Web{
 			Name: v.Name, Listen: v.Listen, Streams: v.Streams, Tunnels: v.Tunnels, Cut: v.Cut, Gone: v.Gone, TurnedDown: v.TurnedDown,
-			Rules: v.Rules, Connections: v.Connections, Idle: v.Idle, Kept: v.Kept, Open: v.Pool.Open, Held: v.Pool.Held,
+			Rules: v.Rules, Connections: v.Connections, Idle: v.Idle, Kept: v.Kept, Open: v.Pool.Open, Held: v.Pool.Queued,
 			Servers: serversOf(v.Pool, i.loop.Clock()), Counts: countsOf(v.Pool, v.Class),
 		})
 	}
@@ -132,7 +132,7 @@
 	all := map[string]map[string]int64{}
 	for class, n := range view.Counts {
 		by := map[string]int64{}
-		for kind := range core.Kinds {
+		for kind := range core.NumOutcomes {
 			by[kind.String()] = n[kind]
 		}
 		by["late"] = view.Late[class] // included in those served
@@ -150,7 +150,7 @@
 		Listen: v.Listen, Transactions: v.View.Servers, Attempts: v.Clients, Requests: v.Counts.Requests, Inside: v.Inside,
 		Dialogs: v.Dialogs, Byes: v.Byes, Finals: v.Finals, Ends: v.Ends, Refused: v.Refused, Late: v.Late, Stray: v.Stray,
 		Repeats: v.Repeats, Malformed: v.Malformed, Dropped: v.Dropped, Sources: v.Sources,
-		Connections: v.Connections, TurnedAway: v.TurnedAway, Servers: serversOf(v.Pool, i.loop.Clock()), Held: v.Pool.Held,
+		Connections: v.Connections, TurnedAway: v.TurnedAway, Servers: serversOf(v.Pool, i.loop.Clock()), Held: v.Pool.Queued,
 		Counts: countsOf(v.Pool, func(class int) string { return proxy.Class(class).String() }),
 	}, nil
 }
@@ -174,5 +174,5 @@
 func (g *clients) inspect() control.Clients {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return control.Clients{Connections: len(g.conns), Idle: g.idle.Len(), Silent: g.silent.Len(), Most: g.most}
+	return control.Clients{Connections: len(g.conns), Idle: g.idle.Len(), Silent: g.silent.Len(), Most: g.limit}
 }
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -67,7 +67,7 @@
 	if t.State == "" {
 		return errors.New("state: missing")
 	}
-	if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && t.State != wordGone {
+	if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && t.State != stateTerminated {
 		return fmt.Errorf("endpoint: %w", err)
 	}
 	if t.CapacityHint < 0 || math.IsInf(t.CapacityHint, 0) {
@@ -79,4 +79,4 @@
 	return nil
 }
 
-const wordGone = "terminated"
+const stateTerminated = "terminated"
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -25,7 +25,7 @@
 		sent <- struct{}{}
 		return true
 	})
-	u := newUpstream(time.Hour, patience, 8)
+	u := newUpstream(time.Hour, testTimeout, 8)
 	t.Cleanup(u.pool.Close)
 	for i, m := range []*message{get(), push(), get(), push()} {
 		p := u.roundTrip(t.Context(), at(s.addr), m, time.Now().Add(time.Second), permit)
@@ -48,7 +48,7 @@
 		io.WriteString(c, ok("hello"))
 		return true
 	})
-	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), permit); p.status != policy.OK {
+	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(testTimeout), permit); p.status != policy.OK {
 		t.Errorf("status %d, want served", p.status)
 	}
 }
@@ -68,12 +68,12 @@
 		closed <- n
 		return false
 	})
-	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), permit); p.status != policy.Reset {
+	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(testTimeout), permit); p.status != policy.Reset {
 		t.Errorf("status %d, want a reset", p.status)
 	}
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the connection stays open")
 	}
 }
@@ -89,9 +89,9 @@
 		}
 		return true
 	})
-	other := newServer(t, says("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
-	two, _ := startNode(t, newRegistry(t, listed(other, "s1"), listed(other, "s2")))
+	other := newServer(t, respondWith("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", true))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
+	two, _ := startNode(t, newRegistry(t, listedTarget(other, "s1"), listedTarget(other, "s2")))
 	for range 8 { // more failures than would open the breaker
 		if code, _, _ := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusBadGateway {
 			t.Errorf("answered %d, want 502", code)
@@ -109,8 +109,8 @@
 // the address, or the same one may have restarted. A late update about the old server must not
 // close the new one's connections.
 func TestReplacedServerGetsNewConnections(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	d := newRegistry(t, listed(s, "s1"))
+	s := newServer(t, respondWith(ok("x"), true))
+	d := newRegistry(t, listedTarget(s, "s1"))
 	addr, _ := startNode(t, d)
 	expectConns := func(want int64, when string) {
 		t.Helper()
@@ -125,35 +125,35 @@
 		}
 	}
 	expectConns(1, "at first")
-	d.change(listed(s, "s2")) // has the address before the old one is reported as terminated
-	gone := listed(s, "s1")
+	d.change(listedTarget(s, "s2")) // has the address before the old one is reported as terminated
+	gone := listedTarget(s, "s1")
 	gone.State = "terminated"
-	d.told(t)
+	d.awaitApplied(t)
 	d.change(gone)
-	d.told(t)
+	d.awaitApplied(t)
 	expectConns(2, "replaced")
 	d.change(gone)
-	d.told(t)
+	d.awaitApplied(t)
 	expectConns(2, "late update about the old server")
-	again := listed(s, "s2")
+	again := listedTarget(s, "s2")
 	again.BootMs = 1000 // before the clock's start for the decision module, but another process
 	d.change(again)
-	d.told(t)
+	d.awaitApplied(t)
 	again.BootMs = time.Now().Add(-time.Minute).UnixMilli()
 	d.change(again)
-	d.told(t)
+	d.awaitApplied(t)
 	expectConns(3, "restarted")
 }
 
 // Guards against leaks: nothing may remain of servers, requests and connections that are gone.
 func TestNoLeakOfServersAndRequests(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
+	s := newServer(t, respondWith(ok("x"), true))
 	l, u := testCore(t)
 	for i := range 300 {
 		id := serverID(fmt.Sprint("s", i))
-		l.Members(policy.ListDelta, []policy.Entry{{Server: id, State: policy.Ready}}, []string{s.addr})
+		l.UpdateServers(policy.ListDelta, []policy.Entry{{Server: id, State: policy.Ready}}, []string{s.addr})
 		if i > 0 {
-			l.Members(policy.ListDelta, []policy.Entry{{Server: serverID(fmt.Sprint("s", i-1))}}, []string{s.addr})
+			l.UpdateServers(policy.ListDelta, []policy.Entry{{Server: serverID(fmt.Sprint("s", i-1))}}, []string{s.addr})
 		}
 		m, done := get(), make(chan core.Answer, 1)
 		m.upstream = u
@@ -161,8 +161,8 @@
 			Request: policy.Request{Key: uint64(i + 1)}, Name: fmt.Sprint("id", i),
 			Deadline: l.Clock().Now() + time.Second, Message: m, Answers: done,
 		})
-		if a := <-done; a.Kind != core.Served {
-			t.Fatalf("request %d ended as %v", i, a.Kind)
+		if a := <-done; a.Outcome != core.Served {
+			t.Fatalf("request %d ended as %v", i, a.Outcome)
 		}
 	}
 	waitFor(t, "end of all connections but the last server's", func() bool {
@@ -208,7 +208,7 @@
 				})
 				m := get()
 				m.handoff = passing.New()
-				p := testUpstream(t, 1).roundTrip(t.Context(), at(s.addr), m, time.Now().Add(patience), permit)
+				p := testUpstream(t, 1).roundTrip(t.Context(), at(s.addr), m, time.Now().Add(testTimeout), permit)
 				if p.status != policy.Reset || p.body != nil {
 					t.Fatalf("%s, cut at byte %d, reset %v: status %d with %q", name, cut, reset, p.status, p.body)
 				}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -104,12 +104,12 @@
 	clients := newClients(clientDescriptors)
 	up := newUpstream(cfg.Site.ConnIdle, cfg.Site.ConnectTimeout, serverDescriptors)
 	discoveryClient := newDiscovery(cfg.Discovery, cfg.Site, c, log)
-	l, err := core.New(core.Options{Settings: policySettings, Seed: cfg.Seed, Clock: c, Watch: discoveryClient.watch, Drop: up.pool.Drop})
+	l, err := core.New(core.Options{Settings: policySettings, Seed: cfg.Seed, Clock: c, Watch: discoveryClient.requestCall, Drop: up.pool.Drop})
 	if err != nil {
 		return err
 	}
-	var state life.Life
-	discoveryClient.members = l.Members // returns once the list is in place, so that /up does not report ready before
+	var state life.Lifecycle
+	discoveryClient.onList = l.UpdateServers // returns once the list is in place, so that /up does not report ready before
 	bodies := int64(64 << 20)
 	if cfg.MemoryMB > 0 {
 		bodies = bodyLimit(cfg.MemoryMB)
@@ -123,12 +123,12 @@
 	if op.Kept.File != "" {
 		saver = newStateSaver(op.Kept.File, op.Kept.Every.Duration, cfg.Name, l, ops, discoveryClient, log)
 		defer saver.close()
-		discoveryClient.listed = saver.listed
+		discoveryClient.onTargets = saver.listed
 	}
 	var fleet *fleetBans // nil if fleet bans are not accepted
 	if wait := op.Fleet.Wait.Duration; wait > 0 {
 		fleet = newFleetBans(wait, ops, log)
-		discoveryClient.listed = notifyBoth(ops.listed, discoveryClient.listed)
+		discoveryClient.onTargets = notifyBoth(ops.listed, discoveryClient.onTargets)
 	}
 	if cfg.Operator != "" {
 		operatorListener, err := net.Listen("tcp", cfg.Operator)
@@ -137,7 +137,7 @@
 		}
 		log.Info("operators' door", "listen", operatorListener.Addr().String())
 		if fleet == nil {
-			discoveryClient.listed = notifyBoth(ops.listed, discoveryClient.listed)
+			discoveryClient.onTargets = notifyBoth(ops.listed, discoveryClient.onTargets)
 		}
 		operatorDone := make(chan struct{})
 		d := door.New(operatorListener, ops, log)
@@ -153,7 +153,7 @@
 			return err
 		}
 		if discoveryClient.model = op.SIP.Model; discoveryClient.model != "" {
-			discoveryClient.apart = sipFront.Members
+			discoveryClient.onModelList = sipFront.Members
 		}
 		ended := make(chan struct{})
 		go func() {
@@ -173,7 +173,7 @@
 		handovers = &handoverManager{cfg: cfg, listener: pausable, ops: ops, clients: clients, pool: up, front: f, log: log}
 		handovers.begin(background, cfg.Temp)
 	}
-	discoveryClient.first = func() {
+	discoveryClient.onFirst = func() {
 		if handovers != nil {
 			handovers.ready(background)
 		}
@@ -185,13 +185,13 @@
 			fleet.await(background)
 		}
 		if saver == nil || !saver.begin(background, cfg.Known) {
-			discoveryClient.begin(cfg.Known)
+			discoveryClient.applyInitial(cfg.Known)
 		}
 		discoveryClient.run(background)
 	}()
 	inspect := newInspector(cfg, listener.Addr().String(), l, clients, sipFront, webFronts)
 	inspect.saver, inspect.fleet = saver, fleet
-	go reloads.follow(background, cfg, func(addr string) { discoveryClient.move(background, addr) }, inspect.reloaded, log)
+	go reloads.follow(background, cfg, func(addr string) { discoveryClient.setAddress(background, addr) }, inspect.reloaded, log)
 	go func() {
 		for every := time.Tick(time.Second); background.Err() == nil; <-every {
 			up.pool.Sweep()
@@ -239,7 +239,7 @@
 		longest = max(longest, class.Deadline)
 	}
 	timetable := life.PlanTermination(longest)
-	l.EndIn(timetable.AnswersDue - time.Since(terminatedAt))
+	l.ShutDownIn(timetable.AnswersDue - time.Since(terminatedAt))
 	accepts := func() bool {
 		if handovers != nil {
 			return handovers.accepts(time.Since(terminatedAt))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -99,8 +99,8 @@
 	json.NewEncoder(w).Encode(list)
 }
 
-// told waits until the node has applied the latest revision, which shows in that it watches from there.
-func (d *registry) told(t *testing.T) {
+// awaitApplied waits until the node has applied the latest revision, which shows in that it watches from there.
+func (d *registry) awaitApplied(t *testing.T) {
 	t.Helper()
 	waitFor(t, "watch from the latest revision", func() bool {
 		d.mu.Lock()
@@ -109,7 +109,7 @@
 	})
 }
 
-func listed(s *server, uid string) target {
+func listedTarget(s *server, uid string) target {
 	return target{UID: uid, Endpoint: s.addr, AZ: "a", State: "in_service", CapacityHint: 1}
 }
 
@@ -224,7 +224,7 @@
 		io.WriteString(c, ok("made for you"))
 		return true
 	})
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	for class, want := range map[string]string{
 		"read": "GET /read/k%2F1?q=%20 ID   true",
 		"push": "POST /push/k%2F1?q=%20 ID idem payload true",
@@ -243,8 +243,8 @@
 }
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	s := newServer(t, respondWith(ok("x"), true))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	for name, c := range map[string]struct {
 		class  string
 		modify func(r *http.Request)
@@ -269,7 +269,7 @@
 		"no key":           {"push", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
 		"unsafe with key":  {"book", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k") }, 400},
 		"body too long": {"book", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader("a")), mostBody+1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader("a")), maxRequestBody+1
 			r.Header.Set("Expect", "100-continue") // no byte of it is sent
 		}, 413},
 	} {
@@ -293,7 +293,7 @@
 		close(closed)
 		return false
 	})
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { <-came; leave() }()
 	began := time.Now()
@@ -302,7 +302,7 @@
 	}
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the attempt's connection stays open")
 	}
 	if time.Since(began) > 2900*time.Millisecond {
@@ -323,7 +323,7 @@
 			closed <- struct{}{}
 			return false
 		})
-		addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+		addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 		began := time.Now()
 		code, _, _ := do(t, clientRequest(t, addr, class, "0.3"))
 		if code != want {
@@ -334,7 +334,7 @@
 		}
 		select {
 		case <-closed:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Errorf("%s: the attempt is not cancelled", class)
 		}
 	}
@@ -355,19 +355,19 @@
 
 // No request is sent to a server after discovery has reported that it drains (rule 3).
 func TestDrainFromDiscovery(t *testing.T) {
-	s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	d := newRegistry(t, listed(s1, "s1"), listed(s2, "s2"))
+	s1, s2 := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	d := newRegistry(t, listedTarget(s1, "s1"), listedTarget(s2, "s2"))
 	addr, _ := startNode(t, d)
 	_, _, preferred := do(t, clientRequest(t, addr, "read", "2.5"))
 	draining, other := s1, "2"
-	gone := listed(s1, "s1")
+	gone := listedTarget(s1, "s1")
 	if preferred == "2" {
 		draining, other = s2, "1"
-		gone = listed(s2, "s2")
+		gone = listedTarget(s2, "s2")
 	}
 	gone.State = "terminating"
 	d.change(gone)
-	d.told(t)
+	d.awaitApplied(t)
 	before := draining.requests.Load()
 	for range 20 {
 		if code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != other {
@@ -384,11 +384,11 @@
 func TestWatchRecovers(t *testing.T) {
 	for name, asked := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
-			s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-			d := newRegistry(t, listed(s1, "s1"))
+			s1, s2 := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+			d := newRegistry(t, listedTarget(s1, "s1"))
 			d.asked = asked
 			addr, _ := startNode(t, d)
-			d.told(t)
+			d.awaitApplied(t)
 			d.set(func() { d.down = true })
 			waitFor(t, "further request while discovery is down", func() bool {
 				d.mu.Lock()
@@ -398,12 +398,12 @@
 			if code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "1" {
 				t.Errorf("answered %d %q while discovery is down, want 200 from the old list", code, body)
 			}
-			gone := listed(s1, "s1")
+			gone := listedTarget(s1, "s1")
 			gone.State = "terminated"
-			d.change(listed(s2, "s2"))
+			d.change(listedTarget(s2, "s2"))
 			d.change(gone)
 			d.set(func() { d.down = false })
-			d.told(t)
+			d.awaitApplied(t)
 			if code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
 				t.Errorf("answered %d %q, want 200 from the new server", code, body)
 			}
@@ -413,10 +413,10 @@
 
 // With discovery down from the start, the node uses the list in its configuration.
 func TestKnownListServesWhileDiscoveryIsDown(t *testing.T) {
-	s := newServer(t, says(ok("1"), true))
+	s := newServer(t, respondWith(ok("1"), true))
 	d := newRegistry(t)
 	d.down = true
-	addr, _ := startNode(t, d, listed(s, "s1"))
+	addr, _ := startNode(t, d, listedTarget(s, "s1"))
 	if code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "1" {
 		t.Errorf("answered %d %q, want 200", code, body)
 	}
@@ -436,7 +436,7 @@
 			}
 			return false
 		}
-		addr, _ := startNode(t, newRegistry(t, listed(newServer(t, breaks), "s1"), listed(newServer(t, breaks), "s2")))
+		addr, _ := startNode(t, newRegistry(t, listedTarget(newServer(t, breaks), "s1"), listedTarget(newServer(t, breaks), "s2")))
 		if code, _, _ := do(t, clientRequest(t, addr, class, "2.9")); code != want.code {
 			t.Errorf("%s: answered %d, want %d", class, code, want.code)
 		}
@@ -459,7 +459,7 @@
 		io.WriteString(c, ok("x"))
 		return true
 	})
-	addr, stop := startNode(t, newRegistry(t, listed(s, "s1"), listed(s, "s2")))
+	addr, stop := startNode(t, newRegistry(t, listedTarget(s, "s1"), listedTarget(s, "s2")))
 	earlier := make(chan int, 1)
 	go func() {
 		resp, err := http.DefaultClient.Do(clientRequest(t, addr, "book", "2.9"))
@@ -486,7 +486,7 @@
 		if err := clientRequest(t, addr, "read", "2.9").Write(c); err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
@@ -544,7 +544,7 @@
 		})
 		var op operator.File
 		op.Drain.TellUp = tell
-		addr, stop := startNodeWithOperatorFile(t, newRegistry(t, listed(s, "s1")), op, Reloads{})
+		addr, stop := startNodeWithOperatorFile(t, newRegistry(t, listedTarget(s, "s1")), op, Reloads{})
 		answered := make(chan int, 1)
 		r := clientRequest(t, addr, "book", "2.9")
 		go func() {
@@ -589,17 +589,17 @@
 		return false
 	})
 	l, up := testCore(t)
-	l.Members(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{s.addr})
-	l.EndIn(100 * time.Millisecond)
+	l.UpdateServers(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{s.addr})
+	l.ShutDownIn(100 * time.Millisecond)
 	done, m := make(chan core.Answer, 1), get()
 	m.upstream = up
 	l.Submit(core.Request{Name: "1", Deadline: l.Clock().Now() + time.Hour, Message: m, Answers: done})
 	select {
 	case a := <-done:
-		if a.Kind == core.Served {
+		if a.Outcome == core.Served {
 			t.Error("served, though the server sent nothing")
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("no answer")
 	}
 }
@@ -612,7 +612,7 @@
 		if err := clientRequest(t, addr, "read", "2.9").Write(conn); err != nil {
 			return 0, err
 		}
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(conn.in, nil)
 		if err != nil {
 			return 0, err
@@ -622,7 +622,7 @@
 	}
 }
 
-const mostClients = 24 // of a node with the minimum of descriptors
+const maxClients = 24 // of a node with the minimum of descriptors
 
 // Guards against lost requests at the descriptor limit (rule 1): if a connection is left in the kernel's accept queue,
 // the kernel accepts its request but nobody answers it. Seen under overload with 256 descriptors: 12,640 requests lost.
@@ -630,8 +630,8 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	s := newServer(t, func(int64, *http.Request, net.Conn) bool { <-hold; return false })
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
-	for range mostClients {
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
+	for range maxClients {
 		c, _ := dialClient(t, addr)
 		if err := clientRequest(t, addr, "read", "2.9").Write(c); err != nil {
 			t.Fatal(err)
@@ -647,10 +647,10 @@
 // Guards against closing connections that are about to be used: while few descriptors are left, connections are
 // closed with an answer, when no request can be in flight.
 func TestCrowdedConnectionsCloseAfterAnswer(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	s := newServer(t, respondWith(ok("x"), true))
+	addr, _ := startNode(t, newRegistry(t, listedTarget(s, "s1")))
 	var first func() (int, error)
-	for i := range mostClients + 8 {
+	for i := range maxClients + 8 {
 		_, ask := dialClient(t, addr)
 		if code, err := ask(); code != http.StatusOK {
 			t.Fatalf("answered %d, %v; want 200", code, err)
@@ -677,7 +677,7 @@
 	for word, want := range map[string]policy.State{
 		"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Gone, "resting": policy.Draining,
 	} {
-		if got := state(word); got != want {
+		if got := serverState(word); got != want {
 			t.Errorf("%s: state %d, want %d", word, got, want)
 		}
 	}
@@ -686,7 +686,7 @@
 // Guards against clients that use a draining node's connections until they are cut off: once draining is set, each
 // answer closes its connection.
 func TestDrainingFrontClosesAfterAnswers(t *testing.T) {
-	var state life.Life
+	var state life.Lifecycle
 	state.Ready()
 	f := newFront(idle(t), nil, wire.Site{}, newClients(8), 0, &state, false)
 	for _, draining := range []bool{false, true} {
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -18,7 +18,7 @@
 
 // operations carries out operators' requests.
 type operations struct {
-	life *life.Life
+	life *life.Lifecycle
 	loop *core.Loop
 	log  *slog.Logger
 
@@ -33,7 +33,7 @@
 	unapplied map[string]struct{} // servers whose change of fleet ban the loop has not applied yet
 }
 
-func newOperations(l *life.Life, loop *core.Loop, log *slog.Logger) *operations {
+func newOperations(l *life.Lifecycle, loop *core.Loop, log *slog.Logger) *operations {
 	return &operations{life: l, loop: loop, log: log, cordons: cordon.New(), unapplied: map[string]struct{}{}}
 }
 
@@ -134,11 +134,11 @@
 }
 
 // applyFleet applies the fleet's bans, unless later ones have been received. They are in force when it returns.
-func (o *operations) applyFleet(ctx context.Context, w cordon.Word) error {
+func (o *operations) applyFleet(ctx context.Context, w cordon.FleetBans) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	before := o.cordons.Word()
-	began, ended, err := o.cordons.Take(w)
+	before := o.cordons.FleetBans()
+	began, ended, err := o.cordons.ApplyFleetBans(w)
 	if err != nil {
 		return err
 	}
@@ -159,10 +159,10 @@
 }
 
 // fleetBans returns the latest fleet bans.
-func (o *operations) fleetBans() cordon.Word {
+func (o *operations) fleetBans() cordon.FleetBans {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.cordons.Word()
+	return o.cordons.FleetBans()
 }
 
 // fleetStatus returns the banned servers that are not in the list, the servers that are cordoned manually, and the
@@ -170,7 +170,7 @@
 func (o *operations) fleetStatus() (missing, cordoned []string, listed int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, b := range o.cordons.Word().Bans {
+	for _, b := range o.cordons.FleetBans().Bans {
 		if !o.cordons.IsListed(b.ID) {
 			missing = append(missing, b.ID)
 		}
@@ -209,7 +209,7 @@
 	defer o.mu.Unlock()
 	ids := make([]string, 0, len(targets))
 	for _, t := range targets {
-		if t.State == wordGone {
+		if t.State == stateTerminated {
 			o.cordons.RemoveFromList(t.UID)
 		} else {
 			ids = append(ids, t.UID)
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -27,7 +27,7 @@
 
 func startWithOperatorAPIAs(t *testing.T, d *registry, op operator.File, known ...target) (addr string, tell func(method, path string) (int, string), stop func() error) {
 	t.Helper()
-	log := &lines{}
+	log := &logBuffer{}
 	addr, stop = startNodeConfigured(t, d, op, Reloads{}, slog.New(slog.NewTextHandler(log, nil)), func(c *Config) {
 		c.Operator, c.Sockets = "127.0.0.1:0", 128
 	}, known...)
@@ -52,8 +52,8 @@
 // such a server, whatever discovery lists meanwhile.
 func TestManuallyCordonedServer(t *testing.T) {
 	t.Parallel()
-	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	d := newRegistry(t, listed(one, "s/1"), listed(two, "s2"))
+	one, two := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	d := newRegistry(t, listedTarget(one, "s/1"), listedTarget(two, "s2"))
 	addr, tell, _ := startWithOperatorAPI(t, d)
 	by := func() map[string]int {
 		got := map[string]int{}
@@ -83,13 +83,13 @@
 		}
 	}
 	// The list reports that it restarted, that it is gone and that it is back.
-	e := listed(one, "s/1")
+	e := listedTarget(one, "s/1")
 	e.BootMs = time.Now().UnixMilli()
 	gone := e
-	gone.State = wordGone
+	gone.State = stateTerminated
 	for _, change := range []target{e, gone, e} {
 		d.change(change)
-		d.told(t)
+		d.awaitApplied(t)
 		if got := by(); got["1"] > 0 {
 			t.Fatalf("while cordoned, listed as %s: %v", change.State, got)
 		}
@@ -99,7 +99,7 @@
 	}
 	waitFor(t, "use of s/1 after the uncordon", func() bool { return by()["1"] > 0 })
 	d.change(gone)
-	d.told(t)
+	d.awaitApplied(t)
 	if code, _ := tell("POST", "/admin/cordon/s%2F1"); code != 200 {
 		t.Errorf("cordon of a server that has left the list: %d", code)
 	}
@@ -109,8 +109,8 @@
 // idle connections are closed, and no request is refused. A resume undoes all of it.
 func TestQuiesceAndResume(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, says(ok("1"), true))
-	d := newRegistry(t, listed(s, "s1"))
+	s := newServer(t, respondWith(ok("1"), true))
+	d := newRegistry(t, listedTarget(s, "s1"))
 	addr, tell, stop := startWithOperatorAPI(t, d)
 	up := func() int {
 		resp, err := http.Get("http://" + addr + "/up")
@@ -221,7 +221,7 @@
 		io.WriteString(c, ok("posted"))
 		return true
 	})
-	addr, tell, _ := startWithOperatorAPI(t, newRegistry(t, listed(s, "s1")))
+	addr, tell, _ := startWithOperatorAPI(t, newRegistry(t, listedTarget(s, "s1")))
 	streaming, err := http.DefaultClient.Do(clientRequest(t, addr, "read", "2.9"))
 	if err != nil {
 		t.Fatal(err)
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetReadDeadline(time.Now().Add(patience))
+	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // idle connections are closed: the late phase of the quiesce
 		t.Fatal(err)
 	}
@@ -267,14 +267,14 @@
 		t.Fatal(err)
 	}
 	go l.Run(t.Context())
-	l.Members(policy.ListFull, []policy.Entry{{Server: serverID("s1"), State: policy.Ready}}, []string{"127.0.0.1:1"})
-	o = newOperations(new(life.Life), l, quiet())
+	l.UpdateServers(policy.ListFull, []policy.Entry{{Server: serverID("s1"), State: policy.Ready}}, []string{"127.0.0.1:1"})
+	o = newOperations(new(life.Lifecycle), l, quiet())
 	o.listed(true, []target{{UID: "s1", State: "in_service"}})
 	if err := out(o); err != nil {
 		t.Fatal(err)
 	}
 	for range 256 { // fills the loop's queue
-		l.Share(1)
+		l.SetNodePart(1)
 	}
 	return o, func() int {
 		v, err := l.Inspect(t.Context())
@@ -305,15 +305,15 @@
 // Fleet bans that failed because the loop was busy take effect when they are sent again, though the version is the same.
 func TestRepeatedFleetBansTakeEffect(t *testing.T) {
 	o, serving, free := busyLoop(t, func(o *operations) error {
-		return o.applyFleet(t.Context(), cordon.Word{Version: 1, Bans: []cordon.Ban{{ID: "s1"}}})
+		return o.applyFleet(t.Context(), cordon.FleetBans{Version: 1, Bans: []cordon.Ban{{ID: "s1"}}})
 	})
 	busy, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := o.applyFleet(busy, cordon.Word{Version: 2}); err == nil {
+	if err := o.applyFleet(busy, cordon.FleetBans{Version: 2}); err == nil {
 		t.Fatal("the bans were applied though the loop is blocked")
 	}
 	free()
-	if err := o.applyFleet(t.Context(), cordon.Word{Version: 2}); err != nil {
+	if err := o.applyFleet(t.Context(), cordon.FleetBans{Version: 2}); err != nil {
 		t.Fatal(err)
 	}
 	if n := serving(); n != 1 {
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -14,30 +14,30 @@
 func TestReadyAfterFirstDiscoveryRequest(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"pushed", "on_request"} {
-		for name, finish := range map[string]func(h *hushed, c *call){
-			"no answer": func(h *hushed, _ *call) { (*h.limit.Load())() },
-			"incomplete answer": func(h *hushed, c *call) {
+		for name, finish := range map[string]func(h *rawDiscovery, c *call){
+			"no answer": func(h *rawDiscovery, _ *call) { (*h.limit.Load())() },
+			"incomplete answer": func(h *rawDiscovery, c *call) {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{")
 				(*h.limit.Load())()
 			},
-			"connection closed": func(_ *hushed, c *call) { c.Close() },
-			"status 503":        func(_ *hushed, c *call) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
-			"invalid list":      func(_ *hushed, c *call) { c.say("[]") },
-			"valid list":        func(_ *hushed, c *call) { c.say(answer(1, true)) },
+			"connection closed": func(_ *rawDiscovery, c *call) { c.Close() },
+			"status 503":        func(_ *rawDiscovery, c *call) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
+			"invalid list":      func(_ *rawDiscovery, c *call) { c.say("[]") },
+			"valid list":        func(_ *rawDiscovery, c *call) { c.say(answer(1, true)) },
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
 				t.Parallel()
-				h := newHushed(t)
-				f := followBy(t, h.addr, mode, hostList{}, h.expire)
+				h := newRawDiscovery(t)
+				f := followWithTimeout(t, h.addr, mode, hostList{}, h.expire)
 				f.want(t, policy.ListCached, 0)
 				c := h.next(t)
-				if took := <-h.took; took > 6*time.Second {
+				if took := <-h.timeouts; took > 6*time.Second {
 					t.Errorf("the first request has a timeout of %v, want at most 6 s", took)
 				}
 				finish(h, c)
 				select {
 				case <-f.ready:
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					t.Fatal("the node did not become ready")
 				}
 			})
@@ -51,7 +51,7 @@
 			l.Close()
 			select {
 			case <-follow(t, l.Addr().String(), mode, hostList{}).ready:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the node did not become ready")
 			}
 		})
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -34,15 +34,15 @@
 // discovery replaces the old one, no request fails (rule 1) and none goes to a server that the new list does not name
 // (rule 3). An invalid file changes nothing.
 func TestReloadChangesDiscoveryUnderLoad(t *testing.T) {
-	s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	old, next := newRegistry(t, listed(s1, "s1")), newRegistry(t, listed(s2, "s2"))
+	s1, s2 := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	old, next := newRegistry(t, listedTarget(s1, "s1")), newRegistry(t, listedTarget(s2, "s2"))
 	for range 5 {
-		old.change(listed(s1, "s1")) // a revision that the other discovery has never had
+		old.change(listedTarget(s1, "s1")) // a revision that the other discovery has never had
 	}
 	hangups := make(chan os.Signal, 1)
 	path := filepath.Join(t.TempDir(), "config.json")
 	addr, _ := startNodeWithReloads(t, old, Reloads{path, hangups})
-	old.told(t)
+	old.awaitApplied(t)
 
 	stop, answers := make(chan struct{}), sync.WaitGroup{}
 	for range 4 {
@@ -72,12 +72,12 @@
 	}
 	hangups <- syscall.SIGHUP
 	waitFor(t, "receipt of the signal", func() bool { return len(hangups) == 0 })
-	old.change(listed(s1, "s1"))
-	old.told(t) // the invalid file left the watch in place
+	old.change(listedTarget(s1, "s1"))
+	old.awaitApplied(t) // the invalid file left the watch in place
 
 	writeConfig(t, path, next.Listener.Addr().String())
 	hangups <- syscall.SIGHUP
-	next.told(t)
+	next.awaitApplied(t)
 	close(stop)
 	answers.Wait()
 	before := s1.requests.Load()
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -45,7 +45,7 @@
 // answer reads one complete answer; the status is 0 if the connection ends without one.
 func (c *clientConn) answer(t *testing.T) (code int, body string, closes bool) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, err.Error(), true
@@ -86,7 +86,7 @@
 		c.Read(make([]byte, 1)) // until the node closes the connection
 		return false
 	})
-	addr, stop := startNodeWithLongDeadlines(t, newRegistry(t, listed(silent, "s1")))
+	addr, stop := startNodeWithLongDeadlines(t, newRegistry(t, listedTarget(silent, "s1")))
 	const kill = 3700 * time.Millisecond
 	early, late := connect(t, addr), connect(t, addr)
 	early.send(t, requestText(t, addr, "book", "5"))
@@ -136,7 +136,7 @@
 	}
 	one, two := newServer(t, server), newServer(t, server)
 	hangs := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool { c.Read(make([]byte, 1)); return false })
-	d, log, hangups := newRegistry(t, listed(one, "s1"), listed(two, "s2"), listed(hangs, "s3")), &lines{}, make(chan os.Signal, 1)
+	d, log, hangups := newRegistry(t, listedTarget(one, "s1"), listedTarget(two, "s2"), listedTarget(hangs, "s3")), &logBuffer{}, make(chan os.Signal, 1)
 	addr, stop := startNodeConfigured(t, d, operator.File{}, Reloads{"nowhere", hangups}, slog.New(slog.NewTextHandler(log, nil)), func(c *Config) {
 		c.Site = siteOf(t, strings.NewReplacer("3000", "400", "2000", "200").Replace(settings))
 	})
@@ -191,7 +191,7 @@
 		}
 	}
 	for name, c := range map[string]*clientConn{"idle": idleConn, "incomplete request": incomplete} {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := c.in.Read(make([]byte, 1)); n > 0 || !errors.Is(err, io.EOF) {
 			t.Errorf("%s: read %d bytes, %v; want EOF", name, n, err)
 		}
@@ -212,7 +212,7 @@
 // rest is sent only after an idle connection has been closed; the timetable sets no limit on that.
 func TestPartialHeadSurvivesIdleClose(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, says(ok("x"), true))
+	s := newServer(t, respondWith(ok("x"), true))
 	b := startFront(t, testUpstream(t, 8), 1, s.addr)
 	fresh, used, idleConn := connect(t, b.addr), connect(t, b.addr), connect(t, b.addr)
 	for _, c := range []*clientConn{used, idleConn} {
@@ -231,7 +231,7 @@
 		defer g.mu.Unlock()
 		begun := 0
 		for c := range g.conns {
-			if c.begun {
+			if c.headStarted {
 				begun++
 			}
 		}
@@ -239,10 +239,10 @@
 	})
 	ended := make(chan error, 1)
 	go func() {
-		ended <- drain(context.Background(), time.Now(), life.Termination{AnswersDue: patience, CloseAll: patience, Kill: patience},
+		ended <- drain(context.Background(), time.Now(), life.Termination{AnswersDue: testTimeout, CloseAll: testTimeout, Kill: testTimeout},
 			func() bool { return false }, b.front, b.front.clients, b.server)
 	}()
-	idleConn.SetReadDeadline(time.Now().Add(patience))
+	idleConn.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := idleConn.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Fatalf("the idle connection: %v, want EOF", err)
 	}
--- a/internal/node/sip_test.go
+++ b/internal/node/sip_test.go
@@ -18,14 +18,14 @@
 // a draining server are refused while existing dialogs go on.
 func TestSIPCallsAndRequests(t *testing.T) {
 	const limit = 10 * time.Second
-	desk, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: 50 * time.Millisecond}, sipua.Answer)
+	desk, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: 50 * time.Millisecond}, sipua.RingAndAnswer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer desk.Close()
-	app := newServer(t, says(ok("1"), true))
+	app := newServer(t, respondWith(ok("1"), true))
 	entry := target{UID: "pbx1", Endpoint: desk.Addr(), Model: "pbx", State: "in_service", CapacityHint: 1}
-	d := newRegistry(t, listed(app, "s1"), entry)
+	d := newRegistry(t, listedTarget(app, "s1"), entry)
 
 	dir := t.TempDir()
 	path, socket, key := filepath.Join(dir, "operator.toml"), filepath.Join(dir, "c.sock"), filepath.Join(dir, "key")
@@ -51,7 +51,7 @@
 	}
 	defer caller.Close()
 	call := caller.Send(sipua.Request{Method: "INVITE"})
-	if code := call.Final(limit); code != 200 {
+	if code := call.AwaitFinal(limit); code != 200 {
 		t.Fatalf("INVITE: %d", code)
 	}
 	if code, _, _ := do(t, clientRequest(t, addr, "read", "2")); code != 200 {
@@ -69,7 +69,7 @@
 			t.Fatalf("500 ms after the change: %+v, %v", v.SIP, err)
 		}
 	}
-	if code := caller.Send(sipua.Request{Method: "INVITE"}).Final(limit); code != 503 {
+	if code := caller.Send(sipua.Request{Method: "INVITE"}).AwaitFinal(limit); code != 503 {
 		t.Errorf("INVITE while the only server drains: %d", code)
 	}
 	if n := desk.Count("INVITE", ""); n != 1 {
@@ -77,7 +77,7 @@
 	}
 	q := call.Dialog()
 	q.Method = "BYE"
-	if code := caller.Send(q).Final(limit); code != 200 {
+	if code := caller.Send(q).AwaitFinal(limit); code != 200 {
 		t.Errorf("BYE to a draining server: %d", code)
 	}
 	if err := stop(); err != nil {
--- a/internal/node/statesaver.go
+++ b/internal/node/statesaver.go
@@ -37,7 +37,7 @@
 	store  *kept.Store
 
 	mu             sync.Mutex
-	current        *kept.View // state found at the start or last saved; nil if there is none
+	current        *kept.Snapshot // state found at the start or last saved; nil if there is none
 	age            confidence.Age
 	problems       []string // problems with the files
 	used           bool
@@ -57,7 +57,7 @@
 	r := &stateSaver{interval: interval, loop: l, ops: ops, discovery: discoveryClient, log: log, startedAt: time.Now(), servers: map[string]target{}}
 	r.store, r.current, r.problems = kept.Open(record.OS{}, path, node)
 	if r.current != nil {
-		r.age, r.frozen = confidence.AgeBetween(r.current.Confirmed, currentStamp()), r.current.Held
+		r.age, r.frozen = confidence.AgeBetween(r.current.Confirmed, currentStamp()), r.current.Frozen
 	}
 	ops.save = r.saveNow
 	return r
@@ -71,7 +71,7 @@
 // list, known, instead.
 func (r *stateSaver) begin(ctx context.Context, known hostList) bool {
 	defer func() { go r.run(ctx) }()
-	r.discovery.heard = r.discoveryAnswered
+	r.discovery.onVersion = r.discoveryAnswered
 	for _, s := range r.problems {
 		r.log.Error("what was kept can't be used as a whole", "why", s)
 	}
@@ -80,8 +80,8 @@
 		r.log.Info("nothing is kept from before")
 		return false
 	}
-	if len(v.Hand) > 0 { // manual cordons do not expire
-		r.ops.merge(nil, v.Hand)
+	if len(v.ManualCordons) > 0 { // manual cordons do not expire
+		r.ops.merge(nil, v.ManualCordons)
 	}
 	if v.Fleet != nil { // fleet bans hold until a later version arrives
 		if err := r.ops.applyFleet(ctx, *v.Fleet); err != nil {
@@ -90,14 +90,14 @@
 	}
 	var usable []target
 	for _, s := range v.Servers {
-		line := confidence.Line{UID: s.UID, Endpoint: s.Endpoint, BootMs: s.BootMs}
+		line := confidence.ListEntry{UID: s.UID, Endpoint: s.Endpoint, BootMs: s.BootMs}
 		t := target{UID: s.UID, Endpoint: s.Endpoint, AZ: s.Zone, PodGroup: s.Group, State: s.State, Model: s.Model, CapacityHint: s.Capacity, BootMs: s.BootMs}
-		if confidence.Judge(line, r.age, false, nil, nil) == confidence.Unconfirmed && t.check() == nil {
+		if confidence.Classify(line, r.age, false, nil, nil) == confidence.Unconfirmed && t.check() == nil {
 			usable = append(usable, t)
 		}
 	}
 	newer := known.All && len(known.Targets) > 0 && known.Rev >= v.Rev
-	r.log.Info("what was kept", "servers", len(v.Servers), "used", len(usable), "age", r.age.For.Round(time.Second), "age_known", r.age.Sure, "rev", v.Rev, "by_hand", len(v.Hand), "given_list_newer", newer)
+	r.log.Info("what was kept", "servers", len(v.Servers), "used", len(usable), "age", r.age.Elapsed.Round(time.Second), "age_known", r.age.Known, "rev", v.Rev, "by_hand", len(v.ManualCordons), "given_list_newer", newer)
 	if newer || len(usable) == 0 {
 		r.restoreMemory(ctx, v, nil)
 		return false
@@ -105,17 +105,17 @@
 	r.mu.Lock()
 	r.used, r.unconfirmed = true, len(usable)
 	r.mu.Unlock()
-	r.discovery.recall(usable)
+	r.discovery.applySaved(usable)
 	r.restoreMemory(ctx, v, usable)
 	return true
 }
 
 // restoreMemory restores what the decision module had learnt, decayed by its age.
-func (r *stateSaver) restoreMemory(ctx context.Context, v *kept.View, usable []target) {
+func (r *stateSaver) restoreMemory(ctx context.Context, v *kept.Snapshot, usable []target) {
 	if v.Memory == nil {
 		return
 	}
-	fresh, err := r.loop.Learnt(ctx)
+	fresh, err := r.loop.Learned(ctx)
 	if err != nil {
 		return // the loop has stopped
 	}
@@ -128,7 +128,7 @@
 			ages[serverID(t.UID)] = 0
 		}
 	}
-	if err := r.loop.Recall(ctx, confidence.Fade(*v.Memory, fresh, r.age, ages)); err != nil {
+	if err := r.loop.Restore(ctx, confidence.Decay(*v.Memory, fresh, r.age, ages)); err != nil {
 		r.log.Error("the saved learnt state can't be used; this process starts without it", "err", err)
 	}
 }
@@ -148,7 +148,7 @@
 		r.servers = make(map[string]target, len(targets))
 	}
 	for _, t := range targets {
-		if t.State == wordGone {
+		if t.State == stateTerminated {
 			delete(r.servers, t.UID)
 		} else {
 			r.servers[t.UID] = t
@@ -189,19 +189,19 @@
 
 // command carries out an operator's command on the saved state, and returns once the change is on disk. After
 // KeepForget a node that started with the saved servers goes on using them until discovery answers or it is restarted.
-func (r *stateSaver) command(k control.Keep) error {
+func (r *stateSaver) command(k control.StateCommand) error {
 	r.saving.Lock()
 	defer r.saving.Unlock()
 	r.mu.Lock()
 	previous, wasFrozen, wasHeard := r.current, r.frozen, r.discoveryHeard
-	if k.Do == control.KeepForget {
+	if k.Do == control.StateForget {
 		r.current, r.discoveryHeard = nil, false // so that the writes below save only manual cordons and fleet bans
 	} else {
-		r.frozen = k.Do == control.KeepHold
+		r.frozen = k.Do == control.StateHold
 	}
 	r.mu.Unlock()
 	writes := 1
-	if k.Do == control.KeepForget {
+	if k.Do == control.StateForget {
 		writes = 2 // overwrite both generations
 	}
 	var err error
@@ -217,7 +217,7 @@
 		}
 	}
 	r.mu.Lock()
-	if k.Do == control.KeepForget {
+	if k.Do == control.StateForget {
 		r.discoveryHeard = r.discoveryHeard || wasHeard
 	}
 	r.mu.Unlock()
@@ -229,14 +229,14 @@
 func (r *stateSaver) write(ctx context.Context) {
 	cordons, _ := r.ops.calls()
 	r.mu.Lock()
-	var v kept.View
+	var v kept.Snapshot
 	if r.current != nil {
 		v = *r.current
 	}
-	v.Held = r.frozen
+	v.Frozen = r.frozen
 	heard := r.discoveryHeard && !r.frozen
 	if heard {
-		v.Rev, v.By, v.Confirmed = r.rev, "discovery", r.confirmed
+		v.Rev, v.Source, v.Confirmed = r.rev, "discovery", r.confirmed
 		v.Servers = make([]kept.Server, 0, len(r.servers))
 		for _, t := range r.servers {
 			v.Servers = append(v.Servers, kept.Server{
@@ -246,12 +246,12 @@
 	}
 	r.changed = false
 	r.mu.Unlock()
-	v.Hand, v.Saved = cordons, currentStamp()
+	v.ManualCordons, v.Saved = cordons, currentStamp()
 	if w := r.ops.fleetBans(); w.Version > 0 {
 		v.Fleet = &w
 	}
 	if heard {
-		mem, err := r.loop.Learnt(ctx)
+		mem, err := r.loop.Learned(ctx)
 		if err != nil {
 			return // the loop has stopped
 		}
@@ -287,14 +287,14 @@
 func (r *stateSaver) close() { r.store.Close() }
 
 // inspect returns the status for the control socket.
-func (r *stateSaver) inspect() *control.Return {
+func (r *stateSaver) inspect() *control.SavedState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := &control.Return{Heard: r.discoveryHeard, Used: r.used, Said: r.problems, Held: r.frozen, Doubted: r.unconfirmed}
+	v := &control.SavedState{Heard: r.discoveryHeard, Used: r.used, Said: r.problems, Held: r.frozen, Doubted: r.unconfirmed}
 	if r.current != nil {
-		v.Hand = len(r.current.Hand)
+		v.Hand = len(r.current.ManualCordons)
 		v.Servers, v.Rev, v.Saved = len(r.current.Servers), r.current.Rev, r.current.Saved.Wall
-		v.AgeMs, v.AgeKnown = r.age.For.Milliseconds(), r.age.Sure
+		v.AgeMs, v.AgeKnown = r.age.Elapsed.Milliseconds(), r.age.Known
 	}
 	if r.failure != nil {
 		v.Failure = r.failure.Error()
--- a/internal/node/statesaver_test.go
+++ b/internal/node/statesaver_test.go
@@ -15,12 +15,12 @@
 // disk when the call was confirmed.
 func TestCordonsAndListSurviveRestart(t *testing.T) {
 	t.Parallel()
-	one, two := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	d := newRegistry(t, listed(one, "s1"), listed(two, "s2"))
+	one, two := newServer(t, respondWith(ok("1"), true)), newServer(t, respondWith(ok("2"), true))
+	d := newRegistry(t, listedTarget(one, "s1"), listedTarget(two, "s2"))
 	var op operator.File
 	op.Kept.File, op.Kept.Every.Duration = filepath.Join(t.TempDir(), "kept"), time.Second
 	_, tell, stop := startWithOperatorAPIAs(t, d, op)
-	d.told(t)
+	d.awaitApplied(t)
 	if code, text := tell("POST", "/admin/cordon/s1"); code != http.StatusOK {
 		t.Fatalf("%d %s", code, text)
 	}
@@ -58,14 +58,14 @@
 	if got := by(); got["2"] == 0 || got["1"] > 0 {
 		t.Errorf("while discovery is down: %v", got)
 	}
-	three := newServer(t, says(ok("3"), true))
+	three := newServer(t, respondWith(ok("3"), true))
 	d.set(func() { // s2 has moved to another address, and s1 has restarted
 		d.down, d.rev = false, 7
-		moved, anew := listed(three, "s2"), listed(one, "s1")
+		moved, anew := listedTarget(three, "s2"), listedTarget(one, "s1")
 		anew.BootMs = time.Now().UnixMilli()
 		d.all, d.changed = map[string]target{"s1": anew, "s2": moved}, map[string]int64{"s1": 7, "s2": 7}
 	})
-	d.told(t)
+	d.awaitApplied(t)
 	if got := by(); got["3"] == 0 || got["1"]+got["2"] > 0 {
 		t.Errorf("after discovery has answered: %v", got)
 	}
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -44,7 +44,7 @@
 // startSized starts a node with a memory limit of mb megabytes.
 func startSized(t *testing.T, mb int, s *server) string {
 	t.Helper()
-	addr, _ := startNodeConfigured(t, newRegistry(t, listed(s, "s1")), operator.File{}, Reloads{}, quiet(), func(c *Config) {
+	addr, _ := startNodeConfigured(t, newRegistry(t, listedTarget(s, "s1")), operator.File{}, Reloads{}, quiet(), func(c *Config) {
 		c.MemoryMB, c.Sockets = mb, 512
 	})
 	return addr
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	for _, p := range pieces {
 		if _, err := io.WriteString(c, p); err != nil {
 			break // the node may have answered and closed already
@@ -202,7 +202,7 @@
 			}
 			io.WriteString(c, headOf("POST", "push", fmt.Sprint("b", size, form[:1]), form)+text)
 			c.(*net.TCPConn).CloseWrite()
-			c.SetReadDeadline(time.Now().Add(patience))
+			c.SetReadDeadline(time.Now().Add(testTimeout))
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode == http.StatusOK {
 				t.Errorf("%d bytes, %s: answered %s", size, form, resp.Status)
 			}
@@ -277,7 +277,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	// The client sends the whole body before it reads the answer, as many clients do.
 	io.WriteString(c, headOf("POST", "book", "gone", "Content-Length: 20971520\r\n"))
 	if n, err := c.Write(randomBytes(20 << 20)); err != nil {
@@ -371,8 +371,8 @@
 		resp.Body.Close()
 	}
 	u := testUpstream(t, 8)
-	s := newServer(t, says("HTTP/1.1 200 OK\r\n\r\nabc", false))
-	if p := u.roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(patience), permit); p.status != policy.Reset {
+	s := newServer(t, respondWith("HTTP/1.1 200 OK\r\n\r\nabc", false))
+	if p := u.roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(testTimeout), permit); p.status != policy.Reset {
 		t.Errorf("an answer without a length or an announced close: status %d", p.status)
 	}
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -47,25 +47,25 @@
 	uri         string // request target exactly as the client sent it
 	host        string
 	header      http.Header
-	body        *body         // nil for none
-	timeLeft    time.Duration // how long the client waits, counted from the request's last byte
-	handoff     *passing.Hand // receives an answer that is streamed; nil if none can be
-	needsLength bool          // the client does not support chunked encoding, so it could not detect truncation of an answer without a length
+	body        *body            // nil for none
+	timeLeft    time.Duration    // how long the client waits, counted from the request's last byte
+	handoff     *passing.Handoff // receives an answer that is streamed; nil if none can be
+	needsLength bool             // the client does not support chunked encoding, so it could not detect truncation of an answer without a length
 	upstream    *upstream
 	client      *client // checked for a disconnect right before an attempt's first byte; nil if unknown
 }
 
-// turn is the part of core.Turn that an attempt uses.
+// turn is the part of core.AttemptHandle that an attempt uses.
 type turn interface {
 	Begin() bool
-	Pass() bool
-	Sent(left time.Duration)
+	ClaimAnswer() bool
+	RequestSent(left time.Duration)
 }
 
 // Attempt implements core.Message.
-func (m *message) Attempt(ctx context.Context, to core.Server, end time.Time, t core.Turn) core.Reply {
+func (m *message) Attempt(ctx context.Context, to core.Server, end time.Time, t core.AttemptHandle) core.AttemptResult {
 	p := m.upstream.roundTrip(ctx, to, m, end, t)
-	return core.Reply{Status: p.status, Body: p, Rejected: p.rejected, Spent: p.bodyConsumed}
+	return core.AttemptResult{Status: p.status, Body: p, Rejected: p.rejected, BodyConsumed: p.bodyConsumed}
 }
 
 // bodyPending reports whether the end of the body has not arrived yet.
@@ -163,7 +163,7 @@
 // newUpstream returns an upstream whose idle connections are closed well before servers close
 // them, which they do after connIdle.
 func newUpstream(connIdle, connectTimeout time.Duration, most int) *upstream {
-	return &upstream{pool: conns.New(conns.Options{IdleFor: connIdle * 3 / 4, Connect: connectTimeout, Settle: settleTime, Most: most})}
+	return &upstream{pool: conns.New(conns.Options{MaxIdle: connIdle * 3 / 4, ConnectTimeout: connectTimeout, SettleTime: settleTime, MaxConns: most})}
 }
 
 // roundTrip makes one attempt. It calls Begin right before the first byte and sends nothing if
@@ -171,12 +171,12 @@
 // request cannot have run; otherwise it may have.
 func (u *upstream) roundTrip(ctx context.Context, to core.Server, m *message, end time.Time, t turn) reply {
 	if m.bodyPending() && m.body.restClaimed.Load() {
-		return reply{status: policy.Moot, bodyConsumed: true}
+		return reply{status: policy.NotSent, bodyConsumed: true}
 	}
 	c, err := u.pool.Get(ctx, to)
 	switch {
-	case errors.Is(err, conns.ErrNone):
-		return reply{status: policy.Moot} // our own limit, not a failure of the server
+	case errors.Is(err, conns.ErrExhausted):
+		return reply{status: policy.NotSent} // our own limit, not a failure of the server
 	case err != nil:
 		return reply{status: policy.ConnectFailed}
 	}
@@ -184,14 +184,14 @@
 	coming := m.bodyPending()
 	if coming && !m.body.claimRest() {
 		u.pool.Put(c, release())
-		return reply{status: policy.Moot, bodyConsumed: true}
+		return reply{status: policy.NotSent, bodyConsumed: true}
 	}
 	if m.client != nil && m.client.disconnected() || !t.Begin() {
 		if coming {
 			m.body.restReaders.Done()
 		}
 		u.pool.Put(c, release())
-		return reply{status: policy.Moot, bodyConsumed: coming}
+		return reply{status: policy.NotSent, bodyConsumed: coming}
 	}
 	if u.onAttempt != nil {
 		u.onAttempt(m)
@@ -204,12 +204,12 @@
 		release()
 		u.pool.Put(c, false)
 		if errors.Is(err, errIncompleteBody) { // the client's fault, not the server's
-			return reply{status: policy.Moot, bodyConsumed: true}
+			return reply{status: policy.NotSent, bodyConsumed: true}
 		}
 		return reply{status: policy.ConnectFailed, bodyConsumed: coming}
 	}
 	if coming {
-		t.Sent(m.timeLeft)
+		t.RequestSent(m.timeLeft)
 	}
 	p, reusable := u.read(ctx, c, m, t)
 	p.bodyConsumed = coming
@@ -226,8 +226,8 @@
 		return broken, false
 	}
 	closeAnnounced := h.Closes // Framed sets Closes for an answer without a length, even if the server did not announce a close
-	c.Budget.N = h1.Unbounded
-	b, err := h.Framed(c.In, m.method)
+	c.ReadLimit.N = h1.NoReadLimit
+	b, err := h.OpenBody(c.In, m.method)
 	if err != nil || b.UntilClose && !closeAnnounced {
 		return broken, false
 	}
@@ -263,8 +263,8 @@
 // awaitHead skips interim responses and returns the final head. There is no timeout before the
 // first byte of a head, but stallTimeout once it has begun.
 func awaitHead(ctx context.Context, c *conns.Conn) (h1.Head, error) {
-	for range h1.InterimMost + 1 {
-		c.Budget.N = maxAnswerHead
+	for range h1.MaxInterim + 1 {
+		c.ReadLimit.N = maxAnswerHead
 		setReadDeadline(ctx, c, time.Time{})
 		if _, err := c.In.Peek(1); err != nil {
 			return h1.Head{}, err
@@ -275,12 +275,12 @@
 		case err != nil:
 			return h, err
 		case h.Code == http.StatusSwitchingProtocols:
-			return h, h1.Spoilt("unexpected protocol switch")
+			return h, h1.Malformed("unexpected protocol switch")
 		case h.Code >= 200:
 			return h, nil
 		}
 	}
-	return h1.Head{}, h1.Spoilt("more than %d interim responses", h1.InterimMost)
+	return h1.Head{}, h1.Malformed("more than %d interim responses", h1.MaxInterim)
 }
 
 // bufferAnswer reads the body of an answer into memory. If large is set, it stops at a body that
@@ -291,7 +291,7 @@
 	case b.Length > maxBufferedBody && large:
 		return nil, false, nil
 	case b.Length > maxBufferedBody:
-		return nil, false, h1.Spoilt("Content-Length %d exceeds the limit", b.Length)
+		return nil, false, h1.Malformed("Content-Length %d exceeds the limit", b.Length)
 	case b.Length >= 0:
 		text = make([]byte, b.Length)
 		_, err := io.ReadFull(b, text)
@@ -320,21 +320,21 @@
 		case len(text) > maxBufferedBody && large:
 			return text, false, nil
 		case len(text) > maxBufferedBody:
-			return nil, false, h1.Spoilt("body exceeds the limit")
+			return nil, false, h1.Malformed("body exceeds the limit")
 		}
 	}
 }
 
 // stream hands an answer to the client's goroutine for streaming. ahead is the part of the body that was already read.
 func (u *upstream) stream(ctx context.Context, c *conns.Conn, m *message, t turn, h h1.Head, b h1.Body, ahead []byte) (p reply, reusable bool) {
-	if !t.Pass() {
+	if !t.ClaimAnswer() {
 		return reply{status: policy.Cancelled}, false
 	}
 	b.Reader.(*deadlineReader).timeout = streamStallTimeout
 	if len(ahead) > 0 {
 		b.Reader = io.MultiReader(bytes.NewReader(ahead), b.Reader)
 	}
-	if p.status = m.handoff.Pass(&passing.Answer{Head: h, Body: b}); p.status != policy.OK {
+	if p.status = m.handoff.Send(&passing.Answer{Head: h, Body: b}); p.status != policy.OK {
 		return p, false
 	}
 	setReadDeadline(ctx, c, time.Now().Add(stallTimeout))
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -18,7 +18,7 @@
 	"otterstep/policy"
 )
 
-const patience = 20 * time.Second // timeout for events that are certain to happen
+const testTimeout = 20 * time.Second // timeout for events that are certain to happen
 
 // server is a scripted server. handle is called for each complete request with its number,
 // starting at 1, and its connection, and reports whether to keep the connection.
@@ -65,8 +65,8 @@
 	return s
 }
 
-// says answers each request with the same bytes, then keeps or closes the connection.
-func says(text string, keep bool) func(int64, *http.Request, net.Conn) bool {
+// respondWith answers each request with the same bytes, then keeps or closes the connection.
+func respondWith(text string, keep bool) func(int64, *http.Request, net.Conn) bool {
 	return func(_ int64, _ *http.Request, c net.Conn) bool {
 		io.WriteString(c, text)
 		return keep
@@ -94,9 +94,9 @@
 
 const permit, deny = fixedTurn(true), fixedTurn(false)
 
-func (a fixedTurn) Begin() bool      { return bool(a) }
-func (fixedTurn) Pass() bool         { return false }
-func (fixedTurn) Sent(time.Duration) {}
+func (a fixedTurn) Begin() bool             { return bool(a) }
+func (fixedTurn) ClaimAnswer() bool         { return false }
+func (fixedTurn) RequestSent(time.Duration) {}
 
 // whole returns a completely buffered body.
 func whole(text string) *body {
@@ -105,7 +105,7 @@
 
 // testUpstream returns an upstream without a settle time.
 func testUpstream(t *testing.T, most int) *upstream {
-	u := &upstream{pool: conns.New(conns.Options{IdleFor: time.Hour, Connect: patience, Most: most})}
+	u := &upstream{pool: conns.New(conns.Options{MaxIdle: time.Hour, ConnectTimeout: testTimeout, MaxConns: most})}
 	t.Cleanup(u.pool.Close)
 	return u
 }
@@ -161,7 +161,7 @@
 		"body over the limit":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("a", maxBufferedBody+1), true, policy.Reset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, u := newServer(t, says(c.text, c.keep)), testUpstream(t, 8)
+			s, u := newServer(t, respondWith(c.text, c.keep)), testUpstream(t, 8)
 			p := u.roundTrip(t.Context(), at(s.addr), get(), time.Now().Add(time.Second), permit)
 			if open, kept := u.pool.Count(); p.status != c.status || kept != c.pooled || open != c.pooled {
 				t.Errorf("status %d, %d idle, %d open; want %d, %d idle", p.status, kept, open, c.status, c.pooled)
@@ -267,8 +267,8 @@
 
 // Guards against attempts that are sent after the loop has abandoned them.
 func TestAbandonedAttemptSendsNothing(t *testing.T) {
-	s, u := newServer(t, says(ok("x"), true)), testUpstream(t, 8)
-	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), deny); p.status != policy.Moot {
+	s, u := newServer(t, respondWith(ok("x"), true)), testUpstream(t, 8)
+	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), deny); p.status != policy.NotSent {
 		t.Errorf("status %d, want Moot", p.status)
 	}
 	// The connection is unused and carries the next request as its first.
@@ -288,7 +288,7 @@
 		io.WriteString(c, ok("x"))
 		return true
 	})
-	quick := newServer(t, says(ok("x"), true))
+	quick := newServer(t, respondWith(ok("x"), true))
 	u := testUpstream(t, 1)
 	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), permit); p.status != policy.OK {
 		t.Fatalf("status %d, want served", p.status)
@@ -298,7 +298,7 @@
 		done <- u.roundTrip(context.Background(), at(busy.addr), get(), time.Now().Add(time.Second), permit)
 	}()
 	waitFor(t, "request at the busy server", func() bool { return busy.requests.Load() == 1 })
-	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), permit); p.status != policy.Moot {
+	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), permit); p.status != policy.NotSent {
 		t.Errorf("status %d beyond the limit, want Moot", p.status)
 	}
 	close(hold)
@@ -313,7 +313,7 @@
 // waitFor polls until a condition that is certain to become true holds, however slow the machine.
 func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out: no %s", what)
 		}
--- a/internal/node/watch_timeout_test.go
+++ b/internal/node/watch_timeout_test.go
@@ -25,13 +25,13 @@
 	return context.Cause(e.Context)
 }
 
-// hushed is a discovery service for which the test writes the bytes of each answer and decides when a call
+// rawDiscovery is a discovery service for which the test writes the bytes of each answer and decides when a call
 // times out.
-type hushed struct {
+type rawDiscovery struct {
 	*server
-	calls chan *call
-	limit atomic.Pointer[func()] // makes the current call time out
-	took  chan time.Duration     // timeouts of calls
+	calls    chan *call
+	limit    atomic.Pointer[func()] // makes the current call time out
+	timeouts chan time.Duration     // timeouts of calls
 }
 
 // call is a call and its connection.
@@ -40,9 +40,9 @@
 	query string
 }
 
-func newHushed(t *testing.T) *hushed {
+func newRawDiscovery(t *testing.T) *rawDiscovery {
 	t.Helper()
-	h := &hushed{calls: make(chan *call, 16), took: make(chan time.Duration, 64)}
+	h := &rawDiscovery{calls: make(chan *call, 16), timeouts: make(chan time.Duration, 64)}
 	h.server = newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		h.calls <- &call{c, r.URL.RawQuery}
 		return true
@@ -51,21 +51,21 @@
 }
 
 // expire replaces context.WithTimeout in a discovery client.
-func (h *hushed) expire(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+func (h *rawDiscovery) expire(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancelCause(ctx)
 	pass := func() { cancel(context.DeadlineExceeded) }
 	h.limit.Store(&pass)
-	h.took <- d
+	h.timeouts <- d
 	return expiringContext{c}, func() { cancel(context.Canceled) }
 }
 
 // next returns the next call.
-func (h *hushed) next(t *testing.T) *call {
+func (h *rawDiscovery) next(t *testing.T) *call {
 	t.Helper()
 	select {
 	case c := <-h.calls:
 		return c
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("timed out waiting for a call to discovery")
 		return nil
 	}
@@ -96,14 +96,14 @@
 		} {
 			t.Run(mode+" "+where, func(t *testing.T) {
 				t.Parallel()
-				h := newHushed(t)
-				f := followBy(t, h.addr, mode, hostList{}, h.expire)
+				h := newRawDiscovery(t)
+				f := followWithTimeout(t, h.addr, mode, hostList{}, h.expire)
 				f.want(t, policy.ListCached, 0)
 				if mode == "on_request" {
-					f.watch()
+					f.requestCall()
 				}
 				h.next(t).say(whole)
-				<-h.took
+				<-h.timeouts
 				f.want(t, policy.ListFull, 1)
 				for range 3 { // consecutive timeouts
 					c := h.next(t)
@@ -111,7 +111,7 @@
 						t.Fatalf("call %q, want a watch", c.query)
 					}
 					io.WriteString(c, part)
-					if took := <-h.took; took > most {
+					if took := <-h.timeouts; took > most {
 						t.Errorf("a silent watch times out after %v, want at most %v", took, most)
 					}
 					(*h.limit.Load())()
@@ -119,8 +119,8 @@
 				h.next(t).say(strings.Replace(answer(2, false), "in_service", "terminating", 1))
 				f.want(t, policy.ListDelta, 1)
 				io.WriteString(h.next(t), part)
-				moved := newHushed(t) // a reload takes effect during a silent watch
-				f.move(t.Context(), moved.addr)
+				moved := newRawDiscovery(t) // a reload takes effect during a silent watch
+				f.setAddress(t.Context(), moved.addr)
 				c := moved.next(t)
 				if c.query != "" {
 					t.Errorf("first call to the new discovery service %q, want the full list", c.query)
@@ -142,8 +142,8 @@
 // answer.
 func TestListFramings(t *testing.T) {
 	t.Parallel()
-	h := newHushed(t)
-	f := followBy(t, h.addr, "pushed", hostList{}, h.expire)
+	h := newRawDiscovery(t)
+	f := followWithTimeout(t, h.addr, "pushed", hostList{}, h.expire)
 	f.want(t, policy.ListCached, 0)
 	c := h.next(t)
 	for _, b := range []byte("HTTP/1.1 200 OK\r\ncontent-length: " + strconv.Itoa(len(answer(1, true))) + "\r\n\r\n" + answer(1, true)) {
