--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -59,26 +59,26 @@
 	if s := file.Control.Socket; s != "" {
 		switch {
 		case !filepath.IsAbs(s):
-			f.Bad("control.socket", "%q is not an absolute path", s)
+			f.Errorf("control.socket", "%q is not an absolute path", s)
 		case len(s) > unixsock.MaxPathLen:
-			f.Bad("control.socket", "path is %d bytes long, a Unix socket's path can have at most %d", len(s), unixsock.MaxPathLen)
+			f.Errorf("control.socket", "path is %d bytes long, a Unix socket's path can have at most %d", len(s), unixsock.MaxPathLen)
 		}
 	}
 	switch k := &file.Kept; {
 	case k.File != "" && !filepath.IsAbs(k.File):
-		f.Bad("kept.file", "%q is not an absolute path", k.File)
+		f.Errorf("kept.file", "%q is not an absolute path", k.File)
 	case k.File == "" && k.Every.Duration != 0:
-		f.Bad("kept.every", "has no effect without kept.file")
+		f.Errorf("kept.every", "has no effect without kept.file")
 	case k.File != "" && k.Every.Duration == 0:
 		k.Every.Duration = DefaultKeptInterval
 	case k.File != "" && k.Every.Duration < time.Second:
-		f.Bad("kept.every", "%v would write to the disk too often, the minimum is 1s", k.Every.Duration)
+		f.Errorf("kept.every", "%v would write to the disk too often, the minimum is 1s", k.Every.Duration)
 	}
 	switch w := file.Fleet.Wait.Duration; {
 	case w < 0 || w > MaxFleetWait:
-		f.Bad("fleet.wait", "%v, the maximum is %v", w, MaxFleetWait)
+		f.Errorf("fleet.wait", "%v, the maximum is %v", w, MaxFleetWait)
 	case w > 0 && file.Control.Socket == "":
-		f.Bad("fleet.wait", "needs control.socket, over which the fleet's word is received")
+		f.Errorf("fleet.wait", "needs control.socket, over which the fleet's word is received")
 	}
 	file.SIP.Check(f)
 	web.CheckAll(f, file.Web)
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -15,22 +15,22 @@
 	Burst int
 }
 
-// Turns is one party's schedule under a Bound.
-type Turns struct {
+// Schedule is one party's schedule under a Bound.
+type Schedule struct {
 	interval, firstOffset, secondOffset time.Duration
 	issued                              int
 	last                                time.Duration
 }
 
-// Turns returns the schedule of one party. random returns random numbers in [0, 1) and is called at
+// NewSchedule returns the schedule of one party. random returns random numbers in [0, 1) and is called at
 // most twice.
 //
 // In any time window w all parties together start at most Rate × w + Parties events, whenever they
 // joined and whenever they ask, because each one spaces its own events at least Parties / Rate apart.
 // With more than Burst parties, each draws a random offset within its first interval, so that parties
 // that join at the same time start Rate × w events on average from the beginning.
-func (b Bound) Turns(random func() float64) *Turns {
-	t := &Turns{}
+func (b Bound) NewSchedule(random func() float64) *Schedule {
+	t := &Schedule{}
 	if b.Rate <= 0 {
 		return t
 	}
@@ -45,7 +45,7 @@
 }
 
 // Next returns when the next event may start, now or later.
-func (t *Turns) Next(now time.Duration) time.Duration {
+func (t *Schedule) Next(now time.Duration) time.Duration {
 	at := now
 	switch {
 	case t.interval == 0:
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -28,7 +28,7 @@
 
 // startTimes returns when one party may start n events; wait is the delay between its requests.
 func startTimes(b Bound, n int, draw func() float64, wait func() time.Duration) (all []time.Duration) {
-	turns, now := b.Turns(draw), time.Duration(0)
+	turns, now := b.NewSchedule(draw), time.Duration(0)
 	for range n {
 		all = append(all, turns.Next(now))
 		now += wait()
--- a/internal/passing/passing.go
+++ b/internal/passing/passing.go
@@ -19,26 +19,26 @@
 type Answer struct {
 	h1.Head
 	h1.Body
-	Tunnel *conns.Conn // the server connection after a protocol switch
-	Half   bool        // the request body has not been fully sent yet
+	Tunnel         *conns.Conn // the server connection after a protocol switch
+	RequestPending bool        // the request body has not been fully sent yet
 
 	result chan policy.Status // receives the final status; has a buffer of one
 }
 
-// End reports the answer's final status to its attempt. It must be called exactly once.
-func (a *Answer) End(s policy.Status) { a.result <- s }
+// Finish reports the answer's final status to its attempt. It must be called exactly once.
+func (a *Answer) Finish(s policy.Status) { a.result <- s }
 
-// Hand transfers the single streamed answer of an exchange. Create it with New.
-type Hand struct {
+// Handoff transfers the single streamed answer of an exchange. Create it with New.
+type Handoff struct {
 	mu      sync.Mutex
 	closed  bool // no answer is accepted any more
 	answers chan *Answer
 }
 
-func New() *Hand { return &Hand{answers: make(chan *Answer, 1)} }
+func New() *Handoff { return &Handoff{answers: make(chan *Answer, 1)} }
 
-// Pass hands the answer over and blocks until it has been written or given up.
-func (h *Hand) Pass(a *Answer) policy.Status {
+// Send hands the answer over and blocks until it has been written or given up.
+func (h *Handoff) Send(a *Answer) policy.Status {
 	a.result = make(chan policy.Status, 1)
 	h.mu.Lock()
 	if h.closed {
@@ -51,10 +51,10 @@
 }
 
 // Answers returns the channel on which the answer arrives.
-func (h *Hand) Answers() <-chan *Answer { return h.answers }
+func (h *Handoff) Answers() <-chan *Answer { return h.answers }
 
 // Close rejects further answers and cancels one that was handed over but not yet received.
-func (h *Hand) Close() {
+func (h *Handoff) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
@@ -68,8 +68,8 @@
 // Reasons for an incomplete answer. The caller must abort the client's connection or stream,
 // so that the client can tell that the answer is truncated.
 var (
-	ErrGone      = errors.New("client closed the connection before the answer was complete")
-	ErrTruncated = errors.New("server ended its answer before it was complete")
+	ErrClientGone = errors.New("client closed the connection before the answer was complete")
+	ErrTruncated  = errors.New("server ended its answer before it was complete")
 )
 
 // Copy streams the body to the client using buf. Each write may take up to stall. Output is
@@ -83,12 +83,12 @@
 		if n > 0 {
 			_ = control.SetWriteDeadline(time.Now().Add(stall))
 			if _, werr := w.Write(buf[:n]); werr != nil {
-				return ErrGone
+				return ErrClientGone
 			}
 			// A full buffer means that more input is available. An answer of unknown length
 			// may pause after any part, so it is always flushed.
 			if (a.Length < 0 || n < len(buf)) && control.Flush() != nil {
-				return ErrGone
+				return ErrClientGone
 			}
 		} else if err == nil && ctx.Err() != nil {
 			err = ctx.Err()
@@ -98,7 +98,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case ctx.Err() != nil: // the client's disconnect canceled the attempt
-			return ErrGone
+			return ErrClientGone
 		default:
 			return ErrTruncated
 		}
--- a/internal/sim/balancer.go
+++ b/internal/sim/balancer.go
@@ -78,7 +78,7 @@
 }
 
 func (o *machineBalancer) finished(now time.Duration, a *attempt, status policy.Status) {
-	o.machine.Finished(now, a.machineAttempt, core.Reply{Status: status}, now)
+	o.machine.Finished(now, a.machineAttempt, core.AttemptResult{Status: status}, now)
 }
 
 func (o *machineBalancer) tick(now time.Duration) bool { return o.machine.Tick(now) }
--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -23,7 +23,7 @@
 	Keys    int                         // number of distinct keys; 0: a unique key per request
 	Bursts  bool                        // arrivals in groups of ten
 	Curve   func(time.Duration) float64 // fraction of Rate over time; nil: constant
-	comeback.Habits
+	comeback.Behavior
 	// Impatient is the share of clients that disconnect without an answer after a time that
 	// is uniformly distributed from 0 to twice Patience.
 	Impatient float64
@@ -157,7 +157,7 @@
 func (c *clients) try(q *request) {
 	w := c.world
 	q.tries++
-	w.results.Tried(w.since())
+	w.results.RecordTry(w.since())
 	up := w.nodes[c.rng.IntN(len(w.nodes))]
 	for range w.nodes {
 		if !up.down {
@@ -195,19 +195,19 @@
 // answered handles an answer that has arrived at the client.
 func (t *try) answered(a core.Answer) {
 	w := t.world
-	w.checker.answered(t.record, a.Kind)
+	w.checker.answered(t.record, a.Outcome)
 	if t.ended {
 		return
 	}
 	t.ended = true
 	w.checker.closeRecord(t.record, true)
-	wait, again := t.client.Again(comeback.Answer{
-		Tries: t.tries, Refused: a.Kind == core.Refused, Unsafe: w.settings.Classes[t.class].Effect == policy.Unsafe,
-		RetryAfter: a.RetryAfter, Left: t.end - w.engine.Now(),
+	wait, again := t.client.Retry(comeback.Answer{
+		Attempts: t.tries, Refused: a.Outcome == core.Refused, Unsafe: w.settings.Classes[t.class].Effect == policy.Unsafe,
+		RetryAfter: a.RetryAfter, TimeLeft: t.end - w.engine.Now(),
 	}, w.clients.rng)
 	switch {
-	case a.Kind == core.Served || !again:
-		w.requestEnded(t, a.Kind.String())
+	case a.Outcome == core.Served || !again:
+		w.requestEnded(t, a.Outcome.String())
 	case wait == 0:
 		w.clients.try(t.request)
 	default:
--- a/internal/sim/cold_test.go
+++ b/internal/sim/cold_test.go
@@ -12,8 +12,8 @@
 // coldFleet has thirty nodes, each of which sees little of the load. Servers restart cold under load, one at a time and a
 // third of them at once; nodes learn of this up to a second apart, and ten of them restart themselves meanwhile.
 func coldFleet(o *Options) {
-	o.Nodes, o.For, o.Warm = 30, 7*time.Second, 0
-	o.Told = Times{Kind: "uniform", Mean: 500 * time.Millisecond}
+	o.Nodes, o.For, o.WarmUp = 30, 7*time.Second, 0
+	o.ListDelay = Distribution{Kind: "uniform", Mean: 500 * time.Millisecond}
 	o.Settings.Rules.ColdFrom, o.Settings.Rules.ColdFor = 0.1, 8*time.Second
 	o.Settings.Rules.FallMultiple, o.Settings.Rules.FallFor = 2, 1500*time.Millisecond
 	replaceServers(o, 12, func(s *ServerOptions) { s.Rules = o.Settings.Rules })
--- a/internal/sim/discovery.go
+++ b/internal/sim/discovery.go
@@ -7,7 +7,7 @@
 )
 
 // discovery delivers the server list to nodes. It either pushes changes or, with
-// Options.Asked, is a single service that handles the nodes' calls one at a time. It may be
+// Options.Pull, is a single service that handles the nodes' calls one at a time. It may be
 // unavailable or return a stale list. The rule that a node which does not ask counts as told
 // anyway is not modelled: the rule checks use what a node has actually received.
 type discovery struct {
@@ -25,10 +25,10 @@
 // must query discovery, the same as a cached list.
 func (d *discovery) sendInitialList(n *node) {
 	kind := policy.ListFull
-	if d.world.opt.Asked || d.down && d.world.opt.Kept != nil {
+	if d.world.opt.Pull || d.down && d.world.opt.SavedState != nil {
 		kind = policy.ListCached
 	}
-	if n.incarnation > 1 && kind == policy.ListCached && (d.world.opt.Blank || d.world.opt.Kept != nil) {
+	if n.incarnation > 1 && kind == policy.ListCached && (d.world.opt.StartEmpty || d.world.opt.SavedState != nil) {
 		n.restore()
 		return
 	}
@@ -44,11 +44,11 @@
 		s.listed = s.opt.Entry
 	}
 	for _, n := range d.world.nodes {
-		if d.world.opt.Asked && !n.watching {
+		if d.world.opt.Pull && !n.watching {
 			continue
 		}
 		incarnation := n.incarnation
-		d.world.engine.After(d.world.opt.Told.Draw(n.rng), func() {
+		d.world.engine.After(d.world.opt.ListDelay.Draw(n.rng), func() {
 			if n.incarnation == incarnation {
 				n.members(kind, servers)
 			}
@@ -68,10 +68,10 @@
 	d.calls[w.engine.Now().Truncate(tenth)]++
 	latency := w.opt.Net.Latency.Draw(n.rng)
 	wait := time.Duration(d.queued+1) * w.opt.Call
-	if wait > w.opt.AskWait {
+	if wait > w.opt.MaxWait {
 		d.rejected++
 	}
-	if d.down || wait > w.opt.AskWait {
+	if d.down || wait > w.opt.MaxWait {
 		w.engine.After(2*latency, func() { answer(policy.ListFailed, nil) })
 		return
 	}
@@ -90,7 +90,7 @@
 func (d *discovery) applyFault(what string, on bool) {
 	if what == "stale" {
 		d.stale = on
-	} else if d.down = on; on && d.world.opt.Asked {
+	} else if d.down = on; on && d.world.opt.Pull {
 		for _, n := range d.world.nodes { // break the nodes' watches
 			if n.watching {
 				n.watching = false
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -13,7 +13,7 @@
 	return smallWorld(func(o *Options) {
 		replaceServers(o, 60, func(*ServerOptions) {})
 		o.Nodes, o.Load.Rate, o.For = 80, 20, 20*time.Second
-		o.Asked, o.Call, o.AskWait = true, 50*time.Millisecond, 2*time.Second
+		o.Pull, o.Call, o.MaxWait = true, 50*time.Millisecond, 2*time.Second
 		if change != nil {
 			change(o)
 		}
--- a/internal/sim/herd.go
+++ b/internal/sim/herd.go
@@ -12,30 +12,30 @@
 	"otterstep/policy"
 )
 
-// Herd is a scenario in which all nodes and servers of a tier are killed and restart at the same time, the servers
+// TierRestart is a scenario in which all nodes and servers of a tier are killed and restart at the same time, the servers
 // cold, while discovery is unavailable and then overloaded with calls.
-type Herd struct {
-	Nodes, Servers int
-	Load           float64       // offered load as a fraction of the warm servers' capacity
-	Away           time.Duration // how long discovery is unavailable, from the kill on
-	Call           time.Duration // duration of a discovery call; calls are handled one at a time
-	For            time.Duration // observed time after the restart
-	Kept           *Kept         // persisted state; nil: nodes restart without any
-	Believe        bool          // nodes trust persisted state as if discovery had confirmed it
-	Comeback       comeback.Habits
-	Fall           float64 // load, as a multiple of its capacity, that makes a cold server fall over; 2 if 0
-	Queue          int     // queue capacity of each server; 32 if 0
-	Again          int     // all nodes are killed again after each of the first n seconds
-	Cut            bool    // every other server is unreachable for the first 3 s
+type TierRestart struct {
+	Nodes, Servers  int
+	Load            float64       // offered load as a fraction of the warm servers' capacity
+	DiscoveryDown   time.Duration // how long discovery is unavailable, from the kill on
+	CallTime        time.Duration // duration of a discovery call; calls are handled one at a time
+	Observe         time.Duration // observed time after the restart
+	SavedState      *SavedState   // persisted state; nil: nodes restart without any
+	TrustSavedState bool          // nodes trust persisted state as if discovery had confirmed it
+	ClientBehavior  comeback.Behavior
+	FallMultiple    float64 // load, as a multiple of its capacity, that makes a cold server fall over; 2 if 0
+	Queue           int     // queue capacity of each server; 32 if 0
+	ExtraRestarts   int     // all nodes are killed again after each of the first n seconds
+	CutServers      bool    // every other server is unreachable for the first 3 s
 }
 
-// HerdResult is the result of a Herd. Times are counted from the restart; zero means not reached within For.
-type HerdResult struct {
+// TierRestartResult is the result of a Herd. Times are counted from the restart; zero means not reached within For.
+type TierRestartResult struct {
 	First, Half, Most, Full time.Duration // until the rate of served requests reached any, 50%, 90%, 97% of the rate before
 	Attempts, Refusals      float64       // per request served until 90% was reached
-	Fell                    int           // servers that were pushed over
-	Broken                  int           // violations of other rules
-	Pushed                  []float64     // peak load of each cold server, as a fraction of the load that makes it fall over
+	PushedOver              int           // servers that were pushed over
+	OtherViolations         int           // violations of other rules
+	ColdLoads               []float64     // peak load of each cold server, as a fraction of the load that makes it fall over
 	Served                  []float64     // served rate in each tenth of a second after the restart, as a fraction of before
 }
 
@@ -48,10 +48,10 @@
 	restartMeanWork      = 20 * time.Millisecond
 )
 
-// Play simulates the scenario with the given seed.
-func (h Herd) Play(seed uint64) (HerdResult, error) {
-	if h.Nodes < 1 || h.Servers < 1 || h.Load <= 0 || h.For < time.Second || h.Away < 0 || h.Call <= 0 {
-		return HerdResult{}, errors.New("sim: invalid herd: at least one node and one server, a positive load, at least 1 s after the restart, a non-negative discovery outage and a positive duration of discovery calls are required")
+// Run simulates the scenario with the given seed.
+func (h TierRestart) Run(seed uint64) (TierRestartResult, error) {
+	if h.Nodes < 1 || h.Servers < 1 || h.Load <= 0 || h.Observe < time.Second || h.DiscoveryDown < 0 || h.CallTime <= 0 {
+		return TierRestartResult{}, errors.New("sim: invalid herd: at least one node and one server, a positive load, at least 1 s after the restart, a non-negative discovery outage and a positive duration of discovery calls are required")
 	}
 	set := policy.Defaults()
 	set.Classes = []policy.Class{
@@ -60,21 +60,21 @@
 		{Deadline: 2 * time.Second, Aim: 800 * time.Millisecond, Worth: 5, Effect: policy.Unsafe},
 	}
 	set.Limits = policy.Limits{MaxAttempts: 4, SecondCopies: true, Cancel: true, MaxRetryAfter: time.Second}
-	set.Rules = policy.Rules{ColdFrom: 0.3, ColdFor: 9 * time.Second, FallMultiple: cmp.Or(h.Fall, 2), FallFor: time.Second, MustAsk: 5 * time.Second}
+	set.Rules = policy.Rules{ColdFrom: 0.3, ColdFor: 9 * time.Second, FallMultiple: cmp.Or(h.FallMultiple, 2), FallFor: time.Second, MaxCallInterval: 5 * time.Second}
 	rate := h.Load * float64(h.Servers*restartCores) / restartMeanWork.Seconds()
 	o := Options{
-		Nodes: h.Nodes, Settings: set, For: restartSettleTime + restartDownTime + h.For, Kept: h.Kept, Blank: true,
-		Net:       Network{Latency: Times{Kind: "exponential", Mean: time.Millisecond}},
-		ClientNet: Times{Kind: "constant", Mean: time.Millisecond}, Told: Times{Kind: "uniform", Mean: 100 * time.Millisecond},
-		Asked: true, Call: h.Call, AskWait: 2 * time.Second, Planted: Planted{Believe: h.Believe},
-		Load: Load{Rate: rate, Shares: []float64{0.7, 0.2, 0.1}, Tenants: 5, Skew: 1, Habits: h.Comeback},
+		Nodes: h.Nodes, Settings: set, For: restartSettleTime + restartDownTime + h.Observe, SavedState: h.SavedState, StartEmpty: true,
+		Net:       Network{Latency: Distribution{Kind: "exponential", Mean: time.Millisecond}},
+		ClientNet: Distribution{Kind: "constant", Mean: time.Millisecond}, ListDelay: Distribution{Kind: "uniform", Mean: 100 * time.Millisecond},
+		Pull: true, Call: h.CallTime, MaxWait: 2 * time.Second, Defects: Defects{TrustSavedState: h.TrustSavedState},
+		Load: Load{Rate: rate, Shares: []float64{0.7, 0.2, 0.1}, Tenants: 5, Skew: 1, Behavior: h.ClientBehavior},
 	}
-	service := Times{Kind: "lognormal", Mean: restartMeanWork, Sigma: 0.5}
+	service := Distribution{Kind: "lognormal", Mean: restartMeanWork, Sigma: 0.5}
 	var servers, nodes, half []int
 	for i := range h.Servers {
 		o.Servers = append(o.Servers, ServerOptions{
 			Entry: policy.Entry{Server: policy.ServerID(i + 1), Zone: i % 2, State: policy.Ready, Weight: 1}, Addr: fmt.Sprint("s", i+1),
-			Parallel: restartCores, Queue: cmp.Or(h.Queue, 32), Service: map[int]Times{0: service, 1: service, 2: service}, Rules: set.Rules,
+			Parallel: restartCores, Queue: cmp.Or(h.Queue, 32), Service: map[int]Distribution{0: service, 1: service, 2: service}, Rules: set.Rules,
 		})
 		if servers = append(servers, i); i%2 == 1 {
 			half = append(half, i)
@@ -85,19 +85,19 @@
 	}
 	restartAt := restartSettleTime + restartDownTime
 	o.Faults = []Fault{
-		{At: restartSettleTime - 50*time.Millisecond, For: 50*time.Millisecond + restartDownTime + h.Away, What: "discovery"},
+		{At: restartSettleTime - 50*time.Millisecond, For: 50*time.Millisecond + restartDownTime + h.DiscoveryDown, What: "discovery"},
 		{At: restartSettleTime, For: restartDownTime, What: "crash", Servers: servers},
 		{At: restartSettleTime, For: restartDownTime + 50*time.Millisecond, What: "node-crash", Servers: nodes},
 	}
-	for n := range h.Again {
+	for n := range h.ExtraRestarts {
 		o.Faults = append(o.Faults, Fault{At: restartAt + time.Duration(n+1)*time.Second, For: 50 * time.Millisecond, What: "node-crash", Servers: nodes})
 	}
-	if h.Cut && len(half) > 0 {
+	if h.CutServers && len(half) > 0 {
 		o.Faults = append(o.Faults, Fault{At: restartAt, For: 3 * time.Second, What: "cut", Servers: half})
 	}
 	w, err := New(o, seed)
 	if err != nil {
-		return HerdResult{}, err
+		return TierRestartResult{}, err
 	}
 	tenths := make([]struct{ served, refused float64 }, int(o.For/tenth)+1)
 	w.onEnd = func(e End) {
@@ -110,16 +110,16 @@
 		}
 	}
 	res := w.Run()
-	r := HerdResult{Fell: res.Broken[ledger.PushedOver]}
+	r := TierRestartResult{PushedOver: res.Broken[ledger.PushedOver]}
 	for b, n := range res.Broken {
 		if b != ledger.PushedOver {
-			r.Broken += n
+			r.OtherViolations += n
 		}
 	}
 	for _, s := range o.Servers {
-		r.Pushed = append(r.Pushed, res.Pushed[s.Addr])
+		r.ColdLoads = append(r.ColdLoads, res.Pushed[s.Addr])
 	}
-	slices.Sort(r.Pushed)
+	slices.Sort(r.ColdLoads)
 	before := 0.0
 	for _, t := range tenths[int((restartSettleTime-restartReferenceTime)/tenth):int(restartSettleTime/tenth)] {
 		before += t.served
--- a/internal/sim/ledger.go
+++ b/internal/sim/ledger.go
@@ -14,16 +14,16 @@
 	sendGrace  = 500 * time.Millisecond // grace period for attempts that cross their request's answer
 )
 
-// Checker reports the events of a World to the checks of package ledger. A record lives for as
+// Checker reports the events of a World to the checks of package rulecheck. A record lives for as
 // long as an attempt, a server or a client references it.
 type Checker struct {
-	*ledger.Ledger
+	*ledger.Checker
 	engine  *Engine
 	classes []policy.Class
 	open    int
 }
 
-// record is the ledger's state of one try.
+// record is the checker's state of one try.
 type record struct {
 	ledger.Record
 	id       uint64
@@ -34,7 +34,7 @@
 func (r *record) name() string { return fmt.Sprint("request ", r.id) }
 
 func newChecker(e *Engine, classes []policy.Class) *Checker {
-	return &Checker{Ledger: ledger.New(drainGrace, sendGrace), engine: e, classes: classes}
+	return &Checker{Checker: ledger.New(drainGrace, sendGrace), engine: e, classes: classes}
 }
 
 // openRecord opens a record.
@@ -64,7 +64,7 @@
 }
 
 // answered records an answer that has arrived at a client.
-func (l *Checker) answered(r *record, kind core.Kind) {
+func (l *Checker) answered(r *record, kind core.Outcome) {
 	o := ledger.Failed
 	switch kind {
 	case core.Served:
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -15,7 +15,7 @@
 // message loss. A lost message is never delivered, as TCP would retransmit it too late to
 // matter.
 type Network struct {
-	Latency Times
+	Latency Distribution
 	Loss    float64
 }
 
@@ -33,7 +33,7 @@
 	cutOff         map[*Server]bool                  // servers it cannot reach
 	open           map[*try]bool
 	down           bool
-	watching       bool // with Options.Asked: it receives list changes
+	watching       bool // with Options.Pull: it receives list changes
 	restoringList  bool // the list being delivered is restored, not confirmed by discovery
 	discoveryHeard bool // discovery has answered since the start
 	started        time.Duration
@@ -89,13 +89,13 @@
 
 // answer delivers an answer to its client.
 func (n *node) answer(t *try, a core.Answer) {
-	p := n.world.opt.Planted
-	if p.Swallow > 0 && t.record.id%uint64(p.Swallow) == 0 {
+	p := n.world.opt.Defects
+	if p.DropEvery > 0 && t.record.id%uint64(p.DropEvery) == 0 {
 		return
 	}
 	n.world.engine.After(n.world.opt.ClientNet.Draw(n.rng), func() {
 		t.answered(a)
-		if p.Echo {
+		if p.DuplicateAnswers {
 			t.answered(a)
 		}
 	})
@@ -109,7 +109,7 @@
 	entries, addrs := make([]policy.Entry, len(servers)), make([]string, len(servers))
 	for i, s := range servers {
 		e := s.listed
-		e.Doubted = n.restoringList && !n.world.opt.Planted.Believe
+		e.Unconfirmed = n.restoringList && !n.world.opt.Defects.TrustSavedState
 		entries[i], addrs[i] = e, s.opt.Addr
 		if e.State == policy.Ready {
 			delete(n.notReadySince, e.Server)
@@ -117,7 +117,7 @@
 			n.notReadySince[e.Server] = n.world.engine.Now()
 		}
 	}
-	if n.world.opt.Planted.Deaf && kind == policy.ListDelta {
+	if n.world.opt.Defects.IgnoreChanges && kind == policy.ListDelta {
 		return
 	}
 	n.discoveryHeard = n.discoveryHeard || kind == policy.ListFull || kind == policy.ListDelta
@@ -147,13 +147,13 @@
 
 // restore restores persisted state if it is usable, as internal/node does.
 func (n *node) restore() {
-	k, now := n.world.opt.Kept, n.world.engine.Now()
-	if k == nil || n.saved == nil || n.rng.Float64() < k.Spoilt {
+	k, now := n.world.opt.SavedState, n.world.engine.Now()
+	if k == nil || n.saved == nil || n.rng.Float64() < k.UnusableShare {
 		n.members(policy.ListCached, nil)
 		return
 	}
-	age := confidence.Age{For: now - n.savedAt + k.Older, Sure: true}
-	if confidence.Judge(confidence.Line{}, age, false, nil, nil) != confidence.Unconfirmed {
+	age := confidence.Age{Elapsed: now - n.savedAt + k.ExtraAge, Known: true}
+	if confidence.Classify(confidence.ListEntry{}, age, false, nil, nil) != confidence.Unconfirmed {
 		n.members(policy.ListCached, nil)
 		return
 	}
@@ -170,7 +170,7 @@
 			ages[s.listed.Server] = max(1, now-s.listed.Started)
 		}
 	}
-	if err := m.machine.Restore(now, confidence.Fade(*n.saved, m.machine.Learned(now), age, ages)); err != nil {
+	if err := m.machine.Restore(now, confidence.Decay(*n.saved, m.machine.Learned(now), age, ages)); err != nil {
 		panic(err) // cannot happen: the memory came from a Machine
 	}
 	n.afterEvent()
@@ -179,7 +179,7 @@
 // crash ends the node's process: its open requests are lost, and their clients notice.
 func (n *node) crash() {
 	settled := n.discoveryHeard && n.world.engine.Now()-n.started >= minUptimeToSave
-	if m, ok := n.balancer.(*machineBalancer); ok && n.world.opt.Kept != nil && settled {
+	if m, ok := n.balancer.(*machineBalancer); ok && n.world.opt.SavedState != nil && settled {
 		mem := m.machine.Learned(n.world.engine.Now())
 		n.saved, n.savedAt = &mem, n.world.engine.Now()
 	}
@@ -222,7 +222,7 @@
 			finish(policy.ConnectFailed)
 			return
 		case !a.begin():
-			finish(policy.Moot)
+			finish(policy.NotSent)
 			return
 		}
 		w.results.attempted(w.since())
@@ -243,7 +243,7 @@
 				onCrash: func() { e.After(latency(), func() { finish(policy.Reset) }) },
 			}
 			s.receive(j)
-			if w.opt.Planted.Again && w.anyUnreachable() && w.settings.Classes[j.class].Effect == policy.Unsafe {
+			if w.opt.Defects.DuplicateUnsafe && w.anyUnreachable() && w.settings.Classes[j.class].Effect == policy.Unsafe {
 				repeat := *j
 				s.receive(&repeat)
 			}
@@ -252,6 +252,6 @@
 }
 
 // Attempt implements core.Message. It is never called, since node.attempt simulates attempts.
-func (t *try) Attempt(context.Context, core.Server, time.Time, core.Turn) core.Reply {
+func (t *try) Attempt(context.Context, core.Server, time.Time, core.AttemptHandle) core.AttemptResult {
 	panic("sim: a Machine makes no attempts")
 }
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -114,7 +114,7 @@
 	p.tokens = min(maxRetryTokens, p.tokens+retryTokensPerRequest)
 	q := &baselineTry{}
 	p.pending[t] = q
-	p.after(t.deadline-4*time.Millisecond, func() { p.answer(t, q, core.Overdue) })
+	p.after(t.deadline-4*time.Millisecond, func() { p.answer(t, q, core.DeadlineExceeded) })
 	p.send(now, t, q)
 }
 
@@ -125,13 +125,13 @@
 	}
 }
 
-func (p *baseline) answer(t *try, q *baselineTry, kind core.Kind) {
+func (p *baseline) answer(t *try, q *baselineTry, kind core.Outcome) {
 	if q.answered {
 		return
 	}
 	q.answered = true
 	delete(p.pending, t)
-	p.pendingActions = append(p.pendingActions, action{try: t, answer: core.Answer{Kind: kind, RetryAfter: map[core.Kind]time.Duration{core.Refused: p.world.settings.Limits.MaxRetryAfter}[kind]}})
+	p.pendingActions = append(p.pendingActions, action{try: t, answer: core.Answer{Outcome: kind, RetryAfter: map[core.Outcome]time.Duration{core.Refused: p.world.settings.Limits.MaxRetryAfter}[kind]}})
 }
 
 // send starts the next attempt, or gives the final answer if no server is available.
@@ -185,7 +185,7 @@
 		return
 	}
 	set := p.world.settings
-	q.mayHaveRun = q.mayHaveRun || status != policy.Full && status != policy.ConnectFailed && status != policy.Moot
+	q.mayHaveRun = q.mayHaveRun || status != policy.Full && status != policy.ConnectFailed && status != policy.NotSent
 	again := len(q.attempts) < set.Limits.MaxAttempts && !(q.mayHaveRun && set.Classes[a.try.class].Effect == policy.Unsafe)
 	if again && p.budget {
 		if again = p.tokens >= 1; again {
--- a/internal/sim/results.go
+++ b/internal/sim/results.go
@@ -17,7 +17,7 @@
 	Within   uint64                   `json:"within"`    // requests served within their aim
 	Ends     map[string]uint64        `json:"ends"`      // requests by how they ended
 	Seconds  []Second                 `json:"seconds"`   // by the second in which requests began
-	Broken   map[ledger.Breach]int    `json:"broken"`    // rule violations by kind
+	Broken   map[ledger.Violation]int `json:"broken"`    // rule violations by kind
 	First    string                   `json:"first"`     // description of the first violation
 	Work     map[string]time.Duration `json:"work"`      // work done by each server
 	ColdOver float64                  `json:"cold_over"` // largest excess at one cold server beyond what the rules allow plus random variation, in requests of mean work; 0: none
@@ -53,8 +53,8 @@
 	How   string // "served", "refused", or another reason for failure
 }
 
-// Take records the end of a request.
-func (r *Results) Take(e End) {
+// RecordEnd records the end of a request.
+func (r *Results) RecordEnd(e End) {
 	counts := e.Began >= r.warmUp
 	if counts {
 		r.Counted++
@@ -84,8 +84,8 @@
 	}
 }
 
-// Tried records a request sent to a node.
-func (r *Results) Tried(since time.Duration) {
+// RecordTry records a request sent to a node.
+func (r *Results) RecordTry(since time.Duration) {
 	r.Tries++
 	r.second(since).Tries++
 }
@@ -105,10 +105,10 @@
 	return &r.Seconds[n]
 }
 
-// Judged records the result of the rule checks.
-func (r *Results) Judged(l ledger.Report) {
-	if r.Broken = l.Broken; len(l.Words) > 0 {
-		r.First = l.Words[0]
+// SetReport records the result of the rule checks.
+func (r *Results) SetReport(l ledger.Report) {
+	if r.Broken = l.Broken; len(l.Descriptions) > 0 {
+		r.First = l.Descriptions[0]
 	}
 }
 
--- a/internal/sim/return_test.go
+++ b/internal/sim/return_test.go
@@ -12,7 +12,7 @@
 // powerCut kills all nodes and servers 5 s into the run, while discovery is unavailable, and restarts them a
 // second later: the servers cold, and the nodes right after them with their persisted lists.
 func powerCut(o *Options) {
-	o.Kept, o.For = &Kept{}, 20*time.Second
+	o.SavedState, o.For = &SavedState{}, 20*time.Second
 	all := func(n int) (list []int) {
 		for i := range n {
 			list = append(list, i)
@@ -53,10 +53,10 @@
 
 // overloadedRestart is a tier of servers with small queues that reject excess requests, under three times the load that they
 // can serve, with clients that retry.
-func overloadedRestart(k *Kept, believe bool) Herd {
-	return Herd{
-		Nodes: 12, Servers: 4, Load: 3, Away: 4 * time.Second, Call: 10 * time.Millisecond, For: 7 * time.Second, Fall: 1.05, Queue: 1,
-		Kept: k, Believe: believe, Comeback: comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3},
+func overloadedRestart(k *SavedState, believe bool) TierRestart {
+	return TierRestart{
+		Nodes: 12, Servers: 4, Load: 3, DiscoveryDown: 4 * time.Second, CallTime: 10 * time.Millisecond, Observe: 7 * time.Second, FallMultiple: 1.05, Queue: 1,
+		SavedState: k, TrustSavedState: believe, ClientBehavior: comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3},
 	}
 }
 
@@ -67,36 +67,36 @@
 	racing.Skip(t)
 	t.Parallel()
 	const seed = 3
-	for name, k := range map[string]*Kept{"fresh": {}, "three weeks, half of them broken": {Older: 21 * 24 * time.Hour, Spoilt: 0.5}} {
-		r, err := overloadedRestart(k, false).Play(seed)
+	for name, k := range map[string]*SavedState{"fresh": {}, "three weeks, half of them broken": {ExtraAge: 21 * 24 * time.Hour, UnusableShare: 0.5}} {
+		r, err := overloadedRestart(k, false).Run(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Fell > 0 || r.Broken > 0 || r.First == 0 || r.First > time.Second {
-			t.Errorf("%s: %d servers pushed over, %d other violations; first served after %v, 50%% after %v, 90%% after %v", name, r.Fell, r.Broken, r.First, r.Half, r.Most)
+		if r.PushedOver > 0 || r.OtherViolations > 0 || r.First == 0 || r.First > time.Second {
+			t.Errorf("%s: %d servers pushed over, %d other violations; first served after %v, 50%% after %v, 90%% after %v", name, r.PushedOver, r.OtherViolations, r.First, r.Half, r.Most)
 		}
 	}
 	pushedOver := 0 // most seeds, but not all, show servers being pushed over
 	for seed := uint64(0); pushedOver == 0 && seed < 8; seed++ {
-		r, err := overloadedRestart(&Kept{}, true).Play(seed)
+		r, err := overloadedRestart(&SavedState{}, true).Run(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		pushedOver = r.Fell
+		pushedOver = r.PushedOver
 	}
 	if pushedOver == 0 {
 		t.Error("nodes that trust their persisted list push no server over")
 	}
-	again := overloadedRestart(&Kept{}, false) // nodes killed again in each of the first 5 s neither raise their trust nor persist new state
-	again.Again = 5
-	if r, err := again.Play(seed); err != nil || r.Fell > 0 || r.Broken > 0 || r.First == 0 || r.First > time.Second {
-		t.Errorf("killed repeatedly: first served after %v, %d servers pushed over, %d other violations, %v", r.First, r.Fell, r.Broken, err)
+	again := overloadedRestart(&SavedState{}, false) // nodes killed again in each of the first 5 s neither raise their trust nor persist new state
+	again.ExtraRestarts = 5
+	if r, err := again.Run(seed); err != nil || r.PushedOver > 0 || r.OtherViolations > 0 || r.First == 0 || r.First > time.Second {
+		t.Errorf("killed repeatedly: first served after %v, %d servers pushed over, %d other violations, %v", r.First, r.PushedOver, r.OtherViolations, err)
 	}
-	tooOld := overloadedRestart(&Kept{Older: 31 * 24 * time.Hour}, false) // treated like no state at all
-	if r, err := tooOld.Play(seed); err != nil || r.First != 0 && r.First < tooOld.Away {
+	tooOld := overloadedRestart(&SavedState{ExtraAge: 31 * 24 * time.Hour}, false) // treated like no state at all
+	if r, err := tooOld.Run(seed); err != nil || r.First != 0 && r.First < tooOld.DiscoveryDown {
 		t.Errorf("state too old: first served after %v, %v", r.First, err)
 	}
-	if _, err := (Herd{Nodes: 1, Servers: 1, Load: 1, For: time.Second}).Play(1); err == nil {
+	if _, err := (TierRestart{Nodes: 1, Servers: 1, Load: 1, Observe: time.Second}).Run(1); err == nil {
 		t.Error("a discovery whose calls take no time is accepted")
 	}
 }
--- a/internal/sim/returns/returns.go
+++ b/internal/sim/returns/returns.go
@@ -1,4 +1,4 @@
-// Package returns simulates in virtual time how a whole fleet restarts after all of its
+// Package fleetrestart simulates in virtual time how a whole fleet restarts after all of its
 // processes were killed and some of their persisted state was lost. The production code
 // decides what an agent may start (packages recovery, pace and duty); machines, disks, links
 // and discovery are modelled.
@@ -37,8 +37,8 @@
 	Pace              pace.Bound
 	Within            time.Duration // agents start within this time
 	Council           time.Duration // when the council begins to answer; negative: there is none
-	Away              time.Duration // when discovery becomes available
-	Service           time.Duration // duration of a discovery call; calls are handled one at a time
+	DiscoveryDown     time.Duration // when discovery becomes available
+	CallTime          time.Duration // duration of a discovery call; calls are handled one at a time
 	Seed              uint64
 	Limit             time.Duration // when the simulation ends
 	// Naive makes agents use only their own records and treat a missing record as a first
@@ -85,12 +85,12 @@
 
 type agent struct {
 	name         string
-	memory       recovery.Memory
-	council      recovery.Council
+	memory       recovery.RecordState
+	council      recovery.CouncilState
 	councilKnows bool
 	answerRank   int
 	began        time.Duration
-	turns        *pace.Turns
+	turns        *pace.Schedule
 	instances    []*instance
 	councilState map[string]duty.Desired
 }
@@ -108,8 +108,8 @@
 	starts, calls  []time.Duration
 }
 
-// Play simulates one fleet restart.
-func Play(opt Options) (Result, error) {
+// Simulate simulates one fleet restart.
+func Simulate(opt Options) (Result, error) {
 	if opt.Agents < 1 || opt.Instances < opt.Agents || !slices.Contains(Losses, opt.Loss) {
 		return Result{}, fmt.Errorf("returns: invalid options: %d agents, %d instances, loss %q: want at least one agent, at least one instance per agent and a loss from %v", opt.Agents, opt.Instances, opt.Loss, Losses)
 	}
@@ -191,7 +191,7 @@
 
 // report sends an agent's records to the council or, if asks is set, queries it.
 func (p *simulation) report(a *agent, asks bool) error {
-	r := duty.Report{Agent: a.name, Folder: "f", Starts: 1, Asks: asks}
+	r := duty.Report{Agent: a.name, StateDirID: "f", Starts: 1, QueryOnly: asks}
 	if !asks {
 		r.Instances = map[string]duty.Desired{}
 		for _, i := range a.instances {
@@ -200,11 +200,11 @@
 			}
 		}
 	}
-	answer := p.state.Apply(duty.Command{Form: duty.Form, Report: &r})
+	answer := p.state.Apply(duty.Command{FormatVersion: duty.FormatVersion, Report: &r})
 	if answer.Err != nil {
 		return fmt.Errorf("returns: %w", answer.Err)
 	}
-	a.councilState, a.councilKnows = answer.Told.Instances, answer.Told.Known
+	a.councilState, a.councilKnows = answer.ReportAnswer.Instances, answer.ReportAnswer.Known
 	return nil
 }
 
@@ -219,16 +219,16 @@
 		case loss == Records || loss == ThirdOfRecords && n%3 == 0:
 			a.memory = recovery.Lost
 		case loss == RecordsAndCopies:
-			a.memory = recovery.Blank
+			a.memory = recovery.Empty
 		}
 		if err := p.report(a, true); err != nil { // sets a.councilState to what the council knows
 			panic(err) // cannot happen: queries are never refused
 		}
 		for _, i := range a.instances {
-			if a.memory != recovery.Whole {
+			if a.memory != recovery.Intact {
 				i.record = nil
 			}
-			if a.memory == recovery.Blank {
+			if a.memory == recovery.Empty {
 				i.copy = nil
 			}
 			if loss == RestoredDisks {
@@ -255,9 +255,9 @@
 // startAgent starts an agent.
 func (p *simulation) startAgent(a *agent) {
 	a.began = p.engine.Now()
-	a.turns = p.opt.Pace.Turns(p.rng.Float64)
+	a.turns = p.opt.Pace.NewSchedule(p.rng.Float64)
 	if p.opt.Council >= 0 {
-		a.council = recovery.Silent
+		a.council = recovery.Unanswered
 		p.askCouncil(a)
 	}
 	p.decide(a)
@@ -285,10 +285,10 @@
 		if i.decided {
 			continue
 		}
-		f := recovery.Facts{Memory: a.memory, Council: a.council, Known: a.councilKnows, Elapsed: p.engine.Now() - a.began}
+		f := recovery.Facts{Record: a.memory, Council: a.council, KnownToCouncil: a.councilKnows, Elapsed: p.engine.Now() - a.began}
 		add := func(source string, w *desiredState) {
 			if w != nil {
-				f.Words = append(f.Words, recovery.Word{Source: source, Up: w.up, Generation: w.generation})
+				f.Claims = append(f.Claims, recovery.Claim{Source: source, Up: w.up, Generation: w.generation})
 			}
 		}
 		add("the record", i.record)
@@ -298,14 +298,14 @@
 		}
 		v := recovery.Decide(f)
 		if p.opt.Naive {
-			v = recovery.Verdict{Do: recovery.Follow, Word: recovery.Word{Up: i.record == nil || i.record.up}}
+			v = recovery.Decision{Action: recovery.Follow, Claim: recovery.Claim{Up: i.record == nil || i.record.up}}
 		}
-		if v.Do != recovery.Follow {
+		if v.Action != recovery.Follow {
 			held = true
 			continue
 		}
 		i.decided = true
-		if v.Word.Up {
+		if v.Claim.Up {
 			p.startPaced(a, i)
 		}
 	}
@@ -333,16 +333,16 @@
 func (p *simulation) callDiscovery(i *instance) {
 	now := p.engine.Now()
 	p.calls = append(p.calls, now)
-	wait := time.Duration(p.queuedCalls) * p.opt.Service
+	wait := time.Duration(p.queuedCalls) * p.opt.CallTime
 	again := func() { p.engine.After(callRetry+p.randUpTo(callRetry), func() { p.callDiscovery(i) }) }
 	switch {
-	case now < p.opt.Away:
+	case now < p.opt.DiscoveryDown:
 		again()
 	case wait > maxCallWait:
 		p.engine.After(maxCallWait, again)
 	default:
 		p.queuedCalls++
-		p.engine.After(wait+p.opt.Service, func() {
+		p.engine.After(wait+p.opt.CallTime, func() {
 			p.queuedCalls--
 			i.up = true
 			if i.expected.up {
--- a/internal/sim/server.go
+++ b/internal/sim/server.go
@@ -14,9 +14,9 @@
 	Entry    policy.Entry // its entry in the server list
 	Addr     string
 	Parallel int
-	Queue    int           // queue capacity; beyond it requests are rejected without being run
-	Service  map[int]Times // service times by class
-	Rules    policy.Rules  // how it behaves while cold
+	Queue    int                  // queue capacity; beyond it requests are rejected without being run
+	Service  map[int]Distribution // service times by class
+	Rules    policy.Rules         // how it behaves while cold
 }
 
 // Server is a model of an application server.
@@ -46,9 +46,9 @@
 	// peakColdLoad is the peak load while it was cold, as a fraction of the load that makes it
 	// fall over.
 	peakColdLoad float64
-	cold         ledger.Cold   // excess load while it was cold
-	meanWork     float64       // mean work over the classes, in seconds
-	work         time.Duration // total work done, for the report
+	cold         ledger.ColdLoad // excess load while it was cold
+	meanWork     float64         // mean work over the classes, in seconds
+	work         time.Duration   // total work done, for the report
 	ran          int64
 }
 
@@ -177,7 +177,7 @@
 	case s.overloadedSince == 0:
 		s.overloadedSince = now
 	case now-s.overloadedSince >= s.opt.Rules.FallFor:
-		s.checker.Fell(s.opt.Addr)
+		s.checker.FellOver(s.opt.Addr)
 		s.Crash()
 	}
 }
--- a/internal/sim/server_test.go
+++ b/internal/sim/server_test.go
@@ -11,11 +11,11 @@
 
 // queueWait simulates Poisson arrivals at one server and returns the mean time that requests
 // wait in its queue, in seconds.
-func queueWait(t *testing.T, rate float64, parallel int, service Times, arrivals int) float64 {
+func queueWait(t *testing.T, rate float64, parallel int, service Distribution, arrivals int) float64 {
 	t.Helper()
 	e := NewEngine(time.Hour)
 	l := newChecker(e, []policy.Class{{}})
-	s := NewServer(ServerOptions{Parallel: parallel, Queue: math.MaxInt, Service: map[int]Times{0: service}, Rules: policy.Defaults().Rules}, e, Stream(1, "server"), l)
+	s := NewServer(ServerOptions{Parallel: parallel, Queue: math.MaxInt, Service: map[int]Distribution{0: service}, Rules: policy.Defaults().Rules}, e, Stream(1, "server"), l)
 	rng := Stream(1, "arrivals")
 	whole, ended := 0.0, 0
 	var arrive func()
@@ -58,14 +58,14 @@
 		name     string
 		rate     float64
 		parallel int
-		service  Times
+		service  Distribution
 		want     float64
 	}{ // M/M/4 converges slowly and gets five times the arrivals
-		{"M/M/1", 50, 1, Times{Kind: "exponential", Mean: 10 * ms}, 0.5 / (100 - 50)},
-		{"M/M/4", 240, 4, Times{Kind: "exponential", Mean: 10 * ms}, erlangC(4, 2.4) / (400 - 240)},
-		{"M/D/1", 50, 1, Times{Kind: "constant", Mean: 10 * ms}, 50 * 1e-4 / 2 / 0.5},
-		{"M/G/1", 50, 1, Times{Kind: "lognormal", Mean: 10 * ms, Sigma: sigma}, 50 * 1e-4 * math.Exp(sigma*sigma) / 2 / 0.5},
-		{"M/U/1", 50, 1, Times{Kind: "uniform", Mean: 10 * ms}, 50 * 1e-4 * 4 / 3 / 2 / 0.5},
+		{"M/M/1", 50, 1, Distribution{Kind: "exponential", Mean: 10 * ms}, 0.5 / (100 - 50)},
+		{"M/M/4", 240, 4, Distribution{Kind: "exponential", Mean: 10 * ms}, erlangC(4, 2.4) / (400 - 240)},
+		{"M/D/1", 50, 1, Distribution{Kind: "constant", Mean: 10 * ms}, 50 * 1e-4 / 2 / 0.5},
+		{"M/G/1", 50, 1, Distribution{Kind: "lognormal", Mean: 10 * ms, Sigma: sigma}, 50 * 1e-4 * math.Exp(sigma*sigma) / 2 / 0.5},
+		{"M/U/1", 50, 1, Distribution{Kind: "uniform", Mean: 10 * ms}, 50 * 1e-4 * 4 / 3 / 2 / 0.5},
 	} {
 		if got := queueWait(t, c.rate, c.parallel, c.service, 400_000*(1+c.parallel/4*4)); math.Abs(got/c.want-1) > 0.02 {
 			t.Errorf("%s: mean wait of %.3f ms, want %.3f", c.name, 1000*got, 1000*c.want)
@@ -84,7 +84,7 @@
 	l := newChecker(e, []policy.Class{{}})
 	var all []*Server
 	for range servers {
-		all = append(all, NewServer(ServerOptions{Parallel: 1, Queue: math.MaxInt, Service: map[int]Times{0: {Kind: "exponential", Mean: time.Second}}, Rules: policy.Defaults().Rules}, e, Stream(2, "server"+string(rune(len(all)))), l))
+		all = append(all, NewServer(ServerOptions{Parallel: 1, Queue: math.MaxInt, Service: map[int]Distribution{0: {Kind: "exponential", Mean: time.Second}}, Rules: policy.Defaults().Rules}, e, Stream(2, "server"+string(rune(len(all)))), l))
 	}
 	rng := Stream(2, "arrivals")
 	var arrive func()
--- a/internal/sim/thin_test.go
+++ b/internal/sim/thin_test.go
@@ -13,16 +13,16 @@
 // faultFreeTier is a tier without faults in which nodes outnumber servers by half, and six-core servers are used at a little
 // over half of their capacity. One site's large fleet runs like this on normal days.
 func faultFreeTier(o *Options) {
-	o.Nodes, o.For, o.Warm = 54, 20*time.Second, 0
+	o.Nodes, o.For, o.WarmUp = 54, 20*time.Second, 0
 	for i := range o.Settings.Classes {
 		c := &o.Settings.Classes[i]
 		c.Aim, c.Deadline, c.Effect = 500*time.Millisecond, 1250*time.Millisecond, policy.Safe
 	}
-	service := Times{Kind: "lognormal", Mean: 150 * time.Millisecond, Sigma: 0.4}
+	service := Distribution{Kind: "lognormal", Mean: 150 * time.Millisecond, Sigma: 0.4}
 	replaceServers(o, 35, func(s *ServerOptions) {
-		s.Parallel, s.Queue, s.Service = 6, 24, map[int]Times{0: service, 1: service, 2: service}
+		s.Parallel, s.Queue, s.Service = 6, 24, map[int]Distribution{0: service, 1: service, 2: service}
 	})
-	o.Load.Rate, o.Load.Habits = 800, comeback.Habits{Heed: 0.85, Tries: 2}
+	o.Load.Rate, o.Load.Behavior = 800, comeback.Behavior{HonorRetryAfter: 0.85, MaxAttempts: 2}
 }
 
 // Without faults, the share of requests served within their aim must be at most 0.05 below that of the simplest baseline,
@@ -130,7 +130,7 @@
 			})
 			o.Nodes, o.For = 20, 10*time.Second
 			o.Load.Rate = 8 * 4 / 0.02 // the full capacity of the servers
-			o.Load.Habits = comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3}
+			o.Load.Behavior = comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}
 			o.Faults = []Fault{{At: 3 * time.Second, For: time.Second, What: "crash", Servers: []int{0, 1, 2, 3, 4, 5, 6, 7}}}
 		}), seed)
 		if n := r.Broken[ledger.PushedOver]; n > 0 {
--- a/internal/sim/times.go
+++ b/internal/sim/times.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Times is a distribution of durations.
-type Times struct {
+// Distribution is a distribution of durations.
+type Distribution struct {
 	Kind  string        // constant, exponential, lognormal or uniform
 	Mean  time.Duration // for every kind
 	Sigma float64       // lognormal: the standard deviation of the logarithm
 }
 
 // Check returns an error if a parameter is invalid.
-func (t Times) Check() error {
+func (t Distribution) Check() error {
 	switch t.Kind {
 	case "constant", "exponential", "uniform":
 	case "lognormal":
@@ -32,7 +32,7 @@
 }
 
 // Draw returns a random duration from the distribution.
-func (t Times) Draw(rng *rand.Rand) time.Duration {
+func (t Distribution) Draw(rng *rand.Rand) time.Duration {
 	mean := float64(t.Mean)
 	switch t.Kind {
 	case "exponential":
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -12,14 +12,14 @@
 	"otterstep/policy"
 )
 
-// Planted holds defects of the node itself, which tests use to show that the rule checks and
+// Defects holds defects of the node itself, which tests use to show that the rule checks and
 // a fault search detect them. Experiment files cannot set them.
-type Planted struct {
-	Echo    bool // each answer is delivered twice
-	Swallow int  // every n-th request gets no answer; 0: off
-	Again   bool // servers get unsafe requests twice while a machine is mute or cut off
-	Deaf    bool // nodes ignore updates of the server list, such as drains
-	Believe bool // nodes trust restored state as if discovery had confirmed it
+type Defects struct {
+	DuplicateAnswers bool // each answer is delivered twice
+	DropEvery        int  // every n-th request gets no answer; 0: off
+	DuplicateUnsafe  bool // servers get unsafe requests twice while a machine is mute or cut off
+	IgnoreChanges    bool // nodes ignore updates of the server list, such as drains
+	TrustSavedState  bool // nodes trust restored state as if discovery had confirmed it
 }
 
 // minFlapInterval is the shortest interval between the state changes of a flapping server.
@@ -32,29 +32,29 @@
 	Settings  policy.Settings // of the nodes; Nodes is filled in
 	Policy    string          // the balancing policy of the nodes, one of Policies; "" for "ours"
 	Net       Network         // between nodes and servers
-	ClientNet Times           // one-way latency between clients and nodes
-	Told      Times           // delay until a node receives a change of the server list
+	ClientNet Distribution    // one-way latency between clients and nodes
+	ListDelay Distribution    // delay until a node receives a change of the server list
 	Load      Load
 	For       time.Duration
-	Warm      time.Duration // warm-up at the start that is left out of the results
+	WarmUp    time.Duration // warm-up at the start that is left out of the results
 	Faults    []Fault
-	// Asked makes discovery a single service that nodes must query: it handles calls one at
-	// a time, Call each, and rejects those that would wait longer than AskWait. Otherwise
+	// Pull makes discovery a single service that nodes must query: it handles calls one at
+	// a time, Call each, and rejects those that would wait longer than MaxWait. Otherwise
 	// lists are pushed to the nodes.
-	Asked         bool
-	Call, AskWait time.Duration
-	// Kept, if set, makes nodes persist the server list and what they learn, and restore both when they start while
+	Pull          bool
+	Call, MaxWait time.Duration
+	// SavedState, if set, makes nodes persist the server list and what they learn, and restore both when they start while
 	// discovery is unavailable or must be queried.
-	Kept *Kept
-	// Blank makes restarted nodes start without a server list until discovery has answered.
-	Blank   bool
-	Planted Planted
+	SavedState *SavedState
+	// StartEmpty makes restarted nodes start without a server list until discovery has answered.
+	StartEmpty bool
+	Defects    Defects
 }
 
-// Kept describes the condition of the persisted state that restarted nodes find.
-type Kept struct {
-	Older  time.Duration // added to the age of the persisted state
-	Spoilt float64       // share of the nodes whose persisted state is unusable
+// SavedState describes the condition of the persisted state that restarted nodes find.
+type SavedState struct {
+	ExtraAge      time.Duration // added to the age of the persisted state
+	UnusableShare float64       // share of the nodes whose persisted state is unusable
 }
 
 // Fault is a fault that is injected at a given time.
@@ -69,8 +69,8 @@
 // Faults lists the kinds of faults.
 var Faults = []string{"hang", "slow", "fail", "crash", "mute", "drain", "cut", "node-crash", "discovery", "stale", "flap"}
 
-// Broad reports whether a fault affects discovery and hence names no servers.
-func Broad(what string) bool { return what == "discovery" || what == "stale" }
+// AffectsDiscovery reports whether a fault affects discovery and hence names no servers.
+func AffectsDiscovery(what string) bool { return what == "discovery" || what == "stale" }
 
 // World is one simulated installation. Create it with New and Run it once.
 type World struct {
@@ -99,7 +99,7 @@
 		byID: map[policy.ServerID]*Server{},
 	}
 	w.discovery = &discovery{world: w, calls: map[time.Duration]int{}}
-	w.settings.Nodes, w.settings.ListAsked = o.Nodes, o.Asked
+	w.settings.Nodes, w.settings.ListWatched = o.Nodes, o.Pull
 	if err := w.settings.Check(); err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	w.checker = newChecker(w.engine, w.settings.Classes)
-	w.results, w.digest = NewResults(o.Warm), fnv.New64a()
+	w.results, w.digest = NewResults(o.WarmUp), fnv.New64a()
 	for i, s := range o.Servers {
 		w.zones = max(w.zones, s.Entry.Zone+1)
 		server := NewServer(s, w.engine, Stream(seed, fmt.Sprint("server ", i)), w.checker)
@@ -158,14 +158,14 @@
 	}
 	r := w.results
 	r.Events = w.engine.Run(w.start + w.opt.For + 2*longest + time.Second)
-	r.Judged(w.checker.Report())
+	r.SetReport(w.checker.Report())
 	r.Open = w.checker.open
 	r.Digest = fmt.Sprintf("%016x", w.digest.Sum64())
 	r.Finish()
 	r.Work, r.Pushed = map[string]time.Duration{}, map[string]float64{}
 	for _, s := range w.servers {
 		r.Work[s.opt.Addr], r.Pushed[s.opt.Addr] = s.work, s.peakColdLoad
-		r.ColdOver = max(r.ColdOver, s.cold.Over())
+		r.ColdOver = max(r.ColdOver, s.cold.Excess())
 	}
 	return r
 }
@@ -178,7 +178,7 @@
 	_, _ = io.WriteString(w.digest, t.digestLine(how)) // a hash.Hash never returns an error
 	c := w.settings.Classes[t.class]
 	e := End{Began: t.began - w.start, Took: w.engine.Now() - t.began, Aim: cmp.Or(c.Aim, c.Deadline), How: how}
-	w.results.Take(e)
+	w.results.RecordEnd(e)
 	if w.onEnd != nil {
 		w.onEnd(e)
 	}
@@ -191,7 +191,7 @@
 
 // applyFault injects a fault or undoes it.
 func (w *World) applyFault(f Fault, on bool) {
-	if Broad(f.What) {
+	if AffectsDiscovery(f.What) {
 		w.discovery.applyFault(f.What, on)
 		return
 	}
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -22,16 +22,16 @@
 	}
 	s.Limits = policy.Limits{MaxAttempts: 3, SecondCopies: true, Cancel: true, MaxRetryAfter: time.Second}
 	o := Options{
-		Nodes: 2, Settings: s, For: 8 * time.Second, Warm: time.Second,
-		Net:       Network{Latency: Times{Kind: "exponential", Mean: time.Millisecond}},
-		ClientNet: Times{Kind: "constant", Mean: time.Millisecond}, Told: Times{Kind: "uniform", Mean: 100 * time.Millisecond},
-		Load: Load{Rate: 250, Shares: []float64{0.7, 0.15, 0.15}, Tenants: 5, Skew: 1, Habits: comeback.Habits{Heed: 1, Tries: 3}},
+		Nodes: 2, Settings: s, For: 8 * time.Second, WarmUp: time.Second,
+		Net:       Network{Latency: Distribution{Kind: "exponential", Mean: time.Millisecond}},
+		ClientNet: Distribution{Kind: "constant", Mean: time.Millisecond}, ListDelay: Distribution{Kind: "uniform", Mean: 100 * time.Millisecond},
+		Load: Load{Rate: 250, Shares: []float64{0.7, 0.15, 0.15}, Tenants: 5, Skew: 1, Behavior: comeback.Behavior{HonorRetryAfter: 1, MaxAttempts: 3}},
 	}
-	service := Times{Kind: "lognormal", Mean: 20 * time.Millisecond, Sigma: 0.5}
+	service := Distribution{Kind: "lognormal", Mean: 20 * time.Millisecond, Sigma: 0.5}
 	for i := range 6 {
 		o.Servers = append(o.Servers, ServerOptions{
 			Entry: policy.Entry{Server: policy.ServerID(i + 1), Zone: i % 2, State: policy.Ready, Weight: 1}, Addr: fmt.Sprint("s", i+1),
-			Parallel: 4, Queue: 32, Service: map[int]Times{0: service, 1: service, 2: service},
+			Parallel: 4, Queue: 32, Service: map[int]Distribution{0: service, 1: service, 2: service},
 			Rules: s.Rules,
 		})
 	}
@@ -120,15 +120,15 @@
 
 // The rule checks detect each defect planted in a node.
 func TestPlantedDefectsAreDetected(t *testing.T) {
-	for rule, change := range map[ledger.Breach]func(*Options){
-		"a second answer":             func(o *Options) { o.Planted.Echo = true },
-		"a request without an answer": func(o *Options) { o.Planted.Swallow = 50 },
+	for rule, change := range map[ledger.Violation]func(*Options){
+		"a second answer":             func(o *Options) { o.Defects.DuplicateAnswers = true },
+		"a request without an answer": func(o *Options) { o.Defects.DropEvery = 50 },
 		"an effect happened twice": func(o *Options) {
-			o.Planted.Again = true
+			o.Defects.DuplicateUnsafe = true
 			o.Faults = []Fault{{At: 2 * time.Second, For: time.Second, What: "mute", Servers: []int{3}}}
 		},
 		"a new request after a drain": func(o *Options) {
-			o.Planted.Deaf = true
+			o.Defects.IgnoreChanges = true
 			o.Faults = []Fault{{At: 2 * time.Second, What: "drain", Servers: []int{0}}}
 		},
 	} {
@@ -153,7 +153,7 @@
 // A trace is replayed with its classes, tenants, keys and times; arrivals after the end are dropped.
 func TestTraceReplay(t *testing.T) {
 	r := run(t, smallWorld(func(o *Options) {
-		o.Warm = 0
+		o.WarmUp = 0
 		for n := range 600 {
 			o.Load.Trace = append(o.Load.Trace, Arrival{At: time.Duration(n) * 10 * time.Millisecond, Class: n % 3, Tenant: n % 5, Key: uint64(n%7 + 1)})
 		}
@@ -170,7 +170,7 @@
 	racing.Skip(t)
 	runOnRequest := func(change func(*Options)) *Results {
 		return run(t, smallWorld(func(o *Options) {
-			o.Asked, o.Call, o.AskWait = true, 5*time.Millisecond, 2*time.Second
+			o.Pull, o.Call, o.MaxWait = true, 5*time.Millisecond, 2*time.Second
 			o.For = 12 * time.Second
 			if change != nil {
 				change(o)
@@ -206,13 +206,13 @@
 		"stale":       {[]Fault{{At: 2 * time.Second, What: "stale"}, drain}, false},
 		"flap":        {[]Fault{{At: 2 * time.Second, For: 5 * time.Second, What: "flap", Servers: []int{2}, Amount: 2}}, true},
 	} {
-		ignoring := runOnRequest(func(o *Options) { o.Faults, o.Planted.Deaf = c.faults, true })
+		ignoring := runOnRequest(func(o *Options) { o.Faults, o.Defects.IgnoreChanges = c.faults, true })
 		if got := ignoring.Broken[ledger.AfterDrain] > 0; got != c.heard {
 			t.Errorf("%s: nodes received the change: %v, want %v", name, got, c.heard)
 		}
 	}
 	// With calls of 400 ms each, handled one at a time, some of 12 nodes that call within 1.1 s would wait longer than 2 s.
-	w, err := New(smallWorld(func(o *Options) { o.Asked, o.Call, o.AskWait, o.Nodes = true, 400*time.Millisecond, 2*time.Second, 12 }), 1)
+	w, err := New(smallWorld(func(o *Options) { o.Pull, o.Call, o.MaxWait, o.Nodes = true, 400*time.Millisecond, 2*time.Second, 12 }), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sip/bench_test.go
+++ b/internal/sip/bench_test.go
@@ -17,14 +17,14 @@
 	var addrs []string
 	if plain {
 		for range servers {
-			s, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: transaction.Standard().T1}, sipua.Answer)
+			s, err := sipua.NewServer(sipua.Options{Transport: "udp", T1: transaction.Standard().T1}, sipua.RingAndAnswer)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.Cleanup(s.Close)
 			all, addrs = append(all, s), append(addrs, s.Addr())
 		}
-		p, err := sipua.NewPlain(addrs)
+		p, err := sipua.NewBaselineProxy(addrs)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -43,7 +43,7 @@
 // make one after the other, or with a rate at that many a second whatever comes back.
 func calls(b *testing.B, addr string, rate float64, d time.Duration) load.Report {
 	b.Helper()
-	c, err := sipua.NewCalls(sipua.CallsOptions{URL: "sip:" + addr, T1: transaction.Standard().T1, Whole: rate == 0})
+	c, err := sipua.NewCalls(sipua.CallsOptions{URL: "sip:" + addr, T1: transaction.Standard().T1, AwaitBye: rate == 0})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/sip/config.go
+++ b/internal/sip/config.go
@@ -81,7 +81,7 @@
 func (c *Config) Check(f *tomlfile.File) {
 	if !c.On() {
 		if c.Model != "" || len(c.Servers) > 0 || c.TokenKey != "" {
-			f.Bad("sip", "no listener: one of udp, tcp and tls is needed to switch it on")
+			f.Errorf("sip", "no listener: one of udp, tcp and tls is needed to switch it on")
 		}
 		return
 	}
@@ -90,7 +90,7 @@
 			d.Duration = value
 		}
 		if d.Duration < least {
-			f.Bad("sip."+key, "%v, at least %v is needed", d.Duration, least)
+			f.Errorf("sip."+key, "%v, at least %v is needed", d.Duration, least)
 		}
 	}
 	count := func(key string, n *int, value, least int) {
@@ -98,7 +98,7 @@
 			*n = value
 		}
 		if *n < least {
-			f.Bad("sip."+key, "%d, at least %d are needed", *n, least)
+			f.Errorf("sip."+key, "%d, at least %d are needed", *n, least)
 		}
 	}
 	for _, l := range []struct{ key, at string }{{"udp", c.UDP}, {"tcp", c.TCP}, {"tls", c.TLS}} {
@@ -106,9 +106,9 @@
 			continue
 		}
 		if at, err := netip.ParseAddrPort(l.at); err != nil {
-			f.Bad("sip."+l.key, "%q is no address and port, as in \"127.0.0.1:5060\"; there are no name look-ups", l.at)
+			f.Errorf("sip."+l.key, "%q is no address and port, as in \"127.0.0.1:5060\"; there are no name look-ups", l.at)
 		} else if at.Addr().IsUnspecified() {
-			f.Bad("sip."+l.key, "%q: other elements must be told an address that leads here, so it can't be unspecified", l.at)
+			f.Errorf("sip."+l.key, "%q: other elements must be told an address that leads here, so it can't be unspecified", l.at)
 		}
 	}
 	longest := time.Duration(0)
@@ -123,7 +123,7 @@
 		least(key+".deadline", &class.Deadline, defaults[i][1], class.Aim.Duration)
 		longest = max(longest, class.Deadline.Duration)
 		if i == int(proxy.Calls) && class.RepeatsDropped.Duration > 0 {
-			f.Bad("sip."+key+".repeats_dropped", "an INVITE rings a phone, so it is never repeated")
+			f.Errorf("sip."+key+".repeats_dropped", "an INVITE rings a phone, so it is never repeated")
 		}
 	}
 	least("dialog_for", &c.DialogFor, 24*time.Hour, time.Minute)
@@ -137,32 +137,32 @@
 	count("limits.message", &c.Limits.Message.Bytes, 16<<10, 1<<10)
 	count("instances", &c.Instances, 1, 1)
 	if most := 60 << 10; c.Limits.Message.Bytes > most {
-		f.Bad("sip.limits.message", "%d bytes, a datagram holds no more than %d", c.Limits.Message.Bytes, most)
+		f.Errorf("sip.limits.message", "%d bytes, a datagram holds no more than %d", c.Limits.Message.Bytes, most)
 	}
 	if c.Upstream.Transport == "" {
 		c.Upstream.Transport = "udp"
 	}
 	switch transport, ok := transports[c.Upstream.Transport]; {
 	case !ok:
-		f.Bad("sip.upstream.transport", "%q is none of udp, tcp and tls", c.Upstream.Transport)
+		f.Errorf("sip.upstream.transport", "%q is none of udp, tcp and tls", c.Upstream.Transport)
 	case transport == proxy.UDP && c.UDP == "":
-		f.Bad("sip.upstream.transport", "udp: servers are reached from the udp listener, and there is none")
+		f.Errorf("sip.upstream.transport", "udp: servers are reached from the udp listener, and there is none")
 	}
 	switch {
 	case c.Model == "" && len(c.Servers) == 0:
-		f.Bad("sip", "no servers: name their model in discovery's list, or list them as [[sip.server]]")
+		f.Errorf("sip", "no servers: name their model in discovery's list, or list them as [[sip.server]]")
 	case c.Model != "" && len(c.Servers) > 0:
-		f.Bad("sip.model", "servers come from discovery's list or from [[sip.server]], not from both")
+		f.Errorf("sip.model", "servers come from discovery's list or from [[sip.server]], not from both")
 	}
 	listed.Check(f, "sip.server", c.Servers)
 	if _, err := c.sealer(); err != nil {
-		f.Bad("sip.token_key", "%v", err)
+		f.Errorf("sip.token_key", "%v", err)
 	}
 	if _, err := c.serverTLS(); err != nil {
-		f.Bad("sip.tls", "%v", err)
+		f.Errorf("sip.tls", "%v", err)
 	}
 	if _, err := c.clientTLS(); err != nil {
-		f.Bad("sip.upstream", "%v", err)
+		f.Errorf("sip.upstream", "%v", err)
 	}
 }
 
@@ -209,7 +209,7 @@
 	t := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{cert}}
 	if c.ClientCA != "" {
 		t.ClientAuth = tls.RequireAndVerifyClientCert
-		t.ClientCAs, err = tlsfile.Pool(c.ClientCA)
+		t.ClientCAs, err = tlsfile.LoadCertPool(c.ClientCA)
 	}
 	return t, err
 }
@@ -219,7 +219,7 @@
 	if c.Upstream.Transport != "tls" {
 		return nil, nil
 	}
-	return tlsfile.Client(c.Upstream.CA, c.Upstream.Name, c.Upstream.Cert, c.Upstream.Key)
+	return tlsfile.ClientConfig(c.Upstream.CA, c.Upstream.Name, c.Upstream.Cert, c.Upstream.Key)
 }
 
 // grain is the signalling time below which servers are alike: a caller notices none of
@@ -235,7 +235,7 @@
 	worth := [proxy.Classes]float64{proxy.Calls: 10, proxy.Registers: 2, proxy.Subscribes: 1, proxy.Pings: 1, proxy.Others: 1}
 	for i, class := range c.classes() {
 		p := policy.Class{
-			Aim: class.Aim.Duration, Deadline: class.Deadline.Duration, Worth: worth[i], LateWorth: 0.5, Grain: grain,
+			Aim: class.Aim.Duration, Deadline: class.Deadline.Duration, Worth: worth[i], LateWorth: 0.5, LatencyFloor: grain,
 			Effect: policy.Unsafe, Parked: i == int(proxy.Calls),
 		}
 		switch {
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -57,7 +57,7 @@
 // waiting is an attempt of the core that the Machine owes an end.
 type waiting struct {
 	end  chan<- proxy.End
-	turn core.Turn
+	turn core.AttemptHandle
 }
 
 // asked is a request that the core owes an answer.
@@ -229,7 +229,7 @@
 	}
 }
 
-// Members hands over the pool's list or changes to it, as core.Loop.Members does.
+// Members hands over the pool's list or changes to it, as core.Loop.UpdateServers does.
 func (f *Front) Members(kind policy.ListKind, entries []policy.Entry, addrs []string) {
 	// The Machine first: dialogs begin where the loop sends.
 	f.post(func() {
@@ -251,7 +251,7 @@
 		}
 		f.machine.Servers(list)
 	})
-	f.loop.Members(kind, entries, addrs)
+	f.loop.UpdateServers(kind, entries, addrs)
 }
 
 // peer reads a server's address.
@@ -327,7 +327,7 @@
 }
 
 // Attempt implements core.Message.
-func (c call) Attempt(ctx context.Context, to core.Server, _ time.Time, turn core.Turn) core.Reply {
+func (c call) Attempt(ctx context.Context, to core.Server, _ time.Time, turn core.AttemptHandle) core.AttemptResult {
 	f := c.front
 	peer, err := f.peer(to.Addr)
 	if err == nil && f.transport.Reliable() {
@@ -335,9 +335,9 @@
 	}
 	switch {
 	case errors.Is(err, errNoConnections), ctx.Err() != nil:
-		return core.Reply{Status: policy.Moot} // says nothing of the server
+		return core.AttemptResult{Status: policy.NotSent} // says nothing of the server
 	case err != nil:
-		return core.Reply{Status: policy.ConnectFailed}
+		return core.AttemptResult{Status: policy.ConnectFailed}
 	}
 	end := make(chan proxy.End, 1)
 	attempt := f.attempts.Add(1)
@@ -345,11 +345,11 @@
 		f.waiting[attempt] = waiting{end, turn}
 		f.machine.Attempt(f.now(), c.id, attempt, uint64(to.ID), peer, turn.Begin)
 	}) {
-		return core.Reply{Status: policy.Moot}
+		return core.AttemptResult{Status: policy.NotSent}
 	}
 	select {
 	case e := <-end:
-		return core.Reply{Status: proxy.Outcomes[e].Status}
+		return core.AttemptResult{Status: proxy.Outcomes[e].Status}
 	case <-ctx.Done():
 		f.post(func() {
 			delete(f.waiting, attempt)
@@ -357,7 +357,7 @@
 		})
 	case <-f.stopped:
 	}
-	return core.Reply{Status: policy.Timeout}
+	return core.AttemptResult{Status: policy.Timeout}
 }
 
 // Submit implements proxy.Host.
@@ -385,16 +385,16 @@
 		f.post(func() {
 			if _, waits := f.asked[a.ID]; waits {
 				delete(f.asked, a.ID)
-				f.machine.Answer(f.now(), a.ID, answered[answer.Kind], answer.RetryAfter)
+				f.machine.Answer(f.now(), a.ID, answered[answer.Outcome], answer.RetryAfter)
 			}
 		})
 	}()
 }
 
 // answered gives the core's words in the Machine's.
-var answered = [core.Kinds]proxy.Answer{
+var answered = [core.NumOutcomes]proxy.Answer{
 	core.Served: proxy.AnswerServed, core.Refused: proxy.AnswerRefused, core.Failed: proxy.AnswerFailed,
-	core.Overdue: proxy.AnswerOverdue, core.Duplicate: proxy.AnswerDuplicate, core.Left: proxy.AnswerServed,
+	core.DeadlineExceeded: proxy.AnswerOverdue, core.Duplicate: proxy.AnswerDuplicate, core.ClientGone: proxy.AnswerServed,
 }
 
 // Leave implements proxy.Host.
@@ -402,7 +402,7 @@
 	if q, ok := f.asked[id]; ok {
 		delete(f.asked, id)
 		close(q.left)
-		f.loop.Leave(q.ticket)
+		f.loop.ClientGone(q.ticket)
 	}
 }
 
@@ -417,14 +417,14 @@
 // Taken implements proxy.Host.
 func (f *Front) Taken(attempt uint64) {
 	if w, ok := f.waiting[attempt]; ok {
-		w.turn.Taken()
+		w.turn.Accepted()
 	}
 }
 
 // Started implements proxy.Host.
 func (f *Front) Started(attempt uint64) {
 	if w, ok := f.waiting[attempt]; ok {
-		w.turn.Started()
+		w.turn.StreamStarted()
 	}
 }
 
--- a/internal/sip/front_test.go
+++ b/internal/sip/front_test.go
@@ -81,7 +81,7 @@
 		o.transport = "udp"
 	}
 	if o.script == nil {
-		o.script = sipua.Answer
+		o.script = sipua.RingAndAnswer
 	}
 	if o.key == "" {
 		o.key = keyFile(t)
@@ -156,7 +156,7 @@
 // one checks that a transaction has exactly one final response, of a code.
 func one(t *testing.T, tx *sipua.Transaction, code int) {
 	t.Helper()
-	if got := tx.Final(limit); got != code {
+	if got := tx.AwaitFinal(limit); got != code {
 		t.Fatalf("%s ended with %d, want %d", tx.Method, got, code)
 	}
 	if f := tx.Finals(); len(f) != 1 {
@@ -171,7 +171,7 @@
 			d := open(t, deskOptions{transport: transport})
 			invite := d.caller.Send(sipua.Request{Method: "INVITE"})
 			one(t, invite, 200)
-			if !invite.Heard(180, limit) {
+			if !invite.AwaitCode(180, limit) {
 				t.Error("no 180")
 			}
 			s := d.servers[0]
@@ -186,7 +186,7 @@
 			if n := s.Count("BYE", invite.CallID); n != 1 {
 				t.Errorf("%d BYEs", n)
 			}
-			s.Play(func(c *sipua.Call) {
+			s.SetScript(func(c *sipua.Call) {
 				c.Reply(200)
 				if c.Acked(limit) {
 					c.Bye()
@@ -194,7 +194,7 @@
 			})
 			back := d.caller.Send(sipua.Request{Method: "INVITE"})
 			one(t, back, 200)
-			if !d.caller.AwaitAsked("BYE", back.CallID, limit) || !s.Await("200", back.CallID, 1, limit) {
+			if !d.caller.AwaitReceived("BYE", back.CallID, limit) || !s.Await("200", back.CallID, 1, limit) {
 				t.Error("a BYE from the server did not go through")
 			}
 			for _, method := range []string{"REGISTER", "OPTIONS", "SUBSCRIBE", "MESSAGE"} {
--- a/internal/sip/hard_test.go
+++ b/internal/sip/hard_test.go
@@ -131,16 +131,16 @@
 		{"before 100", func(c *sipua.Call) { <-d100; ringing(c) }, func(d *desk, tx *sipua.Transaction) []*sipua.Transaction {
 			d.await("the INVITE is at no server", func(View) bool { return d.invites(tx) == 1 })
 			cancel := tx.Cancel()
-			cancel.Final(limit)
+			cancel.AwaitFinal(limit)
 			d100 <- struct{}{}
 			return []*sipua.Transaction{cancel}
 		}, 487},
 		{"after 180", ringing, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+			tx.AwaitCode(180, limit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
 		{"after 180, heeded by nobody", func(c *sipua.Call) { c.Reply(180) }, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+			tx.AwaitCode(180, limit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
 		{"a 200 answers it", func(c *sipua.Call) {
@@ -149,7 +149,7 @@
 				c.Reply(200)
 			}
 		}, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+			tx.AwaitCode(180, limit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 200},
 		{"a 503 answers it", func(c *sipua.Call) {
@@ -158,20 +158,20 @@
 				c.Reply(503)
 			}
 		}, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+			tx.AwaitCode(180, limit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
-		{"after 200", sipua.Answer, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Final(limit)
+		{"after 200", sipua.RingAndAnswer, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.AwaitFinal(limit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 200},
 		{"twice", ringing, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+			tx.AwaitCode(180, limit)
 			tx.Cancel() // the same transaction: only the later one is on the caller's books
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
 		{"on another connection", ringing, func(d *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+			tx.AwaitCode(180, limit)
 			if err := d.caller.Reconnect(d.front.Listen()["tcp"]); err != nil {
 				d.t.Fatal(err)
 			}
@@ -187,7 +187,7 @@
 				d := open(t, deskOptions{transport: transport, servers: 2, change: soon(limit), script: c.script})
 				tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 				for _, cancel := range c.play(d, tx) {
-					if cancel.Final(limit) != 200 {
+					if cancel.AwaitFinal(limit) != 200 {
 						t.Errorf("CANCEL: %q", cancel.Finals())
 					}
 				}
@@ -211,7 +211,7 @@
 	}
 	defer stranger.Close()
 	q = sipua.Request{Method: "CANCEL", CallID: invite.CallID, Branch: invite.Branch, Via: "SIP/2.0/UDP " + d.caller.Addr() + ";rport;branch=" + invite.Branch}
-	if code := stranger.Send(q).Final(limit); code != 481 {
+	if code := stranger.Send(q).AwaitFinal(limit); code != 481 {
 		t.Errorf("a stranger's CANCEL: %d", code)
 	}
 }
@@ -255,18 +255,18 @@
 			for n := range 12 {
 				all.Go(func() {
 					if n%4 == 3 {
-						if tx := d.caller.Send(sipua.Request{Method: "OPTIONS"}); tx.Final(limit) != 200 || len(tx.Finals()) != 1 {
+						if tx := d.caller.Send(sipua.Request{Method: "OPTIONS"}); tx.AwaitFinal(limit) != 200 || len(tx.Finals()) != 1 {
 							t.Errorf("OPTIONS: %q", tx.Finals())
 						}
 						return
 					}
 					tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-					if code := tx.Final(limit); code != 200 {
+					if code := tx.AwaitFinal(limit); code != 200 {
 						t.Errorf("%d", code)
 					}
 					q := tx.Dialog()
 					q.Method = "BYE"
-					if code := d.caller.Send(q).Final(limit); code != 200 {
+					if code := d.caller.Send(q).AwaitFinal(limit); code != 200 {
 						t.Errorf("BYE: %d", code)
 					}
 					if n := d.invites(tx); n != 1 || len(tx.Finals()) != 1 {
@@ -315,12 +315,12 @@
 				bad.Close()
 				d.servers[0] = d.servers[1]
 			} else {
-				bad.Play(c.script)
+				bad.SetScript(c.script)
 			}
 			met, finals := 0, map[int]int{}
 			for range 20 {
 				tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-				code := tx.Final(limit)
+				code := tx.AwaitFinal(limit)
 				if len(tx.Finals()) != 1 {
 					t.Fatalf("the finals %q", tx.Finals())
 				}
@@ -461,16 +461,16 @@
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	d := open(t, deskOptions{servers: 3})
 	ready := make(chan struct{})
-	d.servers[0].Play(func(c *sipua.Call) {
+	d.servers[0].SetScript(func(c *sipua.Call) {
 		<-ready
-		sipua.Answer(c)
+		sipua.RingAndAnswer(c)
 	})
 	d.list(func(e []policy.Entry) { e[0].Started = d.front.now() })
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
 			for range 5 {
-				if code := d.caller.Send(sipua.Request{Method: "INVITE"}).Final(limit); code != 200 {
+				if code := d.caller.Send(sipua.Request{Method: "INVITE"}).AwaitFinal(limit); code != 200 {
 					t.Errorf("%d", code)
 				}
 			}
@@ -498,7 +498,7 @@
 	for n := 0; refused == nil; n++ {
 		tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 		began := time.Now()
-		switch code := tx.Final(limit); {
+		switch code := tx.AwaitFinal(limit); {
 		case code == 503:
 			refused = tx
 			if took := time.Since(began); took > time.Second {
@@ -512,7 +512,7 @@
 		t.Errorf("Retry-After: %q", retryAfter(refused))
 	}
 	for _, s := range d.servers {
-		s.Play(sipua.Answer)
+		s.SetScript(sipua.RingAndAnswer)
 	}
 	d.await("no breaker closed", func(v View) bool {
 		return v.Pool.Servers[0].Breaker == "closed" && v.Pool.Servers[1].Breaker == "closed"
@@ -541,7 +541,7 @@
 	}})
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 	s := d.servers[0]
-	if tx.Final(limit) != 200 || !s.Await("ACK", tx.CallID, 2, limit) {
+	if tx.AwaitFinal(limit) != 200 || !s.Await("ACK", tx.CallID, 2, limit) {
 		t.Fatalf("%q", tx.Finals())
 	}
 	got := map[string]bool{}
@@ -568,7 +568,7 @@
 	}})
 	call := d.caller.Send(sipua.Request{Method: "INVITE"})
 	one(t, call, 200)
-	d.servers[0].Play(func(c *sipua.Call) { c.Reply(100); c.Cancelled(limit) })
+	d.servers[0].SetScript(func(c *sipua.Call) { c.Reply(100); c.Cancelled(limit) })
 	waits, sources := map[string]bool{}, 6
 	var lost []*sipua.Transaction
 	for n := range sources {
@@ -579,7 +579,7 @@
 		defer flooder.Close()
 		for range 30 {
 			tx := flooder.Send(sipua.Request{Method: "INVITE"})
-			if tx.First(limit) == 503 {
+			if tx.AwaitFirst(limit) == 503 {
 				waits[retryAfter(tx)] = true
 				lost = append(lost, tx)
 			}
@@ -630,7 +630,7 @@
 					i := rng.IntN(len(text))
 					text = append(text[:i:i], text[min(len(text), i+rng.IntN(40)):]...)
 				}
-				if noisy.Raw(text) != nil { // a stream that carried noise is closed
+				if noisy.SendRaw(text) != nil { // a stream that carried noise is closed
 					if err := noisy.Reconnect(d.front.Listen()[transport]); err != nil {
 						t.Fatal(err)
 					}
@@ -646,7 +646,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if code := c.Send(q).Final(limit); code != want {
+				if code := c.Send(q).AwaitFinal(limit); code != want {
 					t.Errorf("%d, want %d", code, want)
 				}
 				c.Close()
@@ -685,12 +685,12 @@
 		t.Errorf("%d of the proxy's own OPTIONS went on", n)
 	}
 	// Back at the proxy as it left: a loop. With another Request-URI: a spiral.
-	d.servers[0].Play(func(c *sipua.Call) {
+	d.servers[0].SetScript(func(c *sipua.Call) {
 		c.Reply(100)
 		uri := c.Request.Recipient.String()
 		text := strings.Replace(c.Request.String(), uri, map[bool]string{true: "sip:other@pool.invalid", false: uri}[uri == "sip:spiral@pool.invalid"], 1)
 		if uri == "sip:other@pool.invalid" {
-			sipua.Answer(c)
+			sipua.RingAndAnswer(c)
 			return
 		}
 		via := fmt.Sprintf("Via: SIP/2.0/UDP %s;branch=z9hG4bKback%s\r\nVia:", d.servers[0].Addr(), c.Request.CallID().Value())
@@ -716,7 +716,7 @@
 func TestDrainEndsWhatRings(t *testing.T) {
 	d := open(t, deskOptions{script: func(c *sipua.Call) { c.Reply(180); c.Cancelled(limit) }, change: func(c *Config) { c.Drain.Duration = 300 * time.Millisecond }})
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-	if !tx.Heard(180, limit) {
+	if !tx.AwaitCode(180, limit) {
 		t.Fatal("it does not ring")
 	}
 	d.front.Drain(t.Context())
@@ -736,8 +736,8 @@
 		}
 	}
 	must(pki.Init(dir, "test", time.Now()))
-	must(pki.Issue(dir, pki.Request{Name: "node", Role: pki.Agent, Hosts: []string{"127.0.0.1"}, For: time.Hour}, time.Now()))
-	must(pki.Issue(dir, pki.Request{Name: "phone", Role: pki.Operator, For: time.Hour}, time.Now()))
+	must(pki.Issue(dir, pki.Request{Name: "node", Role: pki.Agent, Hosts: []string{"127.0.0.1"}, ValidFor: time.Hour}, time.Now()))
+	must(pki.Issue(dir, pki.Request{Name: "phone", Role: pki.Operator, ValidFor: time.Hour}, time.Now()))
 	file := func(name string) string { return filepath.Join(dir, name) }
 	cert, err := tls.LoadX509KeyPair(file("node.pem"), file("node.key"))
 	must(err)
@@ -799,7 +799,7 @@
 	q := sipua.Request{Method: "OPTIONS"}
 	text := d.caller.Write(&q)
 	for end := time.Now().Add(limit); d.front.dropped.Load() == 0; {
-		if err := d.caller.Raw(text); err != nil || time.Now().After(end) {
+		if err := d.caller.SendRaw(text); err != nil || time.Now().After(end) {
 			t.Fatalf("nothing is dropped: %v", err)
 		}
 	}
@@ -831,7 +831,7 @@
 		d := open(t, deskOptions{servers: 2, change: func(c *Config) { c.Class.Register.RepeatsDropped.Duration = dropped }})
 		for _, s := range d.servers {
 			for _, method := range []string{"REGISTER", "OPTIONS", "MESSAGE"} {
-				s.Answers(method, 500)
+				s.SetCode(method, 500)
 			}
 		}
 		for method, want := range map[string]int{"REGISTER": map[bool]int{true: 2, false: 1}[dropped > 0], "OPTIONS": 2, "MESSAGE": 1} {
--- a/internal/sip/proxy/outcome.go
+++ b/internal/sip/proxy/outcome.go
@@ -50,7 +50,7 @@
 	Silent:   {"silent", policy.Timeout, true, false},
 	Stalled:  {"stalled", policy.Timeout, true, false},
 	RangOut:  {"rang out", policy.Timeout, true, false},
-	Unsent:   {"unsent", policy.Moot, false, false},
+	Unsent:   {"unsent", policy.NotSent, false, false},
 }
 
 // String names an end as operators see it.
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -52,8 +52,8 @@
 	FallFor      time.Duration
 	Cold         bool // starts cold
 	Seed         uint64
-	// Arrived, if set, is called with each request's ID on arrival.
-	Arrived func(id string, at time.Time)
+	// OnArrival, if set, is called with each request's ID on arrival.
+	OnArrival func(id string, at time.Time)
 }
 
 // Box is an app box on loopback. The methods that change its behavior may be called at
@@ -79,7 +79,7 @@
 	draining   bool
 	fell       bool
 	admitted   int
-	cold       ledger.Cold
+	cold       ledger.ColdLoad
 	excessWork float64 // seconds of work beyond a cold box's limit, see addColdWork
 	excessAt   time.Time
 	rng        *rand.Rand
@@ -280,11 +280,11 @@
 }
 
 // ColdOver returns the number of requests, of mean work, that came while the box was cold beyond what the rules
-// allow and chance explains; see ledger.Cold.
+// allow and chance explains; see ledger.ColdLoad.
 func (b *Box) ColdOver() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cold.Over()
+	return b.cold.Excess()
 }
 
 // ServeHTTP handles a request from a node. A request that has begun to run goes on to its
@@ -301,17 +301,17 @@
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, 64<<10)); err != nil {
 		return // the request did not arrive whole and never runs
 	}
-	drainKnown, _ := b.discovery.ToldAll(b.opt.UID)
-	b.ledger.Arrived(id, b.opt.UID, now, drainKnown)
-	if b.opt.Arrived != nil {
-		b.opt.Arrived(id, now)
+	drainKnown, _ := b.discovery.DeliveredToAll(b.opt.UID)
+	b.ledger.RecordAttempt(id, b.opt.UID, now, drainKnown)
+	if b.opt.OnArrival != nil {
+		b.opt.OnArrival(id, now)
 	}
 
 	b.mu.Lock()
 	if b.addColdWork(now, class.Work) && !b.fell {
 		b.fell = true
 		b.mu.Unlock()
-		b.ledger.Fell(b.opt.UID)
+		b.ledger.RecordFall(b.opt.UID)
 		b.Crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -338,7 +338,7 @@
 		return
 	}
 	b.cores <- struct{}{}
-	if b.ledger.Ran(id, b.opt.UID, class.Effect, class.Window, time.Now()) {
+	if b.ledger.RecordRun(id, b.opt.UID, class.Effect, class.Window, time.Now()) {
 		time.Sleep(took)
 	}
 	<-b.cores
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -105,8 +105,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// In returns the number of available nodes.
-func (f *Front) In() int {
+// Available returns the number of available nodes.
+func (f *Front) Available() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -118,8 +118,8 @@
 	return n
 }
 
-// Out returns the addresses of the nodes that are not available.
-func (f *Front) Out() []string {
+// Unavailable returns the addresses of the nodes that are not available.
+func (f *Front) Unavailable() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
@@ -159,16 +159,16 @@
 	Skew    float64 // exponent of the Zipf distribution over tenants; 0: uniform
 	Keys    int     // number of distinct keys in request paths
 	Seed    uint64
-	Most    int // bound on open requests; above it none is sent, see Clients.Skipped
-	// Whole gives each request the full deadline of its class instead of 70% to 100% of it.
-	Whole    bool
-	Comeback comeback.Habits // retries after a refusal, or after a failure of a request that may run twice
-	// Ended, if set, is called at the end of each request, on any goroutine.
-	Ended func(End)
+	MaxOpen int // bound on open requests; above it none is sent, see Clients.Skipped
+	// FullDeadline gives each request the full deadline of its class instead of 70% to 100% of it.
+	FullDeadline bool
+	Comeback     comeback.Behavior // retries after a refusal, or after a failure of a request that may run twice
+	// OnEnd, if set, is called at the end of each request, on any goroutine.
+	OnEnd func(RequestResult)
 }
 
-// End is the result of a request, over all of its tries.
-type End struct {
+// RequestResult is the result of a request, over all of its tries.
+type RequestResult struct {
 	Class   int
 	Due     time.Time // the scheduled time of sending
 	Took    time.Duration
@@ -197,7 +197,7 @@
 func NewClients(opt ClientOptions, f *Front, l *Ledger) *Clients {
 	c := &Clients{opt: opt, front: f, ledger: l, latencies: load.NewRecorder(), finished: make(chan struct{})}
 	f.mu.Lock()
-	f.onExtraAnswer = func(id string) { l.Answered(id, "", Failed, time.Now()) }
+	f.onExtraAnswer = func(id string) { l.RecordAnswer(id, "", Failed, time.Now()) }
 	f.mu.Unlock()
 	sum := 0.0
 	for i := range opt.Tenants {
@@ -241,7 +241,7 @@
 			}
 			return c.opt.Rate
 		},
-		For: maxRun, Open: c.opt.Most, TimeOut: longest + answerGrace, Seed: c.opt.Seed, Record: c.latencies,
+		For: maxRun, Open: c.opt.MaxOpen, TimeOut: longest + answerGrace, Seed: c.opt.Seed, Record: c.latencies,
 	})
 	if err != nil {
 		report.Void = err.Error()
@@ -253,7 +253,7 @@
 // Ask implements load.Target: it sends one client's request, with all of its tries.
 func (c *Clients) Ask(ctx context.Context, n uint64, due time.Time) load.Outcome {
 	rng := rand.New(rand.NewPCG(c.opt.Seed, n))
-	e := End{Class: c.drawClass(rng.Float64()), Due: due, Outcome: Lost}
+	e := RequestResult{Class: c.drawClass(rng.Float64()), Due: due, Outcome: Lost}
 	class := c.opt.Classes[e.Class]
 	tenant := ""
 	if len(c.tenantWeights) > 0 {
@@ -262,7 +262,7 @@
 	}
 	key := rng.IntN(max(c.opt.Keys, 1))
 	left := class.Deadline
-	if !c.opt.Whole {
+	if !c.opt.FullDeadline {
 		left = time.Duration(float64(class.Deadline) * (0.7 + 0.3*rng.Float64()))
 	}
 	end := time.Now().Add(left)
@@ -276,8 +276,8 @@
 		}
 		e.Sent = true
 		e.Tries++
-		wait, again := client.Again(comeback.Answer{
-			Tries: e.Tries, Refused: e.Outcome == Refused, Unsafe: class.Effect == Unsafe, RetryAfter: retryAfter, Left: time.Until(end),
+		wait, again := client.Retry(comeback.Answer{
+			Attempts: e.Tries, Refused: e.Outcome == Refused, Unsafe: class.Effect == Unsafe, RetryAfter: retryAfter, TimeLeft: time.Until(end),
 		}, rng)
 		if e.Outcome == Served || e.Outcome == Lost || !again {
 			break
@@ -291,8 +291,8 @@
 	if e.Outcome == Served && e.Took <= class.Aim {
 		c.withinAim.Add(1)
 	}
-	if c.opt.Ended != nil {
-		c.opt.Ended(e)
+	if c.opt.OnEnd != nil {
+		c.opt.OnEnd(e)
 	}
 	return [...]load.Outcome{Served: load.Served, Refused: load.Refused, Failed: load.Failed, Lost: load.Broken}[e.Outcome]
 }
@@ -322,7 +322,7 @@
 		}
 		outcome, retryAfter, err := c.sendTo(ctx, n, id, class, tenant, key, left-time.Since(began))
 		if !errors.Is(err, errNotSent) {
-			c.ledger.Answered(id, class.Name, outcome, time.Now())
+			c.ledger.RecordAnswer(id, class.Name, outcome, time.Now())
 			return outcome, retryAfter, true
 		}
 		c.front.exclude(n)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -89,22 +89,22 @@
 	d.notifyWatches()
 }
 
-// Down makes discovery fail or work again. Watches at a shared outlet end when it goes down.
-func (d *Discovery) Down(down bool) {
+// SetDown makes discovery fail or work again. Watches at a shared outlet end when it goes down.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
 	d.notifyWatches()
 }
 
-// Overbook makes discovery answer one call in so many and reject the others as busy; 0 ends that.
-func (d *Discovery) Overbook(one int) {
+// RejectAllButOneIn makes discovery answer one call in so many and reject the others as busy; 0 ends that.
+func (d *Discovery) RejectAllButOneIn(one int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.answerOneIn = one
 }
 
-// rejectsCall counts a call and reports whether Overbook has it rejected.
+// rejectsCall counts a call and reports whether RejectAllButOneIn has it rejected.
 func (d *Discovery) rejectsCall() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,10 +157,10 @@
 	return a
 }
 
-// ToldAll returns the time since which every outlet counts as having delivered that a target
+// DeliveredToAll returns the time since which every outlet counts as having delivered that a target
 // is no longer in service; false if it is in service or the change is not in the history. An
 // outlet that has not delivered it counts as of assumedDelivery after the change.
-func (d *Discovery) ToldAll(uid string) (time.Time, bool) {
+func (d *Discovery) DeliveredToAll(uid string) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t, listed := d.targets[uid]; listed && t.State == InService {
@@ -214,13 +214,13 @@
 	at  time.Time
 }
 
-// Pushed opens the outlet of one node. It answers without queueing, and not at all while
+// NewPushOutlet opens the outlet of one node. It answers without queueing, and not at all while
 // discovery is down.
-func (d *Discovery) Pushed() (*Outlet, error) { return d.outlet(nil, 0) }
+func (d *Discovery) NewPushOutlet() (*Outlet, error) { return d.outlet(nil, 0) }
 
-// Asked opens the outlet that all nodes share. It serves calls one at a time, each taking
+// NewSharedOutlet opens the outlet that all nodes share. It serves calls one at a time, each taking
 // service, and fails those that waited for two seconds, and all while discovery is down.
-func (d *Discovery) Asked(service time.Duration) (*Outlet, error) {
+func (d *Discovery) NewSharedOutlet(service time.Duration) (*Outlet, error) {
 	return d.outlet(make(chan struct{}, 1), service)
 }
 
--- a/internal/standin/faults/bans.go
+++ b/internal/standin/faults/bans.go
@@ -24,14 +24,14 @@
 	Asked, Answer time.Time
 }
 
-// Words is the input of CheckWords, the checker of the fleet's word (the fleet-wide bans).
-type Words struct {
+// BanEvidence is the input of CheckWords, the checker of the fleet's word (the fleet-wide bans).
+type BanEvidence struct {
 	Logs     map[string]string // paths of the nodes' own logs, by AGENT/INSTANCE
 	Arrivals []Arrival
 	Claims   []Claim
-	// Agreed is when each version was known to be agreed on, Out the servers that it bans.
+	// Agreed is when each version was known to be agreed on, Banned the servers that it bans.
 	Agreed map[uint64]time.Time
-	Out    map[uint64][]string
+	Banned map[uint64][]string
 }
 
 const (
@@ -56,9 +56,9 @@
 	version uint64
 }
 
-// CheckWords checks how the fleet's word was applied, from the nodes' logs, the requests that boxes received and
+// CheckBans checks how the fleet's word was applied, from the nodes' logs, the requests that boxes received and
 // the answers that operators got. It shares no code with the production code that applies it.
-func CheckWords(w Words) (broken []string, lives int, err error) {
+func CheckBans(w BanEvidence) (broken []string, lives int, err error) {
 	report := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
 	runs := map[string][]processRun{}
 	for _, node := range slices.Sorted(maps.Keys(w.Logs)) {
@@ -100,7 +100,7 @@
 		if run == nil {
 			continue
 		}
-		if from := a.At.Add(-sendGrace); run.excludedThroughout(from, a.At, func(v uint64) bool { return slices.Contains(w.Out[v], a.Box) }) {
+		if from := a.At.Add(-sendGrace); run.excludedThroughout(from, a.At, func(v uint64) bool { return slices.Contains(w.Banned[v], a.Box) }) {
 			if key := a.Node + " " + a.Box + " " + strconv.FormatUint(run.versionAt(from), 10); !seen[key] {
 				seen[key] = true
 				report("%s sent a request to %s at %s, which version %d bans", a.Node, a.Box, a.At.Format(time.StampMilli), run.versionAt(from))
--- a/internal/standin/faults/check.go
+++ b/internal/standin/faults/check.go
@@ -18,27 +18,27 @@
 
 // Files are the files written by a fleet's processes.
 type Files struct {
-	// Cuts counts the power cuts of each agent's machine. PutBack names agents whose record and copy
+	// Cuts counts the power cuts of each agent's machine. Restored names agents whose record and copy
 	// were both restored to an old state: no process then knows of an order that was in progress.
-	Cuts    map[string]int
-	PutBack map[string]bool
-	Records map[string][]string // paths by agent; lost records come first, in the order of their loss
-	Logs    map[string]string   // paths by AGENT/INSTANCE
+	Cuts     map[string]int
+	Restored map[string]bool
+	Records  map[string][]string // paths by agent; lost records come first, in the order of their loss
+	Logs     map[string]string   // paths by AGENT/INSTANCE
 }
 
 // Verdict is the result of Check.
 type Verdict struct {
-	Broken []string // a description of each violated guarantee
-	// Away is the highest number of instances that were unavailable at the same time according to their
+	Violations []string // a description of each violated guarantee
+	// MaxUnavailable is the highest number of instances that were unavailable at the same time according to their
 	// own logs, Starts how often each was started.
-	Away   int
-	Starts map[string]int
+	MaxUnavailable int
+	Starts         map[string]int
 	// Effects counts the effects under fences, Fenced the operations that a fence stopped.
 	Effects, Fenced int
 }
 
 func (v *Verdict) violation(format string, args ...any) {
-	v.Broken = append(v.Broken, fmt.Sprintf(format, args...))
+	v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 }
 
 // Check checks a fleet by its files alone, once nothing is in progress: the tokens in each agent's
@@ -103,11 +103,11 @@
 			}
 		case e.Fence != nil:
 			advance(e.Fence.Fence, "a raise")
-		case e.Fleet != nil:
-			if e.Fleet.Fence != nil {
-				advance(*e.Fleet.Fence, "the fleet's word")
+		case e.FleetBans != nil:
+			if e.FleetBans.Fence != nil {
+				advance(*e.FleetBans.Fence, "the fleet's word")
 			}
-			if w := e.Fleet.Word.Version; w < banVersion && len(paths) == 1 {
+			if w := e.FleetBans.Bans.Version; w < banVersion && len(paths) == 1 {
 				v.violation("%s: the fleet's version %d behind %d", agent, w, banVersion)
 			} else {
 				banVersion = w
@@ -137,7 +137,7 @@
 				}
 				notes[key][e.Step.Note] = ""
 				// After a power cut an order in progress goes on with another process.
-				if powerCut := strings.HasSuffix(key, " started") && f.Cuts[agent] > 0; len(notes[key]) > 1 && !powerCut && !f.PutBack[agent] {
+				if powerCut := strings.HasSuffix(key, " started") && f.Cuts[agent] > 0; len(notes[key]) > 1 && !powerCut && !f.Restored[agent] {
 					v.violation("%s: order %s has %s of more than one process: %v", agent, op, e.Step.Name, slices.Sorted(maps.Keys(notes[key])))
 				}
 			}
@@ -203,15 +203,15 @@
 	unavailable := 0
 	for _, c := range all {
 		unavailable += c.delta
-		v.Away = max(v.Away, unavailable)
+		v.MaxUnavailable = max(v.MaxUnavailable, unavailable)
 	}
 	return nil
 }
 
-// Once checks that a job that has ended restarted instances as it reports: once those that are
+// CheckRestartedOnce checks that a job that has ended restarted instances as it reports: once those that are
 // done, and never the others. before is how often each had been started when the job was
 // submitted.
-func (v *Verdict) Once(j *duty.Job, before int) {
+func (v *Verdict) CheckRestartedOnce(j *duty.Job, before int) {
 	for i, t := range j.Targets {
 		want := before
 		if j.Steps[i].Phase == duty.Done {
--- a/internal/standin/faults/process.go
+++ b/internal/standin/faults/process.go
@@ -19,9 +19,9 @@
 	"otterstep/internal/fleet/record"
 )
 
-// Orders tell a process under test which faults to inject into itself. The process rereads
+// Instructions tell a process under test which faults to inject into itself. The process rereads
 // them from a file, so that they can change while it runs; a missing file means no faults.
-type Orders struct {
+type Instructions struct {
 	// At names a step of an owner's order, and Signal the signal that the process sends itself
 	// there: SIGSTOP or SIGKILL. Of all processes with the same Once, only the first does so.
 	At     string         `json:"at,omitempty"`
@@ -36,8 +36,8 @@
 	Slow time.Duration `json:"slow,omitempty"`
 }
 
-// Write replaces the orders in a file.
-func Write(path string, o Orders) error {
+// WriteInstructions replaces the orders in a file.
+func WriteInstructions(path string, o Instructions) error {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return fmt.Errorf("faults: %w", err)
@@ -48,26 +48,26 @@
 	return os.Rename(path+".new", path)
 }
 
-// hooks injects the faults that a process's orders name.
+// hooks injects the faults that a process's instructions name.
 type hooks struct {
 	path  string
 	began time.Duration // reading of the system's clock at the start
 
 	mu     sync.Mutex
-	last   Orders
+	last   Instructions
 	readAt time.Time
 }
 
 const reloadInterval = 10 * time.Millisecond
 
-func (h *hooks) orders() Orders {
+func (h *hooks) orders() Instructions {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if time.Since(h.readAt) < reloadInterval {
 		return h.last
 	}
 	h.readAt = time.Now()
-	var o Orders
+	var o Instructions
 	text, err := os.ReadFile(h.path)
 	if err == nil {
 		err = json.Unmarshal(text, &o)
@@ -78,12 +78,12 @@
 	return h.last
 }
 
-// Options returns the options of a test build's agent, which follows the orders in a file.
-func Options(path string) agent.Options {
+// AgentOptions returns the options of a test build's agent, which follows the instructions in a file.
+func AgentOptions(path string) agent.Options {
 	h := &hooks{path: path, began: boottime.System{}.Now()}
 	return agent.Options{
-		Clock: boottime.Func(h.now), Steps: h.step, FS: failingFS{record.OS{}, h},
-		Disk: func(dir string) (council.Stores, error) {
+		Clock: boottime.Func(h.now), StepHook: h.step, FS: failingFS{record.OS{}, h},
+		OpenStores: func(dir string) (council.Stores, error) {
 			if err := h.diskError(); err != nil {
 				return nil, err
 			}
--- a/internal/standin/faults/schedule.go
+++ b/internal/standin/faults/schedule.go
@@ -27,9 +27,9 @@
 	Submit    = "submit"     // submits a job
 	Cancel    = "cancel"     // cancels the latest job
 	Pause     = "pause"      // pauses the latest job and resumes it after For
-	Lose      = "lose"       // kills an agent, takes What from its stored state and restarts it after For
+	Lose      = "lose"       // kills an agent, takes Loss from its stored state and restarts it after For
 	PowerCut  = "power"      // likewise, and kills the agent's instances too
-	HoldWord  = "hold-word"  // holds the fleet's word from one agent to another
+	HoldBans  = "hold-word"  // holds the fleet's word from one agent to another
 	NodeStop  = "node-stop"  // SIGSTOP to a node's process, and SIGCONT after For
 	NodeKill  = "node-kill"  // kills a node's process; its agent starts another one
 	Ban       = "ban"        // bans a box fleet-wide, for For if that is not 0
@@ -40,21 +40,21 @@
 // The stored state that an agent may lose. Those called old are restored to their state before the
 // schedule began.
 const (
-	Nothing   = "nothing"
-	Record    = "record"
-	Copy      = "copy"
-	Both      = "record and copy"
-	OldRecord = "an old record"
-	OldMemory = "an old record and copy"
-	Store     = "the council's store"
-	Folder    = "folder"
-	All       = "folder and copy"
-	OldFolder = "an old folder"
+	Nothing          = "nothing"
+	Record           = "record"
+	Copy             = "copy"
+	RecordAndCopy    = "record and copy"
+	OldRecord        = "an old record"
+	OldRecordAndCopy = "an old record and copy"
+	Store            = "the council's store"
+	Folder           = "folder"
+	FolderAndCopy    = "folder and copy"
+	OldFolder        = "an old folder"
 )
 
-// Memories lists the losses. Those from firstStoreLoss on remove a voter's store, which a council of
+// Losses lists the losses. Those from firstStoreLoss on remove a voter's store, which a council of
 // three survives once; those from firstFolderLoss on affect the whole folder.
-var Memories = []string{Nothing, Record, Copy, Both, OldRecord, OldMemory, Store, Folder, All, OldFolder}
+var Losses = []string{Nothing, Record, Copy, RecordAndCopy, OldRecord, OldRecordAndCopy, Store, Folder, FolderAndCopy, OldFolder}
 
 const firstStoreLoss, firstFolderLoss = 6, 7
 
@@ -63,10 +63,10 @@
 
 var commandSteps = []string{owner.BeforeIntent, owner.BeforeSend, owner.AfterSend, owner.AfterEnd, owner.BetweenOrders}
 
-// BanKinds lists the kinds of faults that DrawWords chooses from; repeated ones are more likely.
-var BanKinds = []string{Kill, Stop, StopAt, KillAt, CutOff, CutWay, HoldWord, ResetWay, DelayAll, DiskFails, ClockJump, NodeStop, NodeKill, NodeKill, Ban, Ban, Ban, Unban, Unban, Undo}
+// BanKinds lists the kinds of faults that DrawBans chooses from; repeated ones are more likely.
+var BanKinds = []string{Kill, Stop, StopAt, KillAt, CutOff, CutWay, HoldBans, ResetWay, DelayAll, DiskFails, ClockJump, NodeStop, NodeKill, NodeKill, Ban, Ban, Ban, Unban, Unban, Undo}
 
-var banSteps = []string{owner.BeforeWord, owner.AfterWord}
+var banSteps = []string{owner.BeforeFleetCall, owner.AfterFleetCall}
 
 // Fault is one fault of a schedule.
 type Fault struct {
@@ -79,7 +79,7 @@
 	Step  string
 	Rate  float64
 	Jump  time.Duration
-	What  string // what is lost
+	Loss  string // what is lost
 	Node  int    // counted from 0
 	Box   int    // likewise
 }
@@ -98,10 +98,10 @@
 		if f.Back {
 			what += ", answers"
 		}
-	case HoldWay, ResetWay, HoldWord:
+	case HoldWay, ResetWay, HoldBans:
 		what += " " + a + " to " + b
 	case Lose, PowerCut:
-		what += " " + a + " and " + f.What
+		what += " " + a + " and " + f.Loss
 	case NodeStop, NodeKill:
 		what += fmt.Sprint(" n", f.Node+1)
 	case Ban:
@@ -151,13 +151,13 @@
 		f.Back = rng.IntN(2) == 0
 		if losses && rng.IntN(3) == 0 {
 			f.Kind = []string{Lose, PowerCut}[rng.IntN(2)]
-			what := rng.IntN(len(Memories))
+			what := rng.IntN(len(Losses))
 			if what >= firstStoreLoss {
 				if stores++; stores > 1 {
 					what %= firstStoreLoss
 				}
 			}
-			f.What = Memories[what]
+			f.Loss = Losses[what]
 			if what >= firstFolderLoss { // a folder is lost only when no instance is running
 				f.Kind = PowerCut
 			}
@@ -180,9 +180,9 @@
 	return all
 }
 
-// DrawWords returns the schedule for a seed for the fleet's word (the fleet-wide bans): changes by operators, and
+// DrawBans returns the schedule for a seed for the fleet's word (the fleet-wide bans): changes by operators, and
 // faults on the way from them to the nodes.
-func DrawWords(seed uint64, agents, nodes, boxes, n int, lease time.Duration) Schedule {
+func DrawBans(seed uint64, agents, nodes, boxes, n int, lease time.Duration) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 34))
 	span := func(from, to float64) time.Duration {
 		return time.Duration((from + rng.Float64()*(to-from)) * float64(lease)).Round(time.Millisecond)
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -54,17 +54,17 @@
 	state     string
 }
 
-// Fail makes starts of an instance return err, or succeed again if err is nil.
-func (m *Machine) Fail(name string, err error) { m.update(func() { m.startErrors[name] = err }) }
+// FailStarts makes starts of an instance return err, or succeed again if err is nil.
+func (m *Machine) FailStarts(name string, err error) { m.update(func() { m.startErrors[name] = err }) }
 
-// Deaf makes an instance ignore SIGTERM.
-func (m *Machine) Deaf(name string, on bool) { m.update(func() { m.ignoresTerm[name] = on }) }
+// IgnoreTerm makes an instance ignore SIGTERM.
+func (m *Machine) IgnoreTerm(name string, on bool) { m.update(func() { m.ignoresTerm[name] = on }) }
 
-// Stuck makes an instance run without ever becoming ready.
-func (m *Machine) Stuck(name string, on bool) { m.update(func() { m.neverServes[name] = on }) }
+// NeverServe makes an instance run without ever becoming ready.
+func (m *Machine) NeverServe(name string, on bool) { m.update(func() { m.neverServes[name] = on }) }
 
-// Answer sets the counts of answers, by outcome, that an instance reports.
-func (m *Machine) Answer(name string, counts map[string]int64) {
+// SetCounts sets the counts of answers, by outcome, that an instance reports.
+func (m *Machine) SetCounts(name string, counts map[string]int64) {
 	m.update(func() { m.counts[name] = counts })
 }
 
@@ -120,8 +120,8 @@
 	return m.starts[name]
 }
 
-// Twice returns the names of the instances that were started while they already ran.
-func (m *Machine) Twice() []string {
+// StartedTwice returns the names of the instances that were started while they already ran.
+func (m *Machine) StartedTwice() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]string{}, m.startedTwice...)
@@ -129,7 +129,7 @@
 
 var errAgentDead = errors.New("the agent is dead")
 
-// Runner is one agent's access to a machine. Cut ends it, as the agent's death does.
+// Runner is one agent's access to a machine. Detach ends it, as the agent's death does.
 type Runner struct {
 	machine *Machine
 
@@ -140,15 +140,15 @@
 // Runner returns an agent's access to the machine.
 func (m *Machine) Runner() *Runner { return &Runner{machine: m} }
 
-// Cut makes all further calls of the agent fail without effect.
-func (r *Runner) Cut() {
+// Detach makes all further calls of the agent fail without effect.
+func (r *Runner) Detach() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.detached = true
 }
 
-// ifAttached runs f unless the runner was cut. It holds the runner's lock meanwhile, so that no
-// effect of f comes after Cut has returned.
+// ifAttached runs f unless the runner is detached. It holds the runner's lock meanwhile, so that no
+// effect of f comes after Detach has returned.
 func (r *Runner) ifAttached(f func() error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,8 +194,8 @@
 	return p, token, pid, err
 }
 
-// Names implements instance.Runner.
-func (r *Runner) Names() (names []string, err error) {
+// RunningInstances implements instance.Runner.
+func (r *Runner) RunningInstances() (names []string, err error) {
 	err = r.ifAttached(func() error {
 		names = slices.Sorted(maps.Keys(r.machine.running))
 		return nil
@@ -212,22 +212,22 @@
 	return up
 }
 
-// Keep implements instance.Runner: there is no saved state here.
-func (r *Runner) Keep(context.Context, instance.Spec, control.Keep) error {
-	return control.ErrNothingKept
+// SendStateCommand implements instance.Runner: there is no saved state here.
+func (r *Runner) SendStateCommand(context.Context, instance.Spec, control.StateCommand) error {
+	return control.ErrNoSavedState
 }
 
-// Tell implements instance.Runner: it applies fleet-wide bans as a node does.
-func (r *Runner) Tell(_ context.Context, i instance.Spec, w control.Word) (is control.Fleet, err error) {
+// SendFleetBans implements instance.Runner: it applies fleet-wide bans as a node does.
+func (r *Runner) SendFleetBans(_ context.Context, i instance.Spec, w control.FleetBans) (is control.FleetStatus, err error) {
 	err = r.ifAttached(func() error {
 		p := r.machine.running[i.Name]
 		if p == nil {
 			return errors.New("nobody listens")
 		}
-		if _, _, err := p.fleetBans.Take(w.Word); err != nil {
-			return fmt.Errorf("%w: %w", control.ErrOldWord, err)
+		if _, _, err := p.fleetBans.ApplyFleetBans(w.FleetBans); err != nil {
+			return fmt.Errorf("%w: %w", control.ErrOutdatedBans, err)
 		}
-		is = control.Fleet{Version: w.Version, Token: w.Token, Since: time.Now(), Sure: w.Sure, Bans: len(w.Bans), Listed: len(reportedServers)}
+		is = control.FleetStatus{Version: w.Version, Token: w.Token, Since: time.Now(), Sure: w.Sure, Bans: len(w.Bans), Listed: len(reportedServers)}
 		return nil
 	})
 	return is, err
--- a/internal/standin/lab/campaign_test.go
+++ b/internal/standin/lab/campaign_test.go
@@ -39,7 +39,7 @@
 				o.Rate = 0 // no clients: their requests fail in a power cut
 			}
 			reserveSlot(t, o.Rate)
-			run, err := PlayFaults(context.Background(), o, c.seed, Campaign{Faults: 12, Most: 1, Losses: c.losses})
+			run, err := RunFaults(context.Background(), o, c.seed, Campaign{Faults: 12, MaxUnavailable: 1, Losses: c.losses})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -60,17 +60,17 @@
 		New:  "\tcase f.Council == Silent:\n\t\treturn Verdict{Do: Follow, Word: Word{Source: \"nobody\", Up: true}}\n",
 	})
 	t.Parallel()
-	c := Campaign{Faults: 12, Most: 1, Losses: true}
+	c := Campaign{Faults: 12, MaxUnavailable: 1, Losses: true}
 	o := campaignLab(t)
 	o.Rate, o.Agent = 0, []string{bin, "agent"}
 	seed := uint64(1)
 	for !slices.ContainsFunc(faults.Draw(seed, o.Agents, c.Faults, o.Council.Lease, true), func(f faults.Fault) bool {
-		return f.Kind == faults.PowerCut && f.Agent == 2 && f.What == faults.Both
+		return f.Kind == faults.PowerCut && f.Agent == 2 && f.Loss == faults.RecordAndCopy
 	}) {
 		seed++
 	}
 	reserveSlot(t, o.Rate)
-	run, err := PlayFaults(context.Background(), o, seed, c)
+	run, err := RunFaults(context.Background(), o, seed, c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/lab/comeback.go
+++ b/internal/standin/lab/comeback.go
@@ -31,35 +31,35 @@
 // Losses lists the kinds of loss.
 var Losses = []string{LoseNothing, LoseAThird, LoseRecords, LoseMemories, LoseMajority}
 
-// Comeback configures a measurement of the restart of a whole fleet.
-type Comeback struct {
-	Loss    string
-	Drained int           // number of instances drained before the kill
-	Away    time.Duration // how long discovery is down, from the kill on
+// FleetRestart configures a measurement of the restart of a whole fleet.
+type FleetRestart struct {
+	Loss          string
+	Drained       int           // number of instances drained before the kill
+	DiscoveryDown time.Duration // how long discovery is down, from the kill on
 }
 
-// Return is the result of the restart of a whole fleet.
-type Return struct {
-	Half, Most, All time.Duration // from the start of the last agent until 50%, 90% and all of the instances served
-	Burst           int           // most instances that became ready within 100 ms
-	Wrong           int           // drained instances that became ready
-	Held            int           // instances held at the end
-	// Calls counts the requests to discovery, CallsMost the most within 100 ms. ConnsMost is the most connections that
+// RestartResult is the result of the restart of a whole fleet.
+type RestartResult struct {
+	Half, NineTenths, All time.Duration // from the start of the last agent until 50%, 90% and all of the instances served
+	MaxReadyBurst         int           // most instances that became ready within 100 ms
+	DrainedStarted        int           // drained instances that became ready
+	Held                  int           // instances held at the end
+	// Calls counts the requests to discovery, MaxCalls the most within 100 ms. MaxConns is the most connections that
 	// were opened to one server within 100 ms.
-	Calls, CallsMost, ConnsMost int
-	Served                      []Share
+	Calls, MaxCalls, MaxConns int
+	Served                    []Share
 }
 
 // Share is the share of instances that serve at a time, of those that are meant to.
 type Share struct {
-	At   time.Duration // since the start of the last agent
-	Part float64
+	At       time.Duration // since the start of the last agent
+	Fraction float64
 }
 
-// Play drains some instances, kills all agents and instances at once, removes the state that is to be lost, starts all
+// Run drains some instances, kills all agents and instances at once, removes the state that is to be lost, starts all
 // agents, and measures how the instances become ready.
-func (c Comeback) Play(ctx context.Context, opt Options) (Return, error) {
-	var r Return
+func (c FleetRestart) Run(ctx context.Context, opt Options) (RestartResult, error) {
+	var r RestartResult
 	l, err := New(ctx, opt)
 	if err != nil {
 		return r, err
@@ -78,14 +78,14 @@
 	}
 	if c.Drained > 0 {
 		limit, cancel := context.WithTimeout(ctx, startTimeout)
-		_, err := l.Fleet.Give(limit, group.Order{Plan: group.Plan{Kind: protocol.Drain}, Select: group.Selector{Names: names}})
+		_, err := l.Fleet.Execute(limit, group.Order{Plan: group.Plan{Kind: protocol.Drain}, Select: group.Selector{Names: names}})
 		cancel()
 		if err != nil {
 			return r, err
 		}
 	}
 	time.Sleep(time.Second) // until the last report has reached the council
-	l.Discovery.Down(c.Away > 0)
+	l.Discovery.SetDown(c.DiscoveryDown > 0)
 	var kills sync.WaitGroup
 	for n := range opt.Agents {
 		kills.Go(func() { l.KillMachine(n) })
@@ -107,10 +107,10 @@
 		}
 	}
 	began := time.Now()
-	restore := time.AfterFunc(time.Until(killed.Add(c.Away)), func() { l.Discovery.Down(false) })
+	restore := time.AfterFunc(time.Until(killed.Add(c.DiscoveryDown)), func() { l.Discovery.SetDown(false) })
 	defer restore.Stop()
 	want := len(l.Instances) - c.Drained
-	limit, cancel := context.WithTimeout(ctx, recoveryTimeout+c.Away)
+	limit, cancel := context.WithTimeout(ctx, recoveryTimeout+c.DiscoveryDown)
 	defer cancel()
 	for r.All == 0 && limit.Err() == nil {
 		serving := l.countServing(limit, down)
@@ -118,8 +118,8 @@
 		for _, threshold := range []struct {
 			at    *time.Duration
 			share float64
-		}{{&r.Half, 0.5}, {&r.Most, 0.9}, {&r.All, 1}} {
-			if *threshold.at == 0 && now.Part >= threshold.share {
+		}{{&r.Half, 0.5}, {&r.NineTenths, 0.9}, {&r.All, 1}} {
+			if *threshold.at == 0 && now.Fraction >= threshold.share {
 				*threshold.at = now.At
 			}
 		}
@@ -128,11 +128,11 @@
 	}
 	for _, o := range l.outlets {
 		n, peak := o.Calls.Counts()
-		r.Calls, r.CallsMost = r.Calls+n, max(r.CallsMost, peak)
+		r.Calls, r.MaxCalls = r.Calls+n, max(r.MaxCalls, peak)
 	}
 	for _, b := range l.Boxes {
 		_, peak := b.Conns.Counts()
-		r.ConnsMost = max(r.ConnsMost, peak)
+		r.MaxConns = max(r.MaxConns, peak)
 	}
 	recoveries, _ := l.Fleet.Recoveries(ctx)
 	for _, a := range recoveries {
@@ -154,7 +154,7 @@
 		case LoseRecords:
 			kind = faults.Record
 		case LoseMemories:
-			kind = faults.Both
+			kind = faults.RecordAndCopy
 		case LoseMajority:
 			if n < l.opt.Council.Voters/2+1 {
 				kind = faults.Store
@@ -200,7 +200,7 @@
 }
 
 // readReadyTimes reads from the instances' logs when they became ready, and sets Burst and Wrong of the result.
-func (l *Lab) readReadyTimes(r *Return, since time.Time, down map[string]bool) error {
+func (l *Lab) readReadyTimes(r *RestartResult, since time.Time, down map[string]bool) error {
 	var times []time.Time
 	for _, i := range l.Instances {
 		f, err := os.Open(i.LogFile)
@@ -219,7 +219,7 @@
 			}
 			times = append(times, at)
 			if down[i.Name] {
-				r.Wrong++
+				r.DrainedStarted++
 			}
 		}
 		err = errors.Join(lines.Err(), f.Close())
@@ -232,6 +232,6 @@
 	for _, at := range times {
 		ready.At(at)
 	}
-	_, r.Burst = ready.Counts()
+	_, r.MaxReadyBurst = ready.Counts()
 	return nil
 }
--- a/internal/standin/lab/council.go
+++ b/internal/standin/lab/council.go
@@ -63,8 +63,8 @@
 }
 
 // SetOrders replaces the orders of an agent, which apply from then on.
-func (l *Lab) SetOrders(agent string, o faults.Orders) error {
-	return faults.Write(l.ordersFile(agent), o)
+func (l *Lab) SetOrders(agent string, o faults.Instructions) error {
+	return faults.WriteInstructions(l.ordersFile(agent), o)
 }
 
 func (l *Lab) ordersFile(agent string) string { return filepath.Join(l.opt.Dir, agent+".orders") }
--- a/internal/standin/lab/demo.go
+++ b/internal/standin/lab/demo.go
@@ -13,19 +13,19 @@
 	"otterstep/internal/fleet/protocol"
 )
 
-// Story is the schedule of the demo.
-type Story struct {
-	Calm, Hang, Healed time.Duration // before, during and after the hang of a box
-	After              time.Duration // after the rolling restart
+// DemoTimes is the schedule of the demo.
+type DemoTimes struct {
+	BeforeHang, Hang, AfterHang time.Duration // before, during and after the hang of a box
+	AfterRestart                time.Duration // after the rolling restart
 }
 
 // Demo runs load, a box that hangs, a rolling restart and a box that crashes. It writes the events and a table of the
 // outcomes to w, and returns whether the rules held.
-func (l *Lab) Demo(ctx context.Context, s Story, w io.Writer) (held bool, err error) {
+func (l *Lab) Demo(ctx context.Context, s DemoTimes, w io.Writer) (held bool, err error) {
 	say := func(format string, args ...any) {
 		fmt.Fprintf(w, "%5.1fs  %s\n", time.Since(l.started).Seconds(), fmt.Sprintf(format, args...))
 	}
-	if err := pause(ctx, s.Calm); err != nil {
+	if err := pause(ctx, s.BeforeHang); err != nil {
 		return false, err
 	}
 	box := l.Boxes[0]
@@ -36,7 +36,7 @@
 	}
 	box.Heal()
 	say("box %s answers again", box.UID())
-	if err := pause(ctx, s.Healed); err != nil {
+	if err := pause(ctx, s.AfterHang); err != nil {
 		return false, err
 	}
 	say("rolling restart of all instances through %d agents", l.opt.Agents)
@@ -54,18 +54,18 @@
 	if err := box.Return(); err != nil {
 		return false, err
 	}
-	if err := pause(ctx, s.After); err != nil {
+	if err := pause(ctx, s.AfterRestart); err != nil {
 		return false, err
 	}
-	l.Unload()
-	return l.Print(w), nil
+	l.StopClients()
+	return l.PrintReport(w), nil
 }
 
 // RestartAll restarts all instances, with at most the given number unavailable at once.
 func (l *Lab) RestartAll(ctx context.Context, maxUnavailable int, progress func(group.Result)) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(1+len(l.Instances))*startTimeout)
 	defer cancel()
-	r, err := l.Fleet.Give(ctx, group.Order{
+	r, err := l.Fleet.Execute(ctx, group.Order{
 		Plan: group.Plan{Kind: protocol.Restart, MaxUnavailable: maxUnavailable}, Select: group.Selector{Names: []string{"all"}}, Progress: progress,
 	})
 	switch {
@@ -76,13 +76,13 @@
 	case r.Stopped != "":
 		return fmt.Errorf("demo: the rollout stopped: %s", r.Stopped)
 	case len(r.Silent) > 0:
-		return fmt.Errorf("demo: agent %s did not answer: %s", r.Silent[0].Agent, r.Silent[0].Why)
+		return fmt.Errorf("demo: agent %s did not answer: %s", r.Silent[0].Agent, r.Silent[0].Reason)
 	}
 	return nil
 }
 
-// Print writes a table of the requests' outcomes and the rule violations. It returns whether the rules held.
-func (l *Lab) Print(w io.Writer) bool {
+// PrintReport writes a table of the requests' outcomes and the rule violations. It returns whether the rules held.
+func (l *Lab) PrintReport(w io.Writer) bool {
 	r := l.Ledger.Report()
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\nclass\tserved\trefused\tfailed\tlost\t")
@@ -96,14 +96,14 @@
 	t.Flush()
 	if l.Clients != nil {
 		fmt.Fprintf(w, "\nserved within the aim: %d; p50 %v, p99 %v; repeats dropped by boxes: %d; never sent: %d\n", l.Clients.Within(),
-			l.Clients.Latency(0.5).Round(time.Millisecond), l.Clients.Latency(0.99).Round(time.Millisecond), r.Repeats, l.Clients.Skipped())
+			l.Clients.Latency(0.5).Round(time.Millisecond), l.Clients.Latency(0.99).Round(time.Millisecond), r.DroppedRepeats, l.Clients.Skipped())
 	}
-	if r.Breaks == 0 {
+	if r.Violations == 0 {
 		fmt.Fprintln(w, "all four rules held")
 		return true
 	}
-	fmt.Fprintf(w, "broken rules: %d\n", r.Breaks)
-	for _, b := range r.Words {
+	fmt.Fprintf(w, "broken rules: %d\n", r.Violations)
+	for _, b := range r.Descriptions {
 		fmt.Fprintln(w, " ", b)
 	}
 	return false
--- a/internal/standin/lab/desired.go
+++ b/internal/standin/lab/desired.go
@@ -76,8 +76,8 @@
 			ban = &desired.Ban{Server: "s1", Reason: "measured"}
 		}
 		version, err := l.Fleet.Change(ctx, desired.Change{
-			ID: protocol.NewID(began, uint64(n)), Saw: v.State.Document.Version, By: "lab", At: began,
-			Set: &desired.Part{Bans: map[string]*desired.Ban{"s1": ban}},
+			ID: protocol.NewID(began, uint64(n)), BasedOn: v.State.Document.Version, By: "lab", At: began,
+			Set: &desired.Patch{Bans: map[string]*desired.Ban{"s1": ban}},
 		})
 		if err != nil {
 			return nil, err
@@ -86,7 +86,7 @@
 			if ctx.Err() != nil {
 				return nil, fmt.Errorf("lab: only %d of %d nodes have confirmed version %v: %w", confirmed, want, version, ctx.Err())
 			}
-			st, _ := l.Fleet.Answering(ctx, version, func(agent string) bool { return !stopped[agent] })
+			st, _ := l.Fleet.VersionStatusOf(ctx, version, func(agent string) bool { return !stopped[agent] })
 			if confirmed = st.Confirmed; confirmed < want {
 				if err := pause(ctx, confirmPollInterval); err != nil {
 					return nil, err
@@ -99,17 +99,17 @@
 	return all, nil
 }
 
-// Harm is the impact of a defective version.
-type Harm struct {
+// DefectImpact is the impact of a defective version.
+type DefectImpact struct {
 	Note             string // of the change that rolled the version back
-	Had              int    // most instances that had the version at once
-	Back             time.Duration
+	MaxInstances     int    // most instances that had the version at once
+	RollbackTime     time.Duration
 	Served, Unserved int
 }
 
-// HarmOf upgrades a fleet under load to a defective version, with a trial of the given length on the first instances,
+// MeasureDefect upgrades a fleet under load to a defective version, with a trial of the given length on the first instances,
 // and waits until the version has been rolled back everywhere.
-func HarmOf(ctx context.Context, opt Options, program []string, trial time.Duration) (h Harm, err error) {
+func MeasureDefect(ctx context.Context, opt Options, program []string, trial time.Duration) (h DefectImpact, err error) {
 	opt.Programs = map[string][]string{"bad": program}
 	l, _, err := newDesiredStateLab(ctx, opt)
 	if err != nil {
@@ -124,7 +124,7 @@
 	began := time.Now()
 	if _, err := l.Fleet.Change(ctx, desired.Change{
 		ID: protocol.NewID(began, 1), By: "lab", At: began,
-		Set: &desired.Part{Groups: map[string]*desired.Group{"lab": {Program: "bad"}}, Budgets: &budgets},
+		Set: &desired.Patch{Groups: map[string]*desired.Group{"lab": {Program: "bad"}}, Budgets: &budgets},
 	}); err != nil {
 		return h, err
 	}
@@ -136,7 +136,7 @@
 				had++
 			}
 		}
-		h.Had = max(h.Had, had)
+		h.MaxInstances = max(h.MaxInstances, had)
 		if err == nil && v.State.Program("lab") == "" && had == 0 {
 			h.Note = v.State.History[len(v.State.History)-1].Note
 			break
@@ -145,8 +145,8 @@
 			return h, err
 		}
 	}
-	h.Back = time.Since(began)
-	l.Unload()
+	h.RollbackTime = time.Since(began)
+	l.StopClients()
 	for _, counts := range l.Ledger.Report().Counts {
 		for outcome, n := range counts {
 			if outcome == 0 {
--- a/internal/standin/lab/faultplay.go
+++ b/internal/standin/lab/faultplay.go
@@ -34,7 +34,7 @@
 	Failed       []string // violations
 	Jobs         int
 	OwnerChanges int           // changes of the owner
-	Rest         time.Duration // from the end of the last fault until all jobs had ended
+	RecoveryTime time.Duration // from the end of the last fault until all jobs had ended
 	Effects      int
 	Fenced       int // operations rejected because of a newer token
 	MaxDown      int // most instances down at once
@@ -76,24 +76,24 @@
 
 // Campaign configures the generation of fault schedules.
 type Campaign struct {
-	Faults int
-	Most   int // max. unavailable instances per job
+	Faults         int
+	MaxUnavailable int // max. unavailable instances per job
 	// Losses adds losses of agents' persistent state. One instance of the fleet is drained first, and must never start
 	// again.
 	Losses bool
-	// Words replaces jobs by operators' changes of the desired state, with faults between operators and nodes.
-	Words bool
+	// DesiredState replaces jobs by operators' changes of the desired state, with faults between operators and nodes.
+	DesiredState bool
 }
 
-// PlayFaults runs the fault schedule of a seed on a new fleet and checks the records and logs of the processes.
-func PlayFaults(ctx context.Context, opt Options, seed uint64, c Campaign) (FaultRun, error) {
+// RunFaults runs the fault schedule of a seed on a new fleet and checks the records and logs of the processes.
+func RunFaults(ctx context.Context, opt Options, seed uint64, c Campaign) (FaultRun, error) {
 	opt.Seed = seed
 	run := FaultRun{Seed: seed}
 	var words *stateObserver
-	if c.Words {
+	if c.DesiredState {
 		opt.DesiredStateWait, opt.Boxes, opt.Rate = opt.Council.Lease, desiredStateBoxes, 0 // no clients: their requests fail when a node is killed
 		words = newStateObserver(&opt)
-		run.Schedule = faults.DrawWords(seed, opt.Agents, opt.Instances, opt.Boxes, c.Faults, opt.Council.Lease)
+		run.Schedule = faults.DrawBans(seed, opt.Agents, opt.Instances, opt.Boxes, c.Faults, opt.Council.Lease)
 	} else {
 		run.Schedule = faults.Draw(seed, opt.Agents, c.Faults, opt.Council.Lease, c.Losses)
 	}
@@ -102,7 +102,7 @@
 		return run, err
 	}
 	defer l.Close()
-	p := &faultRunner{lab: l, run: &run, maxUnavailable: c.Most, orders: make([]faults.Orders, opt.Agents), powerCuts: make([]int, opt.Agents), stateLosses: make([]int, opt.Agents), restoredOld: make([]bool, opt.Agents), observer: words}
+	p := &faultRunner{lab: l, run: &run, maxUnavailable: c.MaxUnavailable, orders: make([]faults.Instructions, opt.Agents), powerCuts: make([]int, opt.Agents), stateLosses: make([]int, opt.Agents), restoredOld: make([]bool, opt.Agents), observer: words}
 	if err := p.waitForCouncil(ctx); err != nil {
 		return run, err
 	}
@@ -146,7 +146,7 @@
 	lab            *Lab
 	run            *FaultRun
 	maxUnavailable int
-	orders         []faults.Orders
+	orders         []faults.Instructions
 	powerCuts      []int // by agent: power cuts
 	stateLosses    []int // by agent: losses of state other than the copy or the council store
 	restoredOld    []bool
@@ -196,12 +196,12 @@
 	}
 	last := l.Instances[len(l.Instances)-1]
 	p.run.Drained = last.Agent + "/" + last.Name
-	if _, err := l.Fleet.Give(limit, group.Order{Plan: group.Plan{Kind: protocol.Drain}, Select: group.Selector{Names: []string{last.Name}}}); err != nil {
+	if _, err := l.Fleet.Execute(limit, group.Order{Plan: group.Plan{Kind: protocol.Drain}, Select: group.Selector{Names: []string{last.Name}}}); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	for {
-		a, err := l.Fleet.Do(limit, duty.Command{Report: &duty.Report{Agent: last.Agent, Folder: "campaign", Asks: true}})
-		if err == nil && a.Told.Known && !a.Told.Instances[last.Name].Up {
+		a, err := l.Fleet.CouncilSubmit(limit, duty.Command{Report: &duty.Report{Agent: last.Agent, StateDirID: "campaign", QueryOnly: true}})
+		if err == nil && a.ReportAnswer.Known && !a.ReportAnswer.Instances[last.Name].Up {
 			return nil
 		}
 		select {
@@ -242,7 +242,7 @@
 }
 
 // changeOrders changes the orders of an agent.
-func (p *faultRunner) changeOrders(n int, change func(o *faults.Orders)) error {
+func (p *faultRunner) changeOrders(n int, change func(o *faults.Instructions)) error {
 	change(&p.orders[n])
 	return p.lab.SetOrders(agentName(n), p.orders[n])
 }
@@ -287,13 +287,13 @@
 		}
 		once := filepath.Join(l.opt.Dir, fmt.Sprint("once", i))
 		for n := range p.orders {
-			if err := p.changeOrders(n, func(o *faults.Orders) { o.At, o.Signal, o.Once = f.Step, signal, once }); err != nil {
+			if err := p.changeOrders(n, func(o *faults.Instructions) { o.At, o.Signal, o.Once = f.Step, signal, once }); err != nil {
 				return err
 			}
 		}
 		p.scheduleHeal(f.For, func() error {
 			for n := range p.orders {
-				if err := p.changeOrders(n, func(o *faults.Orders) { o.At, o.Signal = "", 0 }); err != nil {
+				if err := p.changeOrders(n, func(o *faults.Instructions) { o.At, o.Signal = "", 0 }); err != nil {
 					return err
 				}
 			}
@@ -312,7 +312,7 @@
 	case faults.HoldWay:
 		relay.HoldOnly("/run/")
 		p.scheduleHeal(f.For, restoreRelay)
-	case faults.HoldWord:
+	case faults.HoldBans:
 		relay.HoldOnly("/fleet")
 		p.scheduleHeal(f.For, restoreRelay)
 	case faults.ResetWay:
@@ -322,19 +322,19 @@
 		p.delayRelays(f.For / 10)
 		p.scheduleHeal(f.For, func() error { p.delayRelays(0); return nil })
 	case faults.DiskFails:
-		if err := p.changeOrders(f.Agent, func(o *faults.Orders) { o.Disk = "write: input/output error" }); err != nil {
+		if err := p.changeOrders(f.Agent, func(o *faults.Instructions) { o.Disk = "write: input/output error" }); err != nil {
 			return err
 		}
-		p.scheduleHeal(f.For, func() error { return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Disk = "" }) })
+		p.scheduleHeal(f.For, func() error { return p.changeOrders(f.Agent, func(o *faults.Instructions) { o.Disk = "" }) })
 	case faults.DiskSlow:
-		if err := p.changeOrders(f.Agent, func(o *faults.Orders) { o.Slow = f.For / 4 }); err != nil {
+		if err := p.changeOrders(f.Agent, func(o *faults.Instructions) { o.Slow = f.For / 4 }); err != nil {
 			return err
 		}
-		p.scheduleHeal(f.For, func() error { return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Slow = 0 }) })
+		p.scheduleHeal(f.For, func() error { return p.changeOrders(f.Agent, func(o *faults.Instructions) { o.Slow = 0 }) })
 	case faults.ClockRate:
-		return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Rate = f.Rate })
+		return p.changeOrders(f.Agent, func(o *faults.Instructions) { o.Rate = f.Rate })
 	case faults.ClockJump:
-		return p.changeOrders(f.Agent, func(o *faults.Orders) { o.Jump += f.Jump })
+		return p.changeOrders(f.Agent, func(o *faults.Instructions) { o.Jump += f.Jump })
 	case faults.Lose, faults.PowerCut:
 		if f.Kind == faults.PowerCut {
 			l.KillMachine(f.Agent)
@@ -343,11 +343,11 @@
 			l.KillAgent(f.Agent)
 		}
 		p.run.StateLosses++
-		p.restoredOld[f.Agent] = p.restoredOld[f.Agent] || f.What == faults.OldMemory
-		if f.What != faults.Nothing && f.What != faults.Copy && f.What != faults.Store {
+		p.restoredOld[f.Agent] = p.restoredOld[f.Agent] || f.Loss == faults.OldRecordAndCopy
+		if f.Loss != faults.Nothing && f.Loss != faults.Copy && f.Loss != faults.Store {
 			p.stateLosses[f.Agent]++
 		}
-		if err := l.LoseState(f.Agent, f.What); err != nil {
+		if err := l.LoseState(f.Agent, f.Loss); err != nil {
 			return err
 		}
 		p.scheduleHeal(f.For, func() error { return p.startAgent(f.Agent) })
@@ -371,7 +371,7 @@
 func (p *faultRunner) setJobState(ctx context.Context, id, to string) {
 	limit, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	_, _ = p.lab.Fleet.Do(limit, duty.Command{Turn: &duty.Turn{Job: id, To: to, By: "campaign"}})
+	_, _ = p.lab.Fleet.CouncilSubmit(limit, duty.Command{SetJobState: &duty.SetJobState{Job: id, State: to, By: "campaign"}})
 }
 
 // submitRollout submits a restart of all instances. If no answer arrives, the job may exist or not.
@@ -426,7 +426,7 @@
 		p.observer.resumeNodes()
 	}
 	for n := range p.orders {
-		if err := p.changeOrders(n, func(o *faults.Orders) { *o = faults.Orders{Rate: o.Rate, Jump: o.Jump} }); err != nil {
+		if err := p.changeOrders(n, func(o *faults.Instructions) { *o = faults.Instructions{Rate: o.Rate, Jump: o.Jump} }); err != nil {
 			return err
 		}
 		p.lab.reapAgent(n)
@@ -465,7 +465,7 @@
 				p.setJobState(ctx, j.ID, duty.Active) // the scheduled resume was lost
 			}
 			if j.Open() || j.State == duty.Paused {
-				missing = fmt.Sprintf("job %s is %s: %s %+v", j.ID, j.State, v.Says[j.ID], j.Steps)
+				missing = fmt.Sprintf("job %s is %s: %s %+v", j.ID, j.State, v.Messages[j.ID], j.Steps)
 			}
 		}
 		if missing == "" {
@@ -477,7 +477,7 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	p.run.Rest, p.run.Jobs = time.Since(began), len(jobs)
+	p.run.RecoveryTime, p.run.Jobs = time.Since(began), len(jobs)
 	knownJobs := map[string]bool{}
 	for _, j := range jobs {
 		knownJobs[j.ID] = true
@@ -493,16 +493,16 @@
 		}
 	}
 	files := p.lab.Files()
-	files.Cuts, files.PutBack = map[string]int{}, map[string]bool{}
+	files.Cuts, files.Restored = map[string]int{}, map[string]bool{}
 	for n := range p.powerCuts {
-		files.Cuts[agentName(n)], files.PutBack[agentName(n)] = p.powerCuts[n], p.restoredOld[n]
+		files.Cuts[agentName(n)], files.Restored[agentName(n)] = p.powerCuts[n], p.restoredOld[n]
 	}
 	verdict, err := faults.Check(files)
 	if err != nil {
 		return err
 	}
-	p.run.Failed = append(p.run.Failed, verdict.Broken...)
-	p.run.Effects, p.run.Fenced, p.run.MaxDown = verdict.Effects, verdict.Fenced, verdict.Away
+	p.run.Failed = append(p.run.Failed, verdict.Violations...)
+	p.run.Effects, p.run.Fenced, p.run.MaxDown = verdict.Effects, verdict.Fenced, verdict.MaxUnavailable
 	if p.run.Drained != "" {
 		p.run.MaxDown-- // the drained instance is always down
 	}
@@ -531,7 +531,7 @@
 		}
 	}
 	if p.lab.Clients != nil {
-		p.lab.Unload()
+		p.lab.StopClients()
 		r := p.lab.Ledger.Report()
 		for _, counts := range r.Counts {
 			for outcome, n := range counts {
@@ -542,7 +542,7 @@
 				}
 			}
 		}
-		for _, broken := range r.Words {
+		for _, broken := range r.Descriptions {
 			failed("%s", broken)
 		}
 	}
@@ -558,7 +558,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	p.run.Rest = time.Since(began)
+	p.run.RecoveryTime = time.Since(began)
 	if missing != "" {
 		p.run.Failed = append(p.run.Failed, fmt.Sprintf("not settled %v after the last fault: %s", recoveryTimeout, missing))
 	}
@@ -574,7 +574,7 @@
 	if err != nil {
 		return err
 	}
-	p.run.Failed = append(append(p.run.Failed, verdict.Broken...), broken...)
+	p.run.Failed = append(append(p.run.Failed, verdict.Violations...), broken...)
 	p.run.Versions, p.run.NodeProcesses = len(state.History), lives
 	return nil
 }
@@ -617,7 +617,7 @@
 		voters, _ := p.lab.Fleet.Voters(ctx)
 		for _, s := range voters {
 			if s.State != duty.Leader && s.State != duty.Follower {
-				missing = fmt.Sprintf("voter %s is %s: %s", s.Agent, s.State, s.Why)
+				missing = fmt.Sprintf("voter %s is %s: %s", s.Agent, s.State, s.Reason)
 			}
 		}
 		if missing == "" {
--- a/internal/standin/lab/fleet.go
+++ b/internal/standin/lab/fleet.go
@@ -34,11 +34,11 @@
 		outlet := shared
 		if outlet == nil {
 			var err error
-			if l.opt.Asked {
-				shared, err = l.Discovery.Asked(2 * time.Millisecond)
+			if l.opt.Pull {
+				shared, err = l.Discovery.NewSharedOutlet(2 * time.Millisecond)
 				outlet = shared
 			} else {
-				outlet, err = l.Discovery.Pushed()
+				outlet, err = l.Discovery.NewPushOutlet()
 			}
 			if err != nil {
 				return err
@@ -230,8 +230,8 @@
 	return errors.Join(errs...)
 }
 
-// Next returns example commands to try while the lab is up; bin is the directory of the programs.
-func (l *Lab) Next(bin string) string {
+// ExampleCommands returns example commands to try while the lab is up; bin is the directory of the programs.
+func (l *Lab) ExampleCommands(bin string) string {
 	var b strings.Builder
 	ctl := filepath.Join(bin, "otterctl") + " --fleet " + l.FleetFile
 	box := filepath.Join(bin, "otterlab") + " box --dir " + l.opt.Dir
--- a/internal/standin/lab/herd_test.go
+++ b/internal/standin/lab/herd_test.go
@@ -22,12 +22,12 @@
 func TestThirtyProcessesAreReadyInTime(t *testing.T) {
 	skipIfShort(t)
 	for name, fault := range map[string]func(w *testFleet){
-		"discovery away":       func(w *testFleet) { w.Discovery.Down(true) },
-		"discovery overbooked": func(w *testFleet) { w.Discovery.Overbook(3) },
+		"discovery away":       func(w *testFleet) { w.Discovery.SetDown(true) },
+		"discovery overbooked": func(w *testFleet) { w.Discovery.RejectAllButOneIn(3) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := restartLab(t, func(o *Options) {
-				o.Instances, o.Rate, o.Asked = 30, 40, name != "discovery away"
+				o.Instances, o.Rate, o.Pull = 30, 40, name != "discovery away"
 			})
 			w.waitForServedShare(0.8)
 			fault(w)
@@ -57,8 +57,8 @@
 				t.Errorf("%d of 30 processes were ready within %v, want at least 27", ready.Load(), readyTimeout)
 			}
 			w.waitForServedShare(0.25) // boxes that discovery has not confirmed get only the load of cold ones
-			w.Discovery.Down(false)
-			w.Discovery.Overbook(0)
+			w.Discovery.SetDown(false)
+			w.Discovery.RejectAllButOneIn(0)
 			w.waitForServedShare(0.8)
 			if broke := w.violations(); len(broke) > 0 {
 				t.Errorf("%v", broke)
--- a/internal/standin/lab/history_test.go
+++ b/internal/standin/lab/history_test.go
@@ -125,7 +125,7 @@
 			for time.Now().Before(end) {
 				want := duty.Acquire{Duty: "history", Owner: name}
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-				offer, err := w.Fleet.Do(ctx, duty.Command{Acquire: &want})
+				offer, err := w.Fleet.CouncilSubmit(ctx, duty.Command{Acquire: &want})
 				cancel()
 				if err != nil || offer.Offer == "" {
 					time.Sleep(50 * time.Millisecond)
@@ -134,7 +134,7 @@
 				want.Offer = offer.Offer
 				client++ // a new client ID, as a call without an answer is concurrent with all later ones
 				a := record(client, call{object: "council", kind: "acquire", owner: name}, func(ctx context.Context) answer {
-					got, err := w.Fleet.Do(ctx, duty.Command{Acquire: &want})
+					got, err := w.Fleet.CouncilSubmit(ctx, duty.Command{Acquire: &want})
 					a := toAnswer(err)
 					a.token, a.accepted = got.Token, got.Token != 0
 					// The request may have been sent twice. A new offer in the answer to the second one does not tell
@@ -147,27 +147,27 @@
 				}
 				f := duty.Fence{Duty: "history", Token: a.token}
 				for i := range 1 + rng.IntN(3) {
-					for _, k := range w.Fleet.All() {
+					for _, k := range w.Fleet.Clients() {
 						client++
 						record(client, call{object: k.Name(), kind: "raise", token: a.token}, func(ctx context.Context) answer {
-							_, err := k.Raise(ctx, f)
+							_, err := k.RaiseToken(ctx, f)
 							return toAnswer(err)
 						})
 					}
 					client++
 					record(client, call{object: "council", kind: "renew", owner: name, token: a.token}, func(ctx context.Context) answer {
 						v, err := w.Fleet.View(ctx)
-						if err != nil || w.Fleet.Agent(v.Leader) == nil {
+						if err != nil || w.Fleet.Client(v.Leader) == nil {
 							return answer{}
 						}
-						return toAnswer(w.Fleet.Agent(v.Leader).CouncilRenew(ctx, duty.Renewal{Fence: f}))
+						return toAnswer(w.Fleet.Client(v.Leader).CouncilRenew(ctx, duty.Renewal{Fence: f}))
 					})
 					time.Sleep(time.Duration(rng.IntN(int(testLease)*(1+i)) / 4))
 				}
 				if rng.IntN(2) == 0 {
 					client++
 					record(client, call{object: "council", kind: "release", owner: name, token: a.token}, func(ctx context.Context) answer {
-						_, err := w.Fleet.Do(ctx, duty.Command{Release: &duty.Release{Fence: f}})
+						_, err := w.Fleet.CouncilSubmit(ctx, duty.Command{Release: &duty.Release{Fence: f}})
 						a := toAnswer(err)
 						a.known = a.accepted // likewise, a refusal may be the answer to a repeated request
 						return a
--- a/internal/standin/lab/lab.go
+++ b/internal/standin/lab/lab.go
@@ -34,7 +34,7 @@
 	Boxes     int
 	Rate      float64 // client requests per second; no clients if 0
 	Classes   []standin.Class
-	Asked     bool     // nodes request the list from one discovery service instead of having it pushed
+	Pull      bool     // nodes request the list from one discovery service instead of having it pushed
 	Zones     []string // assigned to boxes and instances round-robin; a single zone if empty
 	// AdjustBox, if set, changes a box's options before it starts.
 	AdjustBox func(i int, o *standin.BoxOptions)
@@ -55,7 +55,7 @@
 	OperatorPorts bool
 	// FallMultiple is the load, as a multiple of a cold box's capacity, at which the box falls over; 3 if 0.
 	FallMultiple   float64
-	ClientBehavior comeback.Habits // how clients retry
+	ClientBehavior comeback.Behavior // how clients retry
 	// AdjustSettings, if set, changes the settings in the instances' configurations.
 	AdjustSettings func(settings map[string]any)
 	Seed           uint64
@@ -194,7 +194,7 @@
 	l.stopFront, l.frontDone = stop, make(chan struct{})
 	done := l.frontDone
 	if l.opt.Rate > 0 {
-		l.StartClients(standin.ClientOptions{Rate: l.opt.Rate, Classes: l.opt.Classes, Tenants: tenants, Keys: 400, Seed: l.opt.Seed, Most: 4096, Comeback: l.opt.ClientBehavior})
+		l.StartClients(standin.ClientOptions{Rate: l.opt.Rate, Classes: l.opt.Classes, Tenants: tenants, Keys: 400, Seed: l.opt.Seed, MaxOpen: 4096, Comeback: l.opt.ClientBehavior})
 	}
 	go func() {
 		defer close(done)
@@ -215,10 +215,10 @@
 
 // waitForInstances waits until the front has every instance in rotation.
 func (l *Lab) waitForInstances(ctx context.Context) error {
-	for l.Front.In() < len(l.Instances) {
+	for l.Front.Available() < len(l.Instances) {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("lab: only %d of %d instances are up: %w%s", l.Front.In(), len(l.Instances), ctx.Err(), l.describeMissing())
+			return fmt.Errorf("lab: only %d of %d instances are up: %w%s", l.Front.Available(), len(l.Instances), ctx.Err(), l.describeMissing())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -228,7 +228,7 @@
 // describeMissing lists the instances that the front does not have in rotation, each with the end of its log.
 func (l *Lab) describeMissing() string {
 	var b strings.Builder
-	out := l.Front.Out()
+	out := l.Front.Unavailable()
 	for _, i := range l.Instances {
 		if slices.Contains(out, i.Addr) {
 			fmt.Fprintf(&b, "\n%s at %s: %s", i.Name, i.Addr, logTail(i.LogFile))
@@ -263,7 +263,7 @@
 		accounts = append(accounts, object{"Name": t, "QuotaPerS": 0})
 	}
 	mode := "pushed"
-	if l.opt.Asked {
+	if l.opt.Pull {
 		mode = "on_request"
 	}
 	settings := object{
@@ -296,8 +296,8 @@
 	return nil, fmt.Errorf("lab: no box %q; boxes are s1 to s%d", uid, len(l.Boxes))
 }
 
-// Unload stops the clients and waits for their outstanding requests.
-func (l *Lab) Unload() {
+// StopClients stops the clients and waits for their outstanding requests.
+func (l *Lab) StopClients() {
 	l.stopClients()
 	if l.Clients != nil {
 		l.Clients.Wait()
@@ -306,7 +306,7 @@
 
 // Close stops clients, agents, instances, boxes and discovery. No process is left running.
 func (l *Lab) Close() {
-	l.Unload()
+	l.StopClients()
 	l.stopFront()
 	<-l.frontDone
 	for _, a := range l.agents {
--- a/internal/standin/lab/lab_test.go
+++ b/internal/standin/lab/lab_test.go
@@ -42,10 +42,10 @@
 		must(err)
 		opt := agent.Options{}
 		if orders := os.Getenv(OrdersVar); orders != "" {
-			opt = faults.Options(orders)
+			opt = faults.AgentOptions(orders)
 		}
 		opt.Launcher, opt.Log = []string{"/proc/self/exe", "launch"}, slog.New(slog.NewTextHandler(os.Stderr, nil))
-		opt.First = slices.Contains(os.Args, "--first")
+		opt.FirstStart = slices.Contains(os.Args, "--first")
 		a, err := agent.New(cfg, opt)
 		must(err)
 		must(a.Run(ctx))
@@ -138,11 +138,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := testLab(t, func(o *Options) {
-				if o.Asked = asked; !asked { // the other case runs nodes with the race detector
+				if o.Pull = asked; !asked { // the other case runs nodes with the race detector
 					useBuiltPrograms(t, o)
 				}
 			})
-			held, err := l.Demo(t.Context(), Story{Calm: time.Second, Hang: 2 * time.Second, Healed: time.Second / 2, After: time.Second / 2}, t.Output())
+			held, err := l.Demo(t.Context(), DemoTimes{BeforeHang: time.Second, Hang: 2 * time.Second, AfterHang: time.Second / 2, AfterRestart: time.Second / 2}, t.Output())
 			if err != nil || !held {
 				t.Fatalf("held %v, %v", held, err)
 			}
@@ -195,8 +195,8 @@
 	if err := l.RestartAll(t.Context(), 2, func(r group.Result) { t.Logf("%s/%s %s %s", r.Agent, r.Instance, r.Outcome, r.Text) }); err != nil {
 		t.Fatal(err)
 	}
-	l.Unload()
-	if !l.Print(t.Output()) {
+	l.StopClients()
+	if !l.PrintReport(t.Output()) {
 		t.Error("a rule was broken")
 	}
 	if served := l.served(); served < 50 {
@@ -218,14 +218,14 @@
 }
 
 // running returns the process of an instance according to its run file.
-func running(t *testing.T, i Instance) proc.Run {
+func running(t *testing.T, i Instance) proc.RunRecord {
 	t.Helper()
 	p, err := proc.Adopt(i.RunFile)
 	if err != nil || p == nil {
 		t.Fatalf("%s is not running: %v", i.Name, err)
 	}
 	defer p.Release()
-	return p.Run
+	return p.RunRecord
 }
 
 // Instances survive the SIGKILL of their agent under load. The next agent adopts them, executes commands for them and
@@ -233,7 +233,7 @@
 func TestAgentKilledUnderLoad(t *testing.T) {
 	t.Parallel()
 	l := testLab(t, func(o *Options) { useBuiltPrograms(t, o); o.Agents = 1 })
-	old := map[string]proc.Run{}
+	old := map[string]proc.RunRecord{}
 	for _, i := range l.Instances {
 		old[i.Name] = running(t, i)
 	}
@@ -313,7 +313,7 @@
 	cmd.Wait()
 	for _, id := range pids {
 		waitFor(t, fmt.Sprint("end of process ", id.Pid), func() bool {
-			now, err := proc.Of(id.Pid)
+			now, err := proc.IdentityOf(id.Pid)
 			return err != nil || now != id
 		})
 	}
@@ -326,7 +326,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- l.Serve(ctx) }()
 	dir := l.opt.Dir
-	waitFor(t, "answer of the lab", func() bool { _, err := Ask(ctx, dir, nil); return err == nil })
+	waitFor(t, "answer of the lab", func() bool { _, err := SendCommand(ctx, dir, nil); return err == nil })
 	for words, state := range map[string]string{
 		"s1 hang": "hanging", "s1 heal": "ok", "s1 slow 4": "slow", "s1 fail 0.5": "failing", "s1 drain": "draining",
 		"s1 crash": "down", "s1 return": "cold", "s1 leave": "down",
@@ -338,16 +338,16 @@
 		} else {
 			l.Boxes[0].Hang(true)
 		}
-		if _, err := Ask(ctx, dir, strings.Fields(words)); err != nil {
+		if _, err := SendCommand(ctx, dir, strings.Fields(words)); err != nil {
 			t.Errorf("%s: %v", words, err)
 		}
-		text, err := Ask(ctx, dir, nil)
+		text, err := SendCommand(ctx, dir, nil)
 		if got := l.Boxes[0].State(); err != nil || got != state && !(state == "ok" && got == "cold") || !strings.Contains(text, "s1 "+got) {
 			t.Errorf("%s: %s, %v, want %s in %q", words, got, err, state, text)
 		}
 	}
 	for _, words := range []string{"s9 hang", "s1", "s1 slow", "s1 slow x", "s1 slow -1", "s1 explode", "s1 hang 3"} {
-		if _, err := Ask(ctx, dir, strings.Fields(words)); err == nil {
+		if _, err := SendCommand(ctx, dir, strings.Fields(words)); err == nil {
 			t.Errorf("command %q was accepted", words)
 		}
 	}
--- a/internal/standin/lab/losses.go
+++ b/internal/standin/lab/losses.go
@@ -90,17 +90,17 @@
 		err = remove("record")
 	case faults.Copy:
 		err = remove("copy")
-	case faults.Both:
+	case faults.RecordAndCopy:
 		err = remove("record", "copy")
 	case faults.Store:
 		err = remove("council")
 	case faults.Folder:
 		err = l.removeStateDir(n)
-	case faults.All:
+	case faults.FolderAndCopy:
 		err = errors.Join(l.removeStateDir(n), remove("copy", "witness"))
 	case faults.OldRecord:
 		err = l.restoreFile(n, "record")
-	case faults.OldMemory:
+	case faults.OldRecordAndCopy:
 		err = errors.Join(l.restoreFile(n, "record"), l.restoreFile(n, "copy"))
 	case faults.OldFolder:
 		err = errors.Join(l.restoreFile(n, "record"), remove("council"))
@@ -108,7 +108,7 @@
 			err = errors.Join(err, os.CopyFS(l.stateFile(n, "council"), os.DirFS(l.snapshotFile(n, "council"))))
 		}
 	default:
-		err = fmt.Errorf("unknown kind of state loss %q, want one of: %s", kind, strings.Join(faults.Memories, ", "))
+		err = fmt.Errorf("unknown kind of state loss %q, want one of: %s", kind, strings.Join(faults.Losses, ", "))
 	}
 	if err != nil {
 		return fmt.Errorf("lab: remove state %q: %w", kind, err)
--- a/internal/standin/lab/measure.go
+++ b/internal/standin/lab/measure.go
@@ -126,7 +126,7 @@
 	time.Sleep(warmUp)
 	if opt.Council == nil {
 		began := time.Now()
-		r, err := l.Fleet.Give(ctx, restartOrder(maxUnavailable))
+		r, err := l.Fleet.Execute(ctx, restartOrder(maxUnavailable))
 		if err == nil && (r.Stopped != "" || r.Conflict != nil) {
 			err = fmt.Errorf("lab: the rollout stopped: %s", r.Stopped)
 		}
@@ -142,28 +142,28 @@
 	}
 	j = l.Fleet.Follow(ctx, j, func(group.Result) {}, func(string) {})
 	if j.State != duty.Finished {
-		err = fmt.Errorf("lab: the job is %s: %s", j.State, j.Why)
+		err = fmt.Errorf("lab: the job is %s: %s", j.State, j.Reason)
 	}
 	return time.Since(began), err
 }
 
-// Rest is the resource usage of agents in an idle fleet.
-type Rest struct {
-	For                  time.Duration
-	VoterCPU, AskerCPU   time.Duration // mean per agent
-	VoterByte, AskerByte float64       // mean bytes read and written per agent and second
-	VoterWrites          float64       // mean writes to the council store per voter and second
+// IdleCost is the resource usage of agents in an idle fleet.
+type IdleCost struct {
+	For                       time.Duration
+	VoterCPU, NonVoterCPU     time.Duration // mean per agent
+	VoterBytes, NonVoterBytes float64       // mean bytes read and written per agent and second
+	VoterWrites               float64       // mean writes to the council store per voter and second
 }
 
-// AtRest measures the resource usage of voters and of agents that do not vote, over the given time.
-func AtRest(ctx context.Context, opt Options, wait time.Duration) (Rest, error) {
+// MeasureIdle measures the resource usage of voters and of agents that do not vote, over the given time.
+func MeasureIdle(ctx context.Context, opt Options, wait time.Duration) (IdleCost, error) {
 	l, err := New(ctx, opt)
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	defer l.Close()
 	if err := (&faultRunner{lab: l}).waitForCouncil(ctx); err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	type resourceUse struct {
 		cpu           time.Duration
@@ -188,29 +188,29 @@
 	}
 	before, err := measure()
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	began := time.Now()
 	select {
 	case <-ctx.Done():
-		return Rest{}, ctx.Err()
+		return IdleCost{}, ctx.Err()
 	case <-time.After(wait):
 	}
 	after, err := measure()
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
-	r := Rest{For: time.Since(began)}
+	r := IdleCost{For: time.Since(began)}
 	voters := opt.Council.Voters
 	for n := range after {
 		cpu, bytes := after[n].cpu-before[n].cpu, (after[n].bytes-before[n].bytes)/r.For.Seconds()
 		if n < voters {
 			r.VoterCPU += cpu / time.Duration(voters)
-			r.VoterByte += bytes / float64(voters)
+			r.VoterBytes += bytes / float64(voters)
 			r.VoterWrites += (after[n].writes - before[n].writes) / r.For.Seconds() / float64(voters)
 		} else {
-			r.AskerCPU += cpu / time.Duration(opt.Agents-voters)
-			r.AskerByte += bytes / float64(opt.Agents-voters)
+			r.NonVoterCPU += cpu / time.Duration(opt.Agents-voters)
+			r.NonVoterBytes += bytes / float64(opt.Agents-voters)
 		}
 	}
 	return r, nil
--- a/internal/standin/lab/owner_test.go
+++ b/internal/standin/lab/owner_test.go
@@ -212,11 +212,11 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	v.Once(j, 1)
-	if v.Away > maxUnavailable {
-		v.Broken = append(v.Broken, fmt.Sprintf("%d instances were unavailable at once, want at most %d", v.Away, maxUnavailable))
+	v.CheckRestartedOnce(j, 1)
+	if v.MaxUnavailable > maxUnavailable {
+		v.Violations = append(v.Violations, fmt.Sprintf("%d instances were unavailable at once, want at most %d", v.MaxUnavailable, maxUnavailable))
 	}
-	for _, broken := range v.Broken {
+	for _, broken := range v.Violations {
 		w.t.Error(broken)
 	}
 	return v
@@ -281,11 +281,11 @@
 	// Without a majority of the council, the tool reports that there is no leader, and no job starts.
 	w.KillAgent(1)
 	w.KillAgent(2)
-	out = tool(cli.Silent, "rollout", "restart", "all", "--timeout", "4s")
+	out = tool(cli.NoAnswer, "rollout", "restart", "all", "--timeout", "4s")
 	if !strings.Contains(out, "no leader that can be reached") {
 		t.Error(out)
 	}
-	if out := tool(cli.Silent, "owners"); !strings.Contains(out, "MAY BE OLD") {
+	if out := tool(cli.NoAnswer, "owners"); !strings.Contains(out, "MAY BE OLD") {
 		t.Error(out)
 	}
 }
@@ -307,7 +307,7 @@
 			w := councilLab(t, nil)
 			once := filepath.Join(w.opt.Dir, "stopped")
 			for n := range w.opt.Agents {
-				if err := w.SetOrders(agentName(n), faults.Orders{At: step, Signal: syscall.SIGSTOP, Once: once}); err != nil {
+				if err := w.SetOrders(agentName(n), faults.Instructions{At: step, Signal: syscall.SIGSTOP, Once: once}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -385,13 +385,13 @@
 	if reached {
 		// The successor's own order is delayed as well, so that only the token keeps the old order from taking effect.
 		w.waitUntil("m4 knows the successor", func() bool {
-			c, err := w.Fleet.Agent("m4").Commands(w.ctx(time.Second))
+			c, err := w.Fleet.Client("m4").Commands(w.ctx(time.Second))
 			return err == nil && len(c) == 1 && c[0].Fence.Token > 1
 		})
 	} else {
 		w.waitUntil("the successor waits for m4", func() bool {
 			v, err := w.Fleet.View(w.ctx(time.Second))
-			return err == nil && strings.Contains(v.Says[j.ID], "agent m4 is not reached")
+			return err == nil && strings.Contains(v.Messages[j.ID], "agent m4 is not reached")
 		})
 	}
 	before := w.waitForJob(j.ID).Steps
@@ -415,7 +415,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Once(j, 1)
+	v.CheckRestartedOnce(j, 1)
 	return v, j
 }
 
@@ -427,8 +427,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v, j := runDelayedOrder(t, reached, nil)
-			if len(v.Broken) > 0 || v.Away > 1 || j.State != duty.Finished {
-				t.Errorf("job %s: %s; %+v", j.State, j.Why, v)
+			if len(v.Violations) > 0 || v.MaxUnavailable > 1 || j.State != duty.Finished {
+				t.Errorf("job %s: %s; %+v", j.State, j.Reason, v)
 			}
 		})
 	}
@@ -443,7 +443,7 @@
 	})
 	t.Parallel()
 	v, _ := runDelayedOrder(t, true, []string{bin, "agent"})
-	if !slices.ContainsFunc(v.Broken, func(b string) bool { return strings.Contains(b, "behind 0.2") }) {
+	if !slices.ContainsFunc(v.Violations, func(b string) bool { return strings.Contains(b, "behind 0.2") }) {
 		t.Errorf("not detected: %+v", v)
 	}
 }
@@ -515,7 +515,7 @@
 			cut.fault(w, owner)
 			time.Sleep(lease * 3 / 2)
 			for n := range 3 { // what each voter reports
-				v, err := w.Fleet.All()[n].CouncilView(w.ctx(3*time.Second), false)
+				v, err := w.Fleet.Clients()[n].CouncilView(w.ctx(3*time.Second), false)
 				if err == nil && v.Current && len(v.Duties) > 0 {
 					if name, token := w.currentOwner(); name != "" && v.Duties[0].Token > token {
 						t.Errorf("%s reports token %v, a majority %v", agentName(n), v.Duties[0].Token, token)
@@ -529,7 +529,7 @@
 			}
 			j = w.waitForJobEnd(j.ID)
 			if j.State != duty.Finished {
-				t.Errorf("job %s: %s", j.State, j.Why)
+				t.Errorf("job %s: %s", j.State, j.Reason)
 			}
 			w.checkRun(j, 1)
 			if _, last := w.currentOwner(); last > first+cut.changes {
@@ -543,7 +543,7 @@
 // kept and each instance is restarted exactly once.
 func TestWrongClocks(t *testing.T) {
 	t.Parallel()
-	for name, orders := range map[string]map[string]faults.Orders{
+	for name, orders := range map[string]map[string]faults.Instructions{
 		"10% apart":     {"m1": {Rate: 0.9}, "m2": {Rate: 1.1}},
 		"an hour ahead": {"m1": {Jump: time.Hour}, "m2": {Jump: time.Hour}},
 		"an hour back":  {"m2": {Jump: -time.Hour}, "m3": {Jump: -time.Hour}},
@@ -564,7 +564,7 @@
 			}
 			j = w.waitForJobEnd(j.ID)
 			if j.State != duty.Finished {
-				t.Errorf("job %s: %s", j.State, j.Why)
+				t.Errorf("job %s: %s", j.State, j.Reason)
 			}
 			w.checkRun(j, 1)
 		})
@@ -583,7 +583,7 @@
 		if err := w.SignalAgent(n, syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.SetOrders(owner, faults.Orders{Jump: time.Minute}); err != nil {
+		if err := w.SetOrders(owner, faults.Instructions{Jump: time.Minute}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(testLease / 2) // shorter than the lease, which has ended by the owner's own clock only
@@ -603,7 +603,7 @@
 // unavailable, and the job allows one more.
 func TestCouncilDiskFaults(t *testing.T) {
 	t.Parallel()
-	for name, o := range map[string]faults.Orders{
+	for name, o := range map[string]faults.Instructions{
 		"full":      {Disk: "write: no space left on device"},
 		"read-only": {Disk: "read-only file system"},
 		"fsync":     {Disk: "fsync: input/output error"},
@@ -629,7 +629,7 @@
 				reported := false
 				for _, s := range voters {
 					if s.Agent == leader {
-						reported = s.State == duty.Broken && strings.Contains(s.Why, o.Disk) || o.Slow > 0 && s.SlowFor > 0 && s.State != duty.Leader
+						reported = s.State == duty.Broken && strings.Contains(s.Reason, o.Disk) || o.Slow > 0 && s.SlowestWrite > 0 && s.State != duty.Leader
 					}
 				}
 				return reported
@@ -638,12 +638,12 @@
 				is := w.job(j.ID)
 				return is != nil && is.Intents() > 0
 			})
-			if err := w.SetOrders(leader, faults.Orders{}); err != nil {
+			if err := w.SetOrders(leader, faults.Instructions{}); err != nil {
 				t.Fatal(err)
 			}
 			j = w.waitForJobEnd(j.ID)
 			if j.State != duty.Finished {
-				t.Errorf("job %s: %s %+v", j.State, j.Why, j.Steps)
+				t.Errorf("job %s: %s %+v", j.State, j.Reason, j.Steps)
 			}
 			w.checkRun(j, 3)
 		})
@@ -701,10 +701,10 @@
 		t.Errorf("the job ended %v after the voters' return, too late", took)
 	}
 	if j.State != duty.Finished {
-		t.Errorf("job %s: %s", j.State, j.Why)
+		t.Errorf("job %s: %s", j.State, j.Reason)
 	}
 	v, err := faults.Check(w.Files())
-	if err != nil || len(v.Broken) > 0 || v.Away > 1 {
+	if err != nil || len(v.Violations) > 0 || v.MaxUnavailable > 1 {
 		t.Errorf("%+v, %v", v, err)
 	}
 }
@@ -743,7 +743,7 @@
 		}
 	}
 	v, err := faults.Check(w.Files())
-	if err != nil || len(v.Broken) > 0 || v.Away > 1 {
+	if err != nil || len(v.Violations) > 0 || v.MaxUnavailable > 1 {
 		t.Errorf("%+v, %v", v, err)
 	}
 	for key, n := range done {
@@ -786,7 +786,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := w.SetOrders(v.Leader, faults.Orders{Slow: 300 * time.Millisecond}); err != nil {
+	if err := w.SetOrders(v.Leader, faults.Instructions{Slow: 300 * time.Millisecond}); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond) // until the leader has read its orders
@@ -801,7 +801,7 @@
 	w.KillAgent(agentIndex(v.Leader))
 	acknowledged := <-firstResult == nil
 	j := w.submitOrder(o)
-	if err := w.SetOrders(v.Leader, faults.Orders{}); err != nil {
+	if err := w.SetOrders(v.Leader, faults.Instructions{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.StartAgent(agentIndex(v.Leader), false); err != nil {
@@ -845,7 +845,7 @@
 	}
 	j = w.waitForJobEnd(j.ID)
 	if j.State != duty.Finished {
-		t.Errorf("job %s: %s", j.State, j.Why)
+		t.Errorf("job %s: %s", j.State, j.Reason)
 	}
 	w.checkRun(j, 1)
 }
@@ -881,7 +881,7 @@
 	t.Logf("the owner was killed %d times", killed)
 	j = w.waitForJobEnd(j.ID)
 	if j.State != duty.Finished || killed < kills {
-		t.Errorf("job %s: %s after %d kills", j.State, j.Why, killed)
+		t.Errorf("job %s: %s after %d kills", j.State, j.Reason, killed)
 	}
 	w.checkRun(j, maxUnavailable)
 }
--- a/internal/standin/lab/play.go
+++ b/internal/standin/lab/play.go
@@ -25,16 +25,16 @@
 // simulator.
 var unsupportedFaults = []string{"mute", "cut", "node-crash", "stale"}
 
-// Play runs an experiment in real time on loopback sockets, with node processes as configured by opt, and boxes,
+// RunExperiment runs an experiment in real time on loopback sockets, with node processes as configured by opt, and boxes,
 // clients and faults as configured by the experiment. If the experiment needs anything that the machine or loopback
 // sockets do not support, Play returns an error before it starts any process. Network latency is that of loopback,
 // whatever the experiment says.
-func Play(ctx context.Context, x *experiment.Experiment, opt Options, seed uint64) (experiment.Run, error) {
+func RunExperiment(ctx context.Context, x *experiment.Experiment, opt Options, seed uint64) (experiment.Run, error) {
 	if err := checkSupported(x); err != nil {
 		return experiment.Run{}, err
 	}
 	o := x.Options
-	opt.Instances, opt.Agents, opt.Boxes, opt.Rate, opt.Seed, opt.Asked = o.Nodes, 1, len(o.Servers), 0, seed, o.Asked
+	opt.Instances, opt.Agents, opt.Boxes, opt.Rate, opt.Seed, opt.Pull = o.Nodes, 1, len(o.Servers), 0, seed, o.Pull
 	opt.Zones = nil
 	for i := range x.File.Fleet.Zones {
 		opt.Zones = append(opt.Zones, fmt.Sprint("z", i))
@@ -53,16 +53,16 @@
 	}
 	defer l.Close()
 
-	p := &experimentRun{lab: l, experiment: x, start: time.Now(), results: sim.NewResults(x.Options.Warm)}
+	p := &experimentRun{lab: l, experiment: x, start: time.Now(), results: sim.NewResults(x.Options.WarmUp)}
 	load := o.Load
 	l.StartClients(standin.ClientOptions{
 		Rate: load.Rate, Curve: load.Curve, Classes: opt.Classes, Tenants: tenantNames(load.Tenants), Skew: load.Skew, Keys: load.Keys,
-		Seed: seed, Most: 16384, Whole: true, Comeback: load.Habits, Ended: p.recordEnd,
+		Seed: seed, MaxOpen: 16384, FullDeadline: true, Comeback: load.Behavior, OnEnd: p.recordEnd,
 	})
 	if err := p.injectFaults(ctx); err != nil {
 		return experiment.Run{}, err
 	}
-	l.Unload()
+	l.StopClients()
 	run := x.Judge(seed, p.collectResults())
 	if void := l.Clients.Report().Void; void != "" {
 		run.Failed = append(run.Failed, "void: "+void)
@@ -132,7 +132,7 @@
 		"MaxRetryAfterMs": ms(limits.MaxRetryAfter), "ConnIdleMs": 15000, "ConnectTimeoutMs": 250,
 	}
 	r := o.Settings.Rules
-	s["Contract"] = object{"ColdFrom": r.ColdFrom, "ColdMs": ms(r.ColdFor), "FallMultiple": r.FallMultiple, "FallMs": ms(r.FallFor), "MustAskInMs": ms(r.MustAsk)}
+	s["Contract"] = object{"ColdFrom": r.ColdFrom, "ColdMs": ms(r.ColdFor), "FallMultiple": r.FallMultiple, "FallMs": ms(r.FallFor), "MustAskInMs": ms(r.MaxCallInterval)}
 }
 
 // experimentRun is one run of an experiment.
@@ -146,19 +146,19 @@
 }
 
 // recordEnd records the end of a client request.
-func (p *experimentRun) recordEnd(e standin.End) {
+func (p *experimentRun) recordEnd(e standin.RequestResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	began := e.Due.Sub(p.start)
 	p.results.Asked++
 	for range e.Tries {
-		p.results.Tried(began)
+		p.results.RecordTry(began)
 	}
 	outcome := e.Outcome.String()
 	if !e.Sent {
 		outcome = "not sent"
 	}
-	p.results.Take(sim.End{Began: began, Took: e.Took, Aim: p.experiment.Options.Settings.Classes[e.Class].Aim, How: outcome})
+	p.results.RecordEnd(sim.End{Began: began, Took: e.Took, Aim: p.experiment.Options.Settings.Classes[e.Class].Aim, How: outcome})
 }
 
 // faultEvent is the beginning or the end of a fault; the one without a fault ends the run.
@@ -201,7 +201,7 @@
 
 func (p *experimentRun) applyFault(ctx context.Context, flapping *sync.WaitGroup, f sim.Fault, on bool) error {
 	if f.What == "discovery" {
-		p.lab.Discovery.Down(on)
+		p.lab.Discovery.SetDown(on)
 		return nil
 	}
 	for _, i := range f.Servers {
@@ -267,7 +267,7 @@
 	r := p.results
 	report := p.lab.Ledger.Report()
 	r.Attempts = uint64(report.Arrived)
-	r.Judged(report.Report)
+	r.SetReport(report.Report)
 	r.Finish()
 	return r
 }
--- a/internal/standin/lab/play_test.go
+++ b/internal/standin/lab/play_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	onSockets, err := Play(t.Context(), x, testOptions(t.TempDir()), 1)
+	onSockets, err := RunExperiment(t.Context(), x, testOptions(t.TempDir()), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,15 +212,15 @@
 	withoutFaults, _, _ := strings.Cut(strings.Replace(experimentText, "for = \"7s\"", "for = \"4s\"", 1), "[[fault]]")
 	for name, c := range map[string]struct {
 		text string
-		want []ledger.Breach
+		want []ledger.Violation
 	}{
 		"drain": {
 			strings.Replace(withoutFaults, "rate = 80.0", "rate = 40.0", 1) + "[[fault]]\nat = \"1500ms\"\nwhat = \"drain\"\nservers = [0]\n",
-			[]ledger.Breach{ledger.RanTwice, ledger.AfterDrain, ledger.SecondAnswer},
+			[]ledger.Violation{ledger.RanTwice, ledger.AfterDrain, ledger.SecondAnswer},
 		},
 		"cold": {
 			strings.NewReplacer("rate = 80.0", "rate = 150.0", "zones = 2", "zones = 2\ncold = true").Replace(withoutFaults),
-			[]ledger.Breach{ledger.PushedOver},
+			[]ledger.Violation{ledger.PushedOver},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -228,7 +228,7 @@
 			opt := testOptions(t.TempDir())
 			reserveSlot(t, opt.Rate)
 			opt.NodeEnv = map[string]string{"OTTERLAB_ROLE": "faulty-node"}
-			r, err := Play(t.Context(), loadExperiment(t, c.text), opt, 1)
+			r, err := RunExperiment(t.Context(), loadExperiment(t, c.text), opt, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -245,7 +245,7 @@
 func TestUnsupportedExperimentIsRejected(t *testing.T) {
 	text := strings.Replace(experimentText, "what = \"hang\"", "what = \"mute\"", 1)
 	text = strings.Replace(text, "rate = 80.0", "rate = 80000.0\nbursts = true", 1)
-	_, err := Play(t.Context(), loadExperiment(t, text), Options{}, 1)
+	_, err := RunExperiment(t.Context(), loadExperiment(t, text), Options{}, 1)
 	if err == nil {
 		t.Fatal("the experiment was accepted")
 	}
--- a/internal/standin/lab/recovery_test.go
+++ b/internal/standin/lab/recovery_test.go
@@ -91,9 +91,9 @@
 // decides. Instances that were up are restarted if their desired state is known.
 func TestDrainSurvivesStateLoss(t *testing.T) {
 	t.Parallel()
-	for _, what := range []string{faults.Record, faults.Folder, faults.All, faults.OldRecord, faults.OldMemory, faults.OldFolder} {
+	for _, what := range []string{faults.Record, faults.Folder, faults.FolderAndCopy, faults.OldRecord, faults.OldRecordAndCopy, faults.OldFolder} {
 		for _, council := range []bool{false, true} {
-			if council != slices.Contains([]string{faults.Folder, faults.OldMemory, faults.OldFolder}, what) && what != faults.All {
+			if council != slices.Contains([]string{faults.Folder, faults.OldRecordAndCopy, faults.OldFolder}, what) && what != faults.FolderAndCopy {
 				continue // the other combinations are covered by tests of package agent and by the campaign
 			}
 			name := what
@@ -102,7 +102,7 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				if what != faults.Record && what != faults.All {
+				if what != faults.Record && what != faults.FolderAndCopy {
 					skipIfShort(t)
 				}
 				var w *testFleet
@@ -119,8 +119,8 @@
 				w.drain(last.Name)
 				if council { // wait until the council knows
 					w.waitUntil("the council knows of the drain", func() bool {
-						a, err := w.Fleet.Do(w.ctx(2*time.Second), duty.Command{Report: &duty.Report{Agent: last.Agent, Folder: "x", Asks: true}})
-						return err == nil && a.Told.Known && a.Told.Instances[last.Name].Generation > 0
+						a, err := w.Fleet.CouncilSubmit(w.ctx(2*time.Second), duty.Command{Report: &duty.Report{Agent: last.Agent, StateDirID: "x", QueryOnly: true}})
+						return err == nil && a.ReportAnswer.Known && a.ReportAnswer.Instances[last.Name].Generation > 0
 					})
 				}
 				before := w.starts(last.Name)
@@ -135,9 +135,9 @@
 						sameAgent = append(sameAgent, i.Name)
 					}
 				}
-				known := council || what != faults.All
+				known := council || what != faults.FolderAndCopy
 				switch {
-				case known && !(what == faults.OldMemory && !council):
+				case known && !(what == faults.OldRecordAndCopy && !council):
 					w.waitUpExcept(last.Name)
 				case known: // both copies predate the drain, and there is no other source
 					w.waitUpExcept()
@@ -194,21 +194,21 @@
 	j := w.submit(1)
 	w.waitForJobEnd(j.ID)
 	w.KillMachine(3)
-	w.lose(3, faults.All)
+	w.lose(3, faults.FolderAndCopy)
 	w.Isolate(true, "m4")
 	if err := w.StartAgent(3, false); err != nil {
 		t.Fatal(err)
 	}
 	w.waitUntil("m4 answers", func() bool {
-		_, err := w.Fleet.Agent("m4").Agent(w.ctx(time.Second))
+		_, err := w.Fleet.Client("m4").Agent(w.ctx(time.Second))
 		return err == nil
 	})
 	before := w.starts("n4")
 	f := protocol.Fence{Duty: duty.Rollouts, Token: 1 << 30}
 	ctx := client.WithFence(context.Background(), f)
-	_, raised := w.Fleet.Agent("m4").Raise(ctx, f)
-	_, opened := w.Fleet.Agent("m4").Open(ctx, protocol.CommandRequest{
-		ID: protocol.NewID(time.Now(), 1), Kind: protocol.Restart, Resume: true, Fence: &f, OnBehalf: "ada", Instances: []protocol.Seen{{Name: "n4"}},
+	_, raised := w.Fleet.Client("m4").RaiseToken(ctx, f)
+	_, opened := w.Fleet.Client("m4").Open(ctx, protocol.CommandRequest{
+		ID: protocol.NewID(time.Now(), 1), Kind: protocol.Restart, Resume: true, Fence: &f, OnBehalf: "ada", Instances: []protocol.InstanceGeneration{{Name: "n4"}},
 	})
 	for what, err := range map[string]error{"raised": raised, "opened": opened} {
 		if e, ok := err.(*protocol.Error); !ok || e.Code != protocol.CodeForgetful {
@@ -221,7 +221,7 @@
 	w.Isolate(false, "m4")
 	w.waitUpExcept()
 	w.waitUntil("m4 accepts orders again", func() bool {
-		r, err := w.Fleet.Agent("m4").Recovery(w.ctx(time.Second))
+		r, err := w.Fleet.Client("m4").Recovery(w.ctx(time.Second))
 		return err == nil && !r.Forgetful && len(r.Held) == 0
 	})
 	// Now the old token is refused because it is outdated.
@@ -229,7 +229,7 @@
 	j = w.submit(1)
 	w.waitUntil("there is a newer token", func() bool { _, token := w.currentOwner(); return token > 1 })
 	w.waitForJobEnd(j.ID) // so that m4 knows it
-	if _, err := w.Fleet.Agent("m4").Raise(client.WithFence(context.Background(), old), old); err == nil {
+	if _, err := w.Fleet.Client("m4").RaiseToken(client.WithFence(context.Background(), old), old); err == nil {
 		t.Error("an outdated token was accepted")
 	}
 }
@@ -274,7 +274,7 @@
 			w.waitUpExcept("n9")
 			j = w.waitForJobEnd(j.ID)
 			resumed := 0
-			if j.State == duty.Stopped && strings.Contains(j.Why, "whether it was done can't be told") {
+			if j.State == duty.Stopped && strings.Contains(j.Reason, "whether it was done can't be told") {
 				// The record that would tell whether an order was executed is lost. The job reports that, and only an operator can
 				// have the order repeated.
 				resumed = 1
@@ -284,10 +284,10 @@
 				j = w.waitForJobEnd(j.ID)
 			}
 			if j.State != duty.Finished {
-				t.Errorf("job %s: %s %+v", j.State, j.Why, j.Steps)
+				t.Errorf("job %s: %s %+v", j.State, j.Reason, j.Steps)
 			}
 			v, err := faults.Check(w.Files())
-			if err != nil || len(v.Broken) > 0 {
+			if err != nil || len(v.Violations) > 0 {
 				t.Errorf("%+v, %v", v, err)
 			}
 			for key, n := range v.Starts {
@@ -323,8 +323,8 @@
 	tool(cli.Usage, "backup", backup) // it does not overwrite a file
 	w.drain("n6")
 	w.waitUntil("the council knows of the drain", func() bool {
-		a, err := w.Fleet.Do(w.ctx(2*time.Second), duty.Command{Report: &duty.Report{Agent: "m3", Folder: "x", Asks: true}})
-		return err == nil && !a.Told.Instances["n6"].Up
+		a, err := w.Fleet.CouncilSubmit(w.ctx(2*time.Second), duty.Command{Report: &duty.Report{Agent: "m3", StateDirID: "x", QueryOnly: true}})
+		return err == nil && !a.ReportAnswer.Instances["n6"].Up
 	})
 	if out := tool(cli.Conflict, "council", "recover", "--voters", "m1", "--confirm", "lab"); !strings.Contains(out, "a majority goes on by itself") {
 		t.Error(out)
@@ -335,10 +335,10 @@
 	if err := os.Rename(filepath.Join(w.stateDir(1), "council"), filepath.Join(w.opt.Dir, "m2.council")); err != nil {
 		t.Fatal(err)
 	}
-	w.lose(2, faults.All)
+	w.lose(2, faults.FolderAndCopy)
 	w.waitUntil("m1 is no longer the leader", func() bool {
 		voters, _ := w.Fleet.Voters(w.ctx(time.Second))
-		return len(voters) == 1 && voters[0].State == duty.Alone
+		return len(voters) == 1 && voters[0].State == duty.NoLeader
 	})
 	tool(cli.Usage, "council", "recover", "--voters", "m1")
 	tool(cli.Usage, "council", "recover", "--voters", "m1", "--confirm", "another")
@@ -383,13 +383,13 @@
 	time.Sleep(testLease)
 	voters, _ := w.Fleet.Voters(w.ctx(time.Second))
 	for _, s := range voters {
-		if s.Agent == "m2" && s.State != duty.Alone || s.Agent == "m1" && len(s.Members) != 2 {
+		if s.Agent == "m2" && s.State != duty.NoLeader || s.Agent == "m1" && len(s.Members) != 2 {
 			t.Errorf("a voter of the old council was admitted: %+v", s)
 		}
 	}
 	j := w.waitForJobEnd(w.submit(2).ID)
 	if _, token := w.currentOwner(); token.Epoch() != 1 || j.State != duty.Finished {
-		t.Errorf("token %v, job %s: %s", token, j.State, j.Why)
+		t.Errorf("token %v, job %s: %s", token, j.State, j.Reason)
 	}
 	// In the backup n6 is up. The drain is newer, so it stays, and the output says so.
 	if out := tool(cli.Usage, "restore", backup); !strings.Contains(out, "--confirm lab restores it") {
@@ -427,13 +427,13 @@
 			n := agentIndex(last.Agent)
 			w.drain(last.Name)
 			w.waitUntil("the council knows of the drain", func() bool {
-				a, err := w.Fleet.Do(w.ctx(2*time.Second), duty.Command{Report: &duty.Report{Agent: last.Agent, Folder: "x", Asks: true}})
-				return err == nil && a.Told.Known && !a.Told.Instances[last.Name].Up
+				a, err := w.Fleet.CouncilSubmit(w.ctx(2*time.Second), duty.Command{Report: &duty.Report{Agent: last.Agent, StateDirID: "x", QueryOnly: true}})
+				return err == nil && a.ReportAnswer.Known && !a.ReportAnswer.Instances[last.Name].Up
 			})
 			before := w.starts(last.Name)
 			w.KillMachine(n)
 			w.lose(n, faults.Record)
-			if err := w.SetOrders(last.Agent, faults.Orders{Disk: diskError}); err != nil {
+			if err := w.SetOrders(last.Agent, faults.Instructions{Disk: diskError}); err != nil {
 				t.Fatal(err)
 			}
 			if err := w.StartAgent(n, false); err != nil {
@@ -447,7 +447,7 @@
 			if got := w.starts(last.Name); got != before {
 				t.Errorf("the drained instance was started %d more times", got-before)
 			}
-			if err := w.SetOrders(last.Agent, faults.Orders{}); err != nil {
+			if err := w.SetOrders(last.Agent, faults.Instructions{}); err != nil {
 				t.Fatal(err)
 			}
 			if w.reapAgent(n); w.agents[n] == nil { // as its supervisor would
@@ -476,7 +476,7 @@
 		is := w.job(j.ID)
 		return is != nil && slices.ContainsFunc(is.Steps, func(s duty.Step) bool { return s.Phase == duty.Done })
 	})
-	w.Discovery.Down(true)
+	w.Discovery.SetDown(true)
 	for n := range 5 {
 		w.KillMachine(n)
 	}
@@ -489,7 +489,7 @@
 		}
 	}
 	w.waitUpExcept("n5")
-	w.Discovery.Down(false)
+	w.Discovery.SetDown(false)
 	starts := func() map[string]int {
 		v, err := faults.Check(w.Files())
 		if err != nil {
@@ -502,10 +502,10 @@
 	if now := starts(); !maps.Equal(now, before) {
 		t.Errorf("starts %v became %v while most stores were lost", before, now)
 	}
-	if out, code := runCtl("owners", "--fleet", w.FleetFile); code != cli.Silent || !strings.Contains(out, "MAY BE OLD") {
+	if out, code := runCtl("owners", "--fleet", w.FleetFile); code != cli.NoAnswer || !strings.Contains(out, "MAY BE OLD") {
 		t.Errorf("exit code %d\n%s", code, out)
 	}
-	if out, code := runCtl("rollout", "restart", "all", "--timeout", "3s", "--fleet", w.FleetFile); code != cli.Silent {
+	if out, code := runCtl("rollout", "restart", "all", "--timeout", "3s", "--fleet", w.FleetFile); code != cli.NoAnswer {
 		t.Errorf("exit code %d\n%s", code, out)
 	}
 	w.waitUntil("m4 is the only voter", func() bool {
@@ -514,10 +514,10 @@
 	})
 	j = w.waitForJobEnd(j.ID)
 	if _, token := w.currentOwner(); j.State != duty.Finished || token.Epoch() != 1 {
-		t.Errorf("job %s: %s; token %v", j.State, j.Why, token)
+		t.Errorf("job %s: %s; token %v", j.State, j.Reason, token)
 	}
 	v, err := faults.Check(w.Files())
-	if err != nil || len(v.Broken) > 0 || v.Starts["m5/n5"] != 1 {
+	if err != nil || len(v.Violations) > 0 || v.Starts["m5/n5"] != 1 {
 		t.Errorf("%+v, %v", v, err)
 	}
 }
--- a/internal/standin/lab/relearn.go
+++ b/internal/standin/lab/relearn.go
@@ -11,17 +11,17 @@
 	"otterstep/internal/fleet/duty"
 )
 
-// Relearning is the cost of agents recovering their desired state from the council.
-type Relearning struct {
-	All                      time.Duration   // until the last agent had its state and had reported it
-	Each                     []time.Duration // per agent, sorted
-	Told, ToldMost, Reported int             // bytes of JSON: from the council in total, in the largest answer, and reported by agents
+// RelearnCost is the cost of agents recovering their desired state from the council.
+type RelearnCost struct {
+	All                                    time.Duration   // until the last agent had its state and had reported it
+	Each                                   []time.Duration // per agent, sorted
+	SentBytes, MaxSentBytes, ReportedBytes int             // bytes of JSON: from the council in total, in the largest answer, and reported by agents
 }
 
 // Relearn registers agents with their instances at a council. Then all of the agents request their desired state at
 // once, as after a loss of all records, and report it back. The council consists of real agent processes; this
 // function makes the requests of the other agents.
-func Relearn(ctx context.Context, opt Options, agents, instances int) (r Relearning, err error) {
+func Relearn(ctx context.Context, opt Options, agents, instances int) (r RelearnCost, err error) {
 	l, err := New(ctx, opt)
 	if err != nil {
 		return r, err
@@ -45,9 +45,9 @@
 		}
 		return nil
 	}
-	report := func(agent, folder string, known map[string]duty.Desired) (*duty.Told, error) {
-		a, err := l.Fleet.Do(ctx, duty.Command{Report: &duty.Report{Agent: agent, Folder: folder, Starts: 1, Asks: known == nil, Instances: known}})
-		return a.Told, err
+	report := func(agent, folder string, known map[string]duty.Desired) (*duty.ReportAnswer, error) {
+		a, err := l.Fleet.CouncilSubmit(ctx, duty.Command{Report: &duty.Report{Agent: agent, StateDirID: folder, Starts: 1, QueryOnly: known == nil, Instances: known}})
+		return a.ReportAnswer, err
 	}
 	err = forEachAgent(func(agent string, n int) error {
 		known := map[string]duty.Desired{}
@@ -84,7 +84,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		r.Each = append(r.Each, took)
-		r.Told, r.ToldMost, r.Reported = r.Told+len(down), max(r.ToldMost, len(down)), r.Reported+len(up)
+		r.SentBytes, r.MaxSentBytes, r.ReportedBytes = r.SentBytes+len(down), max(r.MaxSentBytes, len(down)), r.ReportedBytes+len(up)
 		return nil
 	})
 	r.All = time.Since(began)
--- a/internal/standin/lab/remote.go
+++ b/internal/standin/lab/remote.go
@@ -39,7 +39,7 @@
 		for _, box := range l.Boxes {
 			fmt.Fprintf(&b, "%s %s\n", box.UID(), box.State())
 		}
-		l.Print(&b)
+		l.PrintReport(&b)
 		_, _ = w.Write(b.Bytes())
 	})
 	s := &http.Server{Handler: mux, ReadTimeout: 5 * time.Second}
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// Ask sends a box command to the lab that runs in a directory. Without words it returns the lab's status.
-func Ask(ctx context.Context, dir string, words []string) (string, error) {
+// SendCommand sends a box command to the lab that runs in a directory. Without words it returns the lab's status.
+func SendCommand(ctx context.Context, dir string, words []string) (string, error) {
 	t := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "unix", filepath.Join(dir, commandSocket))
 	}}
--- a/internal/standin/lab/return_test.go
+++ b/internal/standin/lab/return_test.go
@@ -77,7 +77,7 @@
 // which are cold, and starts the agents.
 func (w *testFleet) powerCut(meanwhile func()) {
 	w.t.Helper()
-	w.Discovery.Down(true)
+	w.Discovery.SetDown(true)
 	w.killAll()
 	for _, b := range w.Boxes {
 		b.Crash()
@@ -92,7 +92,7 @@
 }
 
 // editSavedState changes the saved state of an instance that is not running.
-func (w *testFleet) editSavedState(i Instance, change func(*kept.View)) {
+func (w *testFleet) editSavedState(i Instance, change func(*kept.Snapshot)) {
 	w.t.Helper()
 	s, v, problems := kept.Open(record.OS{}, w.savedFile(i), i.Name)
 	defer s.Close()
@@ -108,8 +108,8 @@
 }
 
 // withAge makes saved state older by the given time, and makes it look saved before the machine's last boot.
-func withAge(by time.Duration) func(*kept.View) {
-	return func(v *kept.View) {
+func withAge(by time.Duration) func(*kept.Snapshot) {
+	return func(v *kept.Snapshot) {
 		v.Saved.Wall, v.Confirmed.Wall = v.Saved.Wall.Add(-by), v.Confirmed.Wall.Add(-by)
 		v.Saved.Boot, v.Confirmed.Boot = "another", "another"
 	}
@@ -120,7 +120,7 @@
 // violations returns descriptions of the rule violations, without those of requests that had begun when all processes
 // were last killed: these got no answer, and clients may have sent them again when their connections ended.
 func (w *testFleet) violations() (all []string) {
-	for _, violation := range w.Ledger.Report().Words {
+	for _, violation := range w.Ledger.Report().Descriptions {
 		if id := requestID.FindStringSubmatch(violation); id != nil {
 			if n, err := strconv.ParseInt(id[1], 16, 64); err == nil && int(n) <= w.begunAtKill {
 				continue
@@ -218,14 +218,16 @@
 	},
 	"clients that retry": {
 		minServed: 30,
-		change:    func(o *Options) { o.ClientBehavior = comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3} },
+		change: func(o *Options) {
+			o.ClientBehavior = comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}
+		},
 	},
 	// A lower rate would suffice to make servers fall over: see TestCheckerDetectsTrustInSavedState.
 	"overload by clients that retry": {
 		minServed: 30,
 		minShare:  0.4,
 		change: func(o *Options) {
-			o.Rate, o.ClientBehavior, o.FallMultiple = 110, comeback.Habits{Tries: 3, Heed: 0.7, Rash: 0.3}, 1.2
+			o.Rate, o.ClientBehavior, o.FallMultiple = 110, comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}, 1.2
 			o.AdjustBox = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 1, 1, 1 }
 		},
 	},
@@ -274,8 +276,8 @@
 			b.Heal()
 		}
 	}
-	w.Discovery.Overbook(10)
-	w.Discovery.Down(false)
+	w.Discovery.RejectAllButOneIn(10)
+	w.Discovery.SetDown(false)
 	return w, servedWithoutDiscovery
 }
 
@@ -332,7 +334,7 @@
 	if now := w.served(); now != was {
 		t.Errorf("%d requests were served by nodes that know no server", now-was)
 	}
-	w.Discovery.Down(false)
+	w.Discovery.SetDown(false)
 	w.waitUntil("nodes serve with discovery", func() bool { return w.served() > was+100 })
 }
 
@@ -363,7 +365,7 @@
 		w.callOperator(i, "/admin/cordon/s1")
 	}
 	w.killAll() // SIGKILL right after the last acknowledgement
-	w.Discovery.Down(true)
+	w.Discovery.SetDown(true)
 	files := func() (all []string) {
 		for _, i := range w.Instances {
 			for _, suffix := range []string{".a", ".b"} {
@@ -411,15 +413,15 @@
 	if out := tool("show", "all"); strings.Count(out, "by its list") != 3 || !strings.Contains(out, "HELD") {
 		t.Error(out)
 	}
-	w.Discovery.Down(false)
+	w.Discovery.SetDown(false)
 	was = w.served()
 	w.waitUntil("nodes serve with discovery", func() bool { return w.served() > was+30 })
 	time.Sleep(2 * saveInterval)
 	w.killAll()
 	for n, servers := range []int{len(w.Boxes), len(w.Boxes), len(w.Boxes)} {
-		w.editSavedState(w.Instances[n], func(v *kept.View) {
-			if len(v.Servers) != servers || len(v.Hand) != 1 || v.Held != (n == 1) || v.Rev == 0 {
-				t.Errorf("saved state of n%d: %d servers, manual cordons %+v, frozen %v, revision %d", n+1, len(v.Servers), v.Hand, v.Held, v.Rev)
+		w.editSavedState(w.Instances[n], func(v *kept.Snapshot) {
+			if len(v.Servers) != servers || len(v.ManualCordons) != 1 || v.Frozen != (n == 1) || v.Rev == 0 {
+				t.Errorf("saved state of n%d: %d servers, manual cordons %+v, frozen %v, revision %d", n+1, len(v.Servers), v.ManualCordons, v.Frozen, v.Rev)
 			}
 			if n == 1 && !strings.Contains(before[2], v.Confirmed.Wall.Format("2006-01-02T15:04:05.999999999")) && !strings.Contains(before[3], v.Confirmed.Wall.Format("2006-01-02T15:04:05.999999999")) {
 				t.Errorf("the saved state of n2 was frozen, but was confirmed at %v", v.Confirmed.Wall)
--- a/internal/standin/lab/returnplot.go
+++ b/internal/standin/lab/returnplot.go
@@ -17,20 +17,20 @@
 	color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff}, color.RGBA{0x33, 0x33, 0x33, 0xff},
 }
 
-// Named is a Return with its name in the legend of a plot.
-type Named struct {
+// NamedResult is a Return with its name in the legend of a plot.
+type NamedResult struct {
 	Name string
-	Return
+	RestartResult
 	Dashed bool
 }
 
-// PlotReturns plots the share of instances that serve over time and writes it to an SVG file.
-func PlotReturns(path string, all []Named) error {
+// PlotRestarts plots the share of instances that serve over time and writes it to an SVG file.
+func PlotRestarts(path string, all []NamedResult) error {
 	var series []Series
 	for _, r := range all {
 		s := Series{Name: r.Name, Dashed: r.Dashed, Color: len(series) / 2}
 		for _, at := range r.Served {
-			s.X, s.Y = append(s.X, at.At.Seconds()), append(s.Y, at.Part)
+			s.X, s.Y = append(s.X, at.At.Seconds()), append(s.Y, at.Fraction)
 		}
 		series = append(series, s)
 	}
--- a/internal/standin/lab/upgrade.go
+++ b/internal/standin/lab/upgrade.go
@@ -70,8 +70,8 @@
 	if err := pause(ctx, every); err != nil {
 		return false, err
 	}
-	l.Unload()
-	return l.Print(w), nil
+	l.StopClients()
+	return l.PrintReport(w), nil
 }
 
 func pause(ctx context.Context, d time.Duration) error {
@@ -107,7 +107,7 @@
 	if u.socket, err = u.listener.File(); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	outlet, err := l.Discovery.Pushed()
+	outlet, err := l.Discovery.NewPushOutlet()
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
--- a/internal/standin/lab/upgradefleet_test.go
+++ b/internal/standin/lab/upgradefleet_test.go
@@ -17,7 +17,7 @@
 	w.t.Helper()
 	w.waitUntil("all instances serve with "+program, func() bool {
 		v, err := w.Fleet.Desired(w.ctx(requestTimeout))
-		if err != nil || !v.Current || !v.State.Programs["lab"].Whole || v.State.Program("lab") != program {
+		if err != nil || !v.Current || !v.State.Programs["lab"].Completed || v.State.Program("lab") != program {
 			return false
 		}
 		rows := w.Fleet.List(w.ctx(requestTimeout)).Rows
@@ -93,11 +93,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, broken := range verdict.Broken {
+		for _, broken := range verdict.Violations {
 			t.Error(broken)
 		}
-		if verdict.Away > 1 {
-			t.Errorf("%d instances were unavailable at once, want at most 1", verdict.Away)
+		if verdict.MaxUnavailable > 1 {
+			t.Errorf("%d instances were unavailable at once, want at most 1", verdict.MaxUnavailable)
 		}
 		n := 0
 		for _, s := range verdict.Starts {
@@ -125,8 +125,8 @@
 		t.Errorf("%q", notes)
 	}
 	starts()
-	w.Unload()
-	if held := w.Print(os.Stderr); !held {
+	w.StopClients()
+	if held := w.PrintReport(os.Stderr); !held {
 		t.Error("a rule was broken")
 	}
 }
--- a/internal/standin/lab/wordplay.go
+++ b/internal/standin/lab/wordplay.go
@@ -51,7 +51,7 @@
 			shape(i, o)
 		}
 		box := o.UID
-		o.Arrived = func(id string, at time.Time) {
+		o.OnArrival = func(id string, at time.Time) {
 			node, _, _ := strings.Cut(id, ".")
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -139,13 +139,13 @@
 // sampleOnce records, as claims, the versions that otterctl status shows now.
 func (w *stateObserver) sampleOnce(ctx context.Context) {
 	requestedAt := time.Now()
-	_, byAgent := w.lab.Fleet.Standing(ctx, 0)
+	_, byAgent := w.lab.Fleet.VersionStatus(ctx, 0)
 	answeredAt := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for agent, f := range byAgent {
 		for _, t := range f.Instances {
-			if t.Runs && t.Version > 0 && len(w.claims) < maxClaims {
+			if t.Running && t.Version > 0 && len(w.claims) < maxClaims {
 				w.claims = append(w.claims, faults.Claim{Node: agent + "/" + t.Instance, Version: uint64(t.Version), Asked: requestedAt, Answer: answeredAt})
 			}
 		}
@@ -169,7 +169,7 @@
 	w.changeCount++
 	c.ID = protocol.NewID(time.Now(), uint64(w.changeCount))
 	w.mu.Unlock()
-	c.Saw, c.At, c.By = v.State.Document.Version, time.Now(), "campaign"
+	c.BasedOn, c.At, c.By = v.State.Document.Version, time.Now(), "campaign"
 	version, err := w.lab.Fleet.Change(limit, *c)
 	if err != nil {
 		return
@@ -183,7 +183,7 @@
 
 func banChange(server string, duration time.Duration) func(*desired.State) *desired.Change {
 	return func(*desired.State) *desired.Change {
-		return &desired.Change{Set: &desired.Part{Bans: map[string]*desired.Ban{server: {Server: server, Reason: "drawn", For: duration}}}}
+		return &desired.Change{Set: &desired.Patch{Bans: map[string]*desired.Ban{server: {Server: server, Reason: "drawn", Duration: duration}}}}
 	}
 }
 
@@ -194,7 +194,7 @@
 		if len(all) == 0 {
 			return nil
 		}
-		return &desired.Change{Set: &desired.Part{Bans: map[string]*desired.Ban{all[n%len(all)]: nil}}}
+		return &desired.Change{Set: &desired.Patch{Bans: map[string]*desired.Ban{all[n%len(all)]: nil}}}
 	}
 }
 
@@ -263,11 +263,11 @@
 		default:
 			state, missing = v.State, ""
 			for id, b := range v.State.Document.Bans {
-				if b.For > 0 {
+				if b.Duration > 0 {
 					missing = fmt.Sprintf("the ban of %s has not expired", id)
 				}
 			}
-			if st, _ := w.lab.Fleet.Standing(ctx, v.State.Document.Version); len(st.Waiting) > 0 {
+			if st, _ := w.lab.Fleet.VersionStatus(ctx, v.State.Document.Version); len(st.Unconfirmed) > 0 {
 				missing = fmt.Sprintf("%+v", st)
 			}
 		}
@@ -285,22 +285,22 @@
 // check checks logs and observations against the state's history. The history has to have every version; if some were
 // dropped from it, that is reported as a violation.
 func (w *stateObserver) check(state *desired.State) ([]string, int, error) {
-	words := faults.Words{Logs: w.lab.Files().Logs, Out: map[uint64][]string{}}
+	words := faults.BanEvidence{Logs: w.lab.Files().Logs, Banned: map[uint64][]string{}}
 	w.mu.Lock()
 	words.Arrivals, words.Claims, words.Agreed = w.arrivals, w.claims, w.agreedAt
 	w.mu.Unlock()
 	banned := map[string]bool{}
 	for _, e := range state.History {
-		for id, b := range e.Is.Bans {
+		for id, b := range e.After.Bans {
 			banned[id] = b != nil
 		}
 		for id, isBanned := range banned {
 			if isBanned {
-				words.Out[uint64(e.Version)] = append(words.Out[uint64(e.Version)], id)
+				words.Banned[uint64(e.Version)] = append(words.Banned[uint64(e.Version)], id)
 			}
 		}
 	}
-	broken, lives, err := faults.CheckWords(words)
+	broken, lives, err := faults.CheckBans(words)
 	if state.Floor > 0 {
 		broken = append(broken, "the history does not reach back to the first change: cannot check")
 	}
--- a/internal/standin/lab/words_test.go
+++ b/internal/standin/lab/words_test.go
@@ -94,7 +94,7 @@
 	if lives < len(w.Instances) || len(w.observer.arrivals) == 0 || len(w.observer.claims) == 0 {
 		w.t.Errorf("too little to check: %d processes, %d requests and %d claims", lives, len(w.observer.arrivals), len(w.observer.claims))
 	}
-	return append(verdict.Broken, broken...)
+	return append(verdict.Violations, broken...)
 }
 
 func (w *desiredStateFleet) expectNoViolations() {
@@ -130,11 +130,11 @@
 	w.Relay(owner, others[1]).Set(faults.Pass, faults.Cut)
 	stopped, _ := w.observer.inject(context.Background(), faults.Fault{Kind: faults.NodeStop, Node: agentIndex(owner)}) // the agent of n1 is m1, and so on
 	w.observer.inject(context.Background(), faults.Fault{Kind: faults.NodeKill, Node: agentIndex(owner) + 3})
-	out := w.runTool(cli.Silent, "ban", "s1", "--reason", "disk", "--timeout", "4s")
+	out := w.runTool(cli.NoAnswer, "ban", "s1", "--reason", "disk", "--timeout", "4s")
 	if !strings.Contains(out, fmt.Sprintf("%s/n%d", owner, agentIndex(owner)+1)) {
 		t.Errorf("the stopped node is not listed:\n%s", out)
 	}
-	if out := w.runTool(cli.Silent, "status"); !strings.Contains(out, "disk") || !strings.Contains(out, "s1") || regexp.MustCompile(`6 confirmed`).MatchString(out) {
+	if out := w.runTool(cli.NoAnswer, "status"); !strings.Contains(out, "disk") || !strings.Contains(out, "s1") || regexp.MustCompile(`6 confirmed`).MatchString(out) {
 		t.Error(out)
 	}
 	if err := stopped(); err != nil {
@@ -211,12 +211,12 @@
 	})
 	latest := w.submitUntilAgreed(banChange("s1", 0))
 	w.waitUntil("m4 has the new ban", func() bool {
-		f, err := w.Fleet.Agent("m4").Fleet(w.ctx(time.Second))
+		f, err := w.Fleet.Client("m4").Fleet(w.ctx(time.Second))
 		return err == nil && f.Version == latest && f.Instances[0].Version == latest
 	})
 	w.Relay(old, "m4").Set(faults.Pass, faults.Pass) // delivers the old message
 	time.Sleep(time.Second)
-	f, err := w.Fleet.Agent("m4").Fleet(w.ctx(time.Second))
+	f, err := w.Fleet.Client("m4").Fleet(w.ctx(time.Second))
 	out = err == nil && f.Version == latest && f.Instances[0].Version == latest
 	if err := w.SignalAgent(agentIndex(old), syscall.SIGCONT); err != nil {
 		t.Fatal(err)
@@ -270,7 +270,7 @@
 		relay.Set(faults.Reset, faults.Reset) // drops delayed messages
 		relay.Set(faults.Pass, faults.Pass)
 	}
-	if err := w.LoseState(2, faults.Both); err != nil { // one machine loses its record and copy too
+	if err := w.LoseState(2, faults.RecordAndCopy); err != nil { // one machine loses its record and copy too
 		t.Fatal(err)
 	}
 	for n := range w.opt.Agents {
@@ -293,7 +293,7 @@
 			}
 			o := campaignLab(t)
 			reserveSlot(t, 0)
-			run, err := PlayFaults(context.Background(), o, seed, Campaign{Faults: 8, Words: true})
+			run, err := RunFaults(context.Background(), o, seed, Campaign{Faults: 8, DesiredState: true})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -44,7 +44,7 @@
 	maxRequests int
 
 	mu       sync.Mutex
-	rules    *ledger.Ledger
+	rules    *ledger.Checker
 	epoch    time.Time // origin of the times that rules is given
 	requests map[string]*ledger.Record
 	order    []string // ring buffer of the IDs in requests
@@ -88,9 +88,9 @@
 	return at.Sub(l.epoch)
 }
 
-// Arrived records an attempt that a box received. told, if not zero, is the time since which
+// RecordAttempt records an attempt that a box received. told, if not zero, is the time since which
 // all nodes have known that the box takes no new requests.
-func (l *Ledger) Arrived(id, box string, at, told time.Time) {
+func (l *Ledger) RecordAttempt(id, box string, at, told time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts++
@@ -101,16 +101,16 @@
 	l.rules.Attempt(now, l.recordOf(id), id, box, since)
 }
 
-// Ran records that a box runs a request. It returns false for a repetition that boxes drop:
+// RecordRun records that a box runs a request. It returns false for a repetition that boxes drop:
 // that of a keyed request whose effect is less than window ago.
-func (l *Ledger) Ran(id, box string, effect Effect, window time.Duration, at time.Time) bool {
+func (l *Ledger) RecordRun(id, box string, effect Effect, window time.Duration, at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rules.Ran(l.ruleTime(at), l.recordOf(id), id, box, effect, window)
 }
 
-// Answered records a request's final answer at its client.
-func (l *Ledger) Answered(id, class string, o Outcome, at time.Time) {
+// RecordAnswer records a request's final answer at its client.
+func (l *Ledger) RecordAnswer(id, class string, o Outcome, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.recordOf(id)
@@ -123,11 +123,11 @@
 	l.rules.Answer(l.ruleTime(at), r, id, o, 0)
 }
 
-// Fell records that a cold box fell over from overload.
-func (l *Ledger) Fell(box string) {
+// RecordFall records that a cold box fell over from overload.
+func (l *Ledger) RecordFall(box string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rules.Fell(box)
+	l.rules.FellOver(box)
 }
 
 // Report is the result of a ledger's checks.
--- a/internal/standin/sipua/caller.go
+++ b/internal/standin/sipua/caller.go
@@ -188,14 +188,14 @@
 	return 0
 }
 
-// Final waits for a final response and returns its code, or 0 if none came within limit.
-func (t *Transaction) Final(limit time.Duration) (code int) {
+// AwaitFinal waits for a final response and returns its code, or 0 if none came within limit.
+func (t *Transaction) AwaitFinal(limit time.Duration) (code int) {
 	t.caller.await(limit, func() bool { code = t.finalCode(); return code != 0 })
 	return code
 }
 
-// First waits for any response and returns the code of the first, or 0 if none came within limit.
-func (t *Transaction) First(limit time.Duration) (code int) {
+// AwaitFirst waits for any response and returns the code of the first, or 0 if none came within limit.
+func (t *Transaction) AwaitFirst(limit time.Duration) (code int) {
 	t.caller.await(limit, func() bool {
 		if len(t.responses) > 0 {
 			code = t.responses[0].StatusCode
@@ -205,8 +205,8 @@
 	return code
 }
 
-// Heard waits for a response with a code; it returns false if none came within limit.
-func (t *Transaction) Heard(code int, limit time.Duration) bool {
+// AwaitCode waits for a response with a code; it returns false if none came within limit.
+func (t *Transaction) AwaitCode(code int, limit time.Duration) bool {
 	return t.caller.await(limit, func() bool {
 		return slices.ContainsFunc(t.responses, func(r *sip.Response) bool { return r.StatusCode == code })
 	})
@@ -269,15 +269,15 @@
 	return q
 }
 
-// Asked returns the number of requests of a method from the other side of a call.
-func (c *Caller) Asked(method, callID string) int {
+// Received returns the number of requests of a method from the other side of a call.
+func (c *Caller) Received(method, callID string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.received[method+" "+callID]
 }
 
-// AwaitAsked waits for a request of a method from the other side of a call.
-func (c *Caller) AwaitAsked(method, callID string, limit time.Duration) bool {
+// AwaitReceived waits for a request of a method from the other side of a call.
+func (c *Caller) AwaitReceived(method, callID string, limit time.Duration) bool {
 	return c.await(limit, func() bool { return c.received[method+" "+callID] > 0 })
 }
 
@@ -315,8 +315,8 @@
 	})
 }
 
-// Raw sends bytes unchanged to the proxy.
-func (c *Caller) Raw(text []byte) error {
+// SendRaw sends bytes unchanged to the proxy.
+func (c *Caller) SendRaw(text []byte) error {
 	var err error
 	if to := c.proxyPeer(); to.conn != nil {
 		_, err = to.conn.Write(text)
--- a/internal/standin/sipua/calls.go
+++ b/internal/standin/sipua/calls.go
@@ -17,9 +17,9 @@
 	URL     string // sip:127.0.0.1:5060, with ;transport=tcp for TCP
 	Callers int    // number of user agents, each with its own address; 8 if 0
 	T1      time.Duration
-	// Whole makes a call end with the answer to its BYE. Otherwise it ends once it is set up, so
+	// AwaitBye makes a call end with the answer to its BYE. Otherwise it ends once it is set up, so
 	// that its duration is the time of the setup, and the BYE is sent in the background.
-	Whole bool
+	AwaitBye bool
 }
 
 const (
@@ -78,8 +78,8 @@
 	}
 }
 
-// Unended returns the number of calls whose BYE was not answered 200. It is final once Close has returned.
-func (c *Calls) Unended() int { return int(c.failedHangups.Load()) }
+// FailedHangups returns the number of calls whose BYE was not answered 200. It is final once Close has returned.
+func (c *Calls) FailedHangups() int { return int(c.failedHangups.Load()) }
 
 // Ask implements load.Target. An answer 2xx counts as Served, 503 and 480 as Refused, any
 // other as Failed. Without an answer before ctx's deadline the call is Broken and its INVITE
@@ -96,7 +96,7 @@
 		left = time.Until(end)
 	}
 	tx := u.Send(Request{Method: "INVITE"})
-	code := tx.Final(left)
+	code := tx.AwaitFinal(left)
 	done := func() {
 		u.forget(tx)
 		<-c.hangupSlots
@@ -106,7 +106,7 @@
 		c.hangups.Go(func() {
 			defer done()
 			cancel := tx.Cancel()
-			cancel.Final(64 * u.t1)
+			cancel.AwaitFinal(64 * u.t1)
 			u.forget(cancel)
 		})
 		return load.Broken
@@ -122,12 +122,12 @@
 		q := tx.Dialog()
 		q.Method = "BYE"
 		bye := u.Send(q)
-		if bye.Final(64*u.t1) != 200 {
+		if bye.AwaitFinal(64*u.t1) != 200 {
 			c.failedHangups.Add(1)
 		}
 		u.forget(bye)
 	}
-	if c.opt.Whole {
+	if c.opt.AwaitBye {
 		hangUp()
 	} else {
 		c.hangups.Go(hangUp)
