--- a/internal/standin/sipua/calls_test.go
+++ b/internal/standin/sipua/calls_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		n := 0
-		s.Play(func(c *Call) {
+		s.SetScript(func(c *Call) {
 			s.mu.Lock()
 			n++
 			which := n % 4
@@ -37,7 +37,7 @@
 					c.Reply(487)
 				}
 			default:
-				Answer(c)
+				RingAndAnswer(c)
 			}
 		})
 		c, err := NewCalls(CallsOptions{URL: "sip:" + s.Addr() + ";transport=" + transport, Callers: 3, T1: t1})
@@ -57,8 +57,8 @@
 				t.Errorf("%s: %d calls %s of %d", transport, got, how, r.Sent)
 			}
 		}
-		if served := r.Ends["served"]; r.Within > served || r.Within == 0 || s.Count("BYE", "") != int(served) || c.Unended() > 0 {
-			t.Errorf("%s: %d set up, %d of them in time, %d BYEs, %d not ended", transport, served, r.Within, s.Count("BYE", ""), c.Unended())
+		if served := r.Ends["served"]; r.Within > served || r.Within == 0 || s.Count("BYE", "") != int(served) || c.FailedHangups() > 0 {
+			t.Errorf("%s: %d set up, %d of them in time, %d BYEs, %d not ended", transport, served, r.Within, s.Count("BYE", ""), c.FailedHangups())
 		}
 		for _, u := range c.callers {
 			if len(u.requests) > 0 {
--- a/internal/standin/sipua/plain.go
+++ b/internal/standin/sipua/plain.go
@@ -9,9 +9,9 @@
 	"github.com/emiago/sipgo/sip"
 )
 
-// Plain is a minimal UDP proxy that serves as a baseline for measurements. It keeps no
+// BaselineProxy is a minimal UDP proxy that serves as a baseline for measurements. It keeps no
 // transactions, chooses a server at random for each Call-ID, and neither retries nor refuses.
-type Plain struct {
+type BaselineProxy struct {
 	conn         net.PacketConn
 	servers      []net.Addr
 	mu           sync.Mutex
@@ -19,9 +19,9 @@
 	goroutines   sync.WaitGroup
 }
 
-// NewPlain starts a proxy in front of servers; it must be closed.
-func NewPlain(servers []string) (*Plain, error) {
-	p := &Plain{serverByCall: map[string]net.Addr{}}
+// NewBaselineProxy starts a proxy in front of servers; it must be closed.
+func NewBaselineProxy(servers []string) (*BaselineProxy, error) {
+	p := &BaselineProxy{serverByCall: map[string]net.Addr{}}
 	for _, s := range servers {
 		a, err := net.ResolveUDPAddr("udp", s)
 		if err != nil {
@@ -37,15 +37,15 @@
 }
 
 // Addr returns the address on which it listens.
-func (p *Plain) Addr() string { return p.conn.LocalAddr().String() }
+func (p *BaselineProxy) Addr() string { return p.conn.LocalAddr().String() }
 
 // Close stops the proxy and waits for its goroutine.
-func (p *Plain) Close() {
+func (p *BaselineProxy) Close() {
 	p.conn.Close()
 	p.goroutines.Wait()
 }
 
-func (p *Plain) run() {
+func (p *BaselineProxy) run() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := p.conn.ReadFrom(buf)
@@ -85,7 +85,7 @@
 	}
 }
 
-func (p *Plain) server(callID string) net.Addr {
+func (p *BaselineProxy) server(callID string) net.Addr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.serverByCall[callID]
--- a/internal/standin/sipua/server.go
+++ b/internal/standin/sipua/server.go
@@ -12,8 +12,8 @@
 // Script is a server's behavior in one INVITE transaction. It runs on its own goroutine.
 type Script func(*Call)
 
-// Answer is a script that replies 180 and then 200.
-func Answer(c *Call) {
+// RingAndAnswer is a script that replies 180 and then 200.
+func RingAndAnswer(c *Call) {
 	c.Reply(180)
 	c.Reply(200)
 }
@@ -27,7 +27,7 @@
 }
 
 // Server is a user agent that follows a script for each INVITE and answers other requests
-// with 200, unless Answers sets another code.
+// with 200, unless SetCode sets another code.
 type Server struct {
 	*endpoint
 	notifier
@@ -62,14 +62,14 @@
 	s.endpoint.close()
 }
 
-// Play sets the script for later INVITEs.
-func (s *Server) Play(script Script) { s.update(func() { s.script = script }) }
+// SetScript sets the script for later INVITEs.
+func (s *Server) SetScript(script Script) { s.update(func() { s.script = script }) }
 
 // Hang makes the server read requests without answering, or ends that.
 func (s *Server) Hang(on bool) { s.update(func() { s.hanging = on }) }
 
-// Answers sets the code with which requests of a method are answered; it has no effect on INVITE.
-func (s *Server) Answers(method string, code int) { s.update(func() { s.methodCodes[method] = code }) }
+// SetCode sets the code with which requests of a method are answered; it has no effect on INVITE.
+func (s *Server) SetCode(method string, code int) { s.update(func() { s.methodCodes[method] = code }) }
 
 // Count returns the number of transactions of a method in a call; "" for all calls.
 func (s *Server) Count(method, callID string) int {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -37,7 +37,7 @@
 
 func pushed(t *testing.T, d *Discovery) *Outlet {
 	t.Helper()
-	o, err := d.Pushed()
+	o, err := d.NewPushOutlet()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 func TestDiscoveryDown(t *testing.T) {
 	d := NewDiscovery()
 	push := pushed(t, d)
-	ask, err := d.Asked(time.Millisecond)
+	ask, err := d.NewSharedOutlet(time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 		code, _, _ := call(context.Background(), ask, "?since=0&timeout_ms=60000")
 		ended <- code
 	}()
-	d.Down(true)
+	d.SetDown(true)
 	if code := <-ended; code != 503 {
 		t.Errorf("a watch ends with %d", code)
 	}
@@ -110,7 +110,7 @@
 	if code, _, err := call(ctx, push, ""); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("pushed while down: %d, %v, want silence", code, err)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	for _, o := range []*Outlet{push, ask} {
 		if code, _, err := call(t.Context(), o, ""); code != 200 || err != nil {
 			t.Errorf("back again: %d, %v", code, err)
@@ -123,23 +123,23 @@
 	d := NewDiscovery()
 	one, two := pushed(t, d), pushed(t, d)
 	d.Set(Target{UID: "s1", State: InService})
-	if _, ok := d.ToldAll("s1"); ok {
+	if _, ok := d.DeliveredToAll("s1"); ok {
 		t.Error("a target in service counts as draining")
 	}
 	d.Set(Target{UID: "s1", State: Terminating})
 	began := time.Now()
 	call(t.Context(), one, "")
-	told, ok := d.ToldAll("s1")
+	told, ok := d.DeliveredToAll("s1")
 	if !ok || told.Sub(began) < assumedDelivery-time.Second {
 		t.Errorf("delivered after %v, %v, want the assumed delivery while one outlet was not asked", told.Sub(began), ok)
 	}
 	call(t.Context(), two, "")
-	if told, ok = d.ToldAll("s1"); !ok || told.Sub(began) > 2*time.Second {
+	if told, ok = d.DeliveredToAll("s1"); !ok || told.Sub(began) > 2*time.Second {
 		t.Errorf("delivered after %v, %v, want the real delivery once both outlets were asked", told.Sub(began), ok)
 	}
 	d.Set(Target{UID: "s1", State: InService})
 	d.Set(Target{UID: "s1", State: Terminated})
-	if again, ok := d.ToldAll("s1"); !ok || !again.After(told) {
+	if again, ok := d.DeliveredToAll("s1"); !ok || !again.After(told) {
 		t.Errorf("a second removal counts from the first: %v, %v", again, ok)
 	}
 }
@@ -290,7 +290,7 @@
 			if _, _, _, err := send(t, b, "read", "x"); err == nil || b.State() != "fallen" {
 				t.Errorf("pushed over: %v, %s", err, b.State())
 			}
-			if r := l.Report(); r.Breaks != 1 || !strings.Contains(r.Words[0], "pushed over") {
+			if r := l.Report(); r.Violations != 1 || !strings.Contains(r.Descriptions[0], "pushed over") {
 				t.Errorf("%+v", r)
 			}
 		}
@@ -307,43 +307,43 @@
 		rule string
 	}{
 		"as it should be": {func(l *Ledger) {
-			l.Arrived("a", "s1", now, none)
-			l.Ran("a", "s1", Unsafe, 0, now)
-			l.Answered("a", "book", Served, now)
+			l.RecordAttempt("a", "s1", now, none)
+			l.RecordRun("a", "s1", Unsafe, 0, now)
+			l.RecordAnswer("a", "book", Served, now)
 		}, ""},
-		"lost":           {func(l *Ledger) { l.Answered("a", "read", Lost, now) }, "no request is lost"},
-		"answered twice": {func(l *Ledger) { l.Answered("a", "read", Served, now); l.Answered("a", "read", Served, now) }, "answered twice"},
+		"lost":           {func(l *Ledger) { l.RecordAnswer("a", "read", Lost, now) }, "no request is lost"},
+		"answered twice": {func(l *Ledger) { l.RecordAnswer("a", "read", Served, now); l.RecordAnswer("a", "read", Served, now) }, "answered twice"},
 		"sent late": {func(l *Ledger) {
-			l.Answered("a", "read", Refused, now)
-			l.Arrived("a", "s1", at(lateAttemptGrace+1), none)
+			l.RecordAnswer("a", "read", Refused, now)
+			l.RecordAttempt("a", "s1", at(lateAttemptGrace+1), none)
 		}, "after its final answer"},
 		"just on its way": {func(l *Ledger) {
-			l.Answered("a", "read", Refused, now)
-			l.Arrived("a", "s1", at(lateAttemptGrace), none)
+			l.RecordAnswer("a", "read", Refused, now)
+			l.RecordAttempt("a", "s1", at(lateAttemptGrace), none)
 		}, ""},
-		"unsafe twice": {func(l *Ledger) { l.Ran("a", "s1", Unsafe, 0, now); l.Ran("a", "s2", Unsafe, 0, now) }, "effect happens twice"},
+		"unsafe twice": {func(l *Ledger) { l.RecordRun("a", "s1", Unsafe, 0, now); l.RecordRun("a", "s2", Unsafe, 0, now) }, "effect happens twice"},
 		"keyed, dropped": {func(l *Ledger) {
-			if !l.Ran("a", "s1", Keyed, time.Second, now) || l.Ran("a", "s2", Keyed, time.Second, at(time.Second-1)) {
-				l.Fell("wrong")
+			if !l.RecordRun("a", "s1", Keyed, time.Second, now) || l.RecordRun("a", "s2", Keyed, time.Second, at(time.Second-1)) {
+				l.RecordFall("wrong")
 			}
 		}, ""},
 		"keyed, too late": {func(l *Ledger) {
-			l.Ran("a", "s1", Keyed, time.Second, now)
-			l.Ran("a", "s2", Keyed, time.Second, at(time.Second))
+			l.RecordRun("a", "s1", Keyed, time.Second, now)
+			l.RecordRun("a", "s2", Keyed, time.Second, at(time.Second))
 		}, "effect happens twice"},
-		"safe twice":           {func(l *Ledger) { l.Ran("a", "s1", Safe, 0, now); l.Ran("a", "s2", Safe, 0, now) }, ""},
-		"refused, then runs":   {func(l *Ledger) { l.Answered("a", "book", Refused, now); l.Ran("a", "s1", Unsafe, 0, now) }, "was refused and has run"},
-		"runs, then refused":   {func(l *Ledger) { l.Ran("a", "s1", Unsafe, 0, now); l.Answered("a", "book", Refused, now) }, "was refused and has run"},
-		"runs, then fails":     {func(l *Ledger) { l.Ran("a", "s1", Unsafe, 0, now); l.Answered("a", "book", Failed, now) }, ""},
-		"after the drain":      {func(l *Ledger) { l.Arrived("a", "s1", at(drainGrace+1), now) }, "drains are kept"},
-		"within the grace":     {func(l *Ledger) { l.Arrived("a", "s1", at(drainGrace), now) }, ""},
-		"a cold server pushed": {func(l *Ledger) { l.Fell("s1") }, "no cold server is pushed over"},
+		"safe twice":           {func(l *Ledger) { l.RecordRun("a", "s1", Safe, 0, now); l.RecordRun("a", "s2", Safe, 0, now) }, ""},
+		"refused, then runs":   {func(l *Ledger) { l.RecordAnswer("a", "book", Refused, now); l.RecordRun("a", "s1", Unsafe, 0, now) }, "was refused and has run"},
+		"runs, then refused":   {func(l *Ledger) { l.RecordRun("a", "s1", Unsafe, 0, now); l.RecordAnswer("a", "book", Refused, now) }, "was refused and has run"},
+		"runs, then fails":     {func(l *Ledger) { l.RecordRun("a", "s1", Unsafe, 0, now); l.RecordAnswer("a", "book", Failed, now) }, ""},
+		"after the drain":      {func(l *Ledger) { l.RecordAttempt("a", "s1", at(drainGrace+1), now) }, "drains are kept"},
+		"within the grace":     {func(l *Ledger) { l.RecordAttempt("a", "s1", at(drainGrace), now) }, ""},
+		"a cold server pushed": {func(l *Ledger) { l.RecordFall("s1") }, "no cold server is pushed over"},
 	} {
 		l := NewLedger(10)
 		c.do(l)
 		r := l.Report()
-		if (r.Breaks > 0) != (c.rule != "") || c.rule != "" && !strings.Contains(r.Words[0], c.rule) {
-			t.Errorf("%s: %+v, want %q", name, r.Words, c.rule)
+		if (r.Violations > 0) != (c.rule != "") || c.rule != "" && !strings.Contains(r.Descriptions[0], c.rule) {
+			t.Errorf("%s: %+v, want %q", name, r.Descriptions, c.rule)
 		}
 	}
 }
@@ -351,10 +351,10 @@
 func TestLedgerIsBounded(t *testing.T) {
 	l := NewLedger(100)
 	for n := range 1000 {
-		l.Answered(fmt.Sprint(n), "read", Lost, time.Unix(0, 0))
+		l.RecordAnswer(fmt.Sprint(n), "read", Lost, time.Unix(0, 0))
 	}
-	if len(l.requests) != 100 || l.Report().Breaks != 1000 {
-		t.Errorf("%d requests, %d breaks", len(l.requests), l.Report().Breaks)
+	if len(l.requests) != 100 || l.Report().Violations != 1000 {
+		t.Errorf("%d requests, %d breaks", len(l.requests), l.Report().Violations)
 	}
 }
 
@@ -396,7 +396,7 @@
 		ledger := NewLedger(10)
 		f := NewFront([]string{l.Addr().String()})
 		f.nodes[0].available = true
-		clients := NewClients(ClientOptions{Rate: 1, Classes: classes, Most: 1}, f, ledger)
+		clients := NewClients(ClientOptions{Rate: 1, Classes: classes, MaxOpen: 1}, f, ledger)
 		clients.request(t.Context(), classes[2], "", 1, time.Second)
 		<-served
 		l.Close()
--- a/internal/standin/webbox/webbox.go
+++ b/internal/standin/webbox/webbox.go
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// Seen is a request as the server received it.
-type Seen struct {
-	Line   string // the request line
-	Header textproto.MIMEHeader
-	Body   []byte
-	Whole  bool   // it was received to its end
-	Raw    []byte // the bytes of the request line and the header
+// Request is a request as the server received it.
+type Request struct {
+	RequestLine string // the request line
+	Header      textproto.MIMEHeader
+	Body        []byte
+	Complete    bool   // it was received to its end
+	Raw         []byte // the bytes of the request line and the header
 }
 
 // Script answers a request on its connection; it returns false to close the connection.
-type Script func(s Seen, c net.Conn) bool
+type Script func(s Request, c net.Conn) bool
 
 // Box is a scripted server; it must be closed.
 type Box struct {
@@ -34,14 +34,14 @@
 	atHeadEnd bool // the script runs at the end of the header, not of the body
 
 	mu         sync.Mutex
-	seen       []Seen
+	seen       []Request
 	conns      map[net.Conn]bool
 	changed    chan struct{}
 	goroutines sync.WaitGroup
 }
 
 // New starts a server. With early set the script is called as soon as the header was read, and
-// reading the body is left to it: Seen.Body is empty then.
+// reading the body is left to it: Request.Body is empty then.
 func New(script Script, early bool) (*Box, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,11 +77,11 @@
 	b.goroutines.Wait()
 }
 
-// Seen returns the requests received so far.
-func (b *Box) Seen() []Seen {
+// Requests returns the requests received so far.
+func (b *Box) Requests() []Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]Seen(nil), b.seen...)
+	return append([]Request(nil), b.seen...)
 }
 
 // Await waits until n requests were received; it returns false at the time-out.
@@ -118,16 +118,16 @@
 			return
 		}
 		s.Raw = bytes.Clone(raw.Bytes())
-		if s.Whole = true; !b.atHeadEnd {
+		if s.Complete = true; !b.atHeadEnd {
 			s.Body, err = readBody(in, s)
-			s.Whole = err == nil
+			s.Complete = err == nil
 		}
 		b.mu.Lock()
 		b.seen = append(b.seen, s)
 		close(b.changed)
 		b.changed = make(chan struct{})
 		b.mu.Unlock()
-		if !s.Whole || !b.script(s, &bufferedConn{c, in}) {
+		if !s.Complete || !b.script(s, &bufferedConn{c, in}) {
 			return
 		}
 	}
@@ -142,7 +142,7 @@
 // Read implements net.Conn.
 func (b *bufferedConn) Read(p []byte) (int, error) { return b.in.Read(p) }
 
-func readHead(in *bufio.Reader, raw *bytes.Buffer) (s Seen, err error) {
+func readHead(in *bufio.Reader, raw *bytes.Buffer) (s Request, err error) {
 	for {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
@@ -154,14 +154,14 @@
 		}
 	}
 	text := textproto.NewReader(bufio.NewReader(bytes.NewReader(raw.Bytes())))
-	if s.Line, err = text.ReadLine(); err != nil {
+	if s.RequestLine, err = text.ReadLine(); err != nil {
 		return s, err
 	}
 	s.Header, err = text.ReadMIMEHeader()
 	return s, err
 }
 
-func readBody(in *bufio.Reader, s Seen) ([]byte, error) {
+func readBody(in *bufio.Reader, s Request) ([]byte, error) {
 	q, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(s.Raw), in)))
 	if err != nil {
 		return nil, err
@@ -169,9 +169,9 @@
 	return io.ReadAll(q.Body)
 }
 
-// Says returns a script that writes the same text for each request and keeps the connection open if keep is set.
-func Says(text string, keep bool) Script {
-	return func(_ Seen, c net.Conn) bool {
+// Respond returns a script that writes the same text for each request and keeps the connection open if keep is set.
+func Respond(text string, keep bool) Script {
+	return func(_ Request, c net.Conn) bool {
 		_, err := io.WriteString(c, text)
 		return keep && err == nil
 	}
--- a/internal/tlsfile/tlsfile.go
+++ b/internal/tlsfile/tlsfile.go
@@ -9,8 +9,8 @@
 	"os"
 )
 
-// Pool reads a pool of CA certificates.
-func Pool(path string) (*x509.CertPool, error) {
+// LoadCertPool reads a pool of CA certificates.
+func LoadCertPool(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -22,12 +22,12 @@
 	return p, nil
 }
 
-// Client returns the configuration for connections to servers. Their certificates must be issued by ca for
+// ClientConfig returns the configuration for connections to servers. Their certificates must be issued by ca for
 // name; cert and key are the client certificate, if given. The minimum version is TLS 1.2.
-func Client(ca, name, cert, key string) (*tls.Config, error) {
+func ClientConfig(ca, name, cert, key string) (*tls.Config, error) {
 	t := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: name}
 	var err error
-	if t.RootCAs, err = Pool(ca); err != nil {
+	if t.RootCAs, err = LoadCertPool(ca); err != nil {
 		return nil, fmt.Errorf("ca: %w", err)
 	}
 	if name == "" {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -84,9 +84,9 @@
 	return f
 }
 
-// Bad records an error for a key. An element of an array of tables is named as in "instance[2].name"
+// Errorf records an error for a key. An element of an array of tables is named as in "instance[2].name"
 // or "web[1].server[2].address", counted from 1.
-func (f *File) Bad(key, format string, args ...any) {
+func (f *File) Errorf(key, format string, args ...any) {
 	line := f.lines[key]
 	if table, _, ok := cutLast(key); line == 0 && ok {
 		line = f.lines[table] // the key is missing: report the line of its table
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -18,8 +18,8 @@
 func TestAllErrorsAreReportedWithPosition(t *testing.T) {
 	var s sample
 	f := Parse("f.toml", []byte("nmae = \"x\"\n\n[limit]\nsocket = 3\n\n[[instance]]\nname = \"a\"\n[[instance]]\nname = \"b\"\ncolour = 1\n"), &s)
-	f.Bad("instance[2].name", "given twice")
-	f.Bad("instance[1].listen", "none given")
+	f.Errorf("instance[2].name", "given twice")
+	f.Errorf("instance[1].listen", "none given")
 	text := f.Err().Error()
 	for _, want := range []string{
 		"f.toml:1: nmae: unknown key, did you mean name?",
--- a/internal/web/certs.go
+++ b/internal/web/certs.go
@@ -71,7 +71,7 @@
 	if s.opt.ClientCA != "" {
 		var err error
 		var roots *x509.CertPool
-		if roots, err = tlsfile.Pool(s.opt.ClientCA); err != nil {
+		if roots, err = tlsfile.LoadCertPool(s.opt.ClientCA); err != nil {
 			errs = append(errs, fmt.Errorf("client_ca: %w", err))
 		}
 		t.ClientAuth, t.ClientCAs = tls.RequireAndVerifyClientCert, roots
--- a/internal/web/config.go
+++ b/internal/web/config.go
@@ -109,7 +109,7 @@
 		}
 		key := fmt.Sprintf("web[%d]", i+1)
 		if names[c.Name] || strings.ContainsAny(c.Name, " ,()\t\r\n\"") {
-			f.Bad(key+".name", "%q: each needs a name of its own, without blanks, commas and brackets", c.Name)
+			f.Errorf(key+".name", "%q: each needs a name of its own, without blanks, commas and brackets", c.Name)
 		}
 		names[c.Name] = true
 		c.check(f, key)
@@ -122,7 +122,7 @@
 			d.Duration = value
 		}
 		if d.Duration < least {
-			f.Bad(key+"."+name, "%v, at least %v is needed", d.Duration, least)
+			f.Errorf(key+"."+name, "%v, at least %v is needed", d.Duration, least)
 		}
 	}
 	count := func(name string, n *int, value, most int) {
@@ -130,7 +130,7 @@
 			*n = value
 		}
 		if *n < 1 || *n > most {
-			f.Bad(key+"."+name, "%d is not 1 to %d", *n, most)
+			f.Errorf(key+"."+name, "%d is not 1 to %d", *n, most)
 		}
 	}
 	size := func(name string, s *tomlfile.Size, value, least, most int) {
@@ -138,14 +138,14 @@
 			s.Bytes = value
 		}
 		if s.Bytes < least || s.Bytes > most {
-			f.Bad(key+"."+name, "%d bytes, %d to %d are possible", s.Bytes, least, most)
+			f.Errorf(key+"."+name, "%d bytes, %d to %d are possible", s.Bytes, least, most)
 		}
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		f.Bad(key+".listen", "%q is no address and port, as in \"127.0.0.1:8080\"; there are no name look-ups", c.Listen)
+		f.Errorf(key+".listen", "%q is no address and port, as in \"127.0.0.1:8080\"; there are no name look-ups", c.Listen)
 	}
 	if len(c.Servers) == 0 {
-		f.Bad(key, "no servers: list them as [[web.server]]")
+		f.Errorf(key, "no servers: list them as [[web.server]]")
 	}
 	listed.Check(f, key+".server", c.Servers)
 	count("instances", &c.Instances, 1, 10_000)
@@ -177,29 +177,29 @@
 			k.Worth = 1
 		}
 		if k.Worth < 0 {
-			f.Bad(key+"."+at+".worth", "%v is below 0", k.Worth)
+			f.Errorf(key+"."+at+".worth", "%v is below 0", k.Worth)
 		}
 		if k.Name == "" || c.class(k.Name) != i {
-			f.Bad(key+"."+at+".name", "%q: each class needs a name of its own", k.Name)
+			f.Errorf(key+"."+at+".name", "%q: each class needs a name of its own", k.Name)
 		}
 	}
 	if _, err := c.classifier(); err != nil {
 		for _, err := range unjoin(err) {
-			f.Bad(key, "%v", err)
+			f.Errorf(key, "%v", err)
 		}
 	}
 	if _, err := c.trusted(); err != nil {
-		f.Bad(key+".trust", "%v", err)
+		f.Errorf(key+".trust", "%v", err)
 	}
 	if _, err := c.clientTLS(); err != nil {
-		f.Bad(key+".upstream", "%v", err)
+		f.Errorf(key+".upstream", "%v", err)
 	}
 	if len(c.Cert) > 0 {
 		if _, err := loadCerts(c); err != nil {
-			f.Bad(key+".cert", "%v", err)
+			f.Errorf(key+".cert", "%v", err)
 		}
 	} else if c.ClientCA != "" {
-		f.Bad(key+".client_ca", "only with a certificate, [[web.cert]]")
+		f.Errorf(key+".client_ca", "only with a certificate, [[web.cert]]")
 	}
 }
 
@@ -254,7 +254,7 @@
 		}
 		return nil, nil
 	}
-	t, err := tlsfile.Client(c.Upstream.CA, c.Upstream.Name, c.Upstream.Cert, c.Upstream.Key)
+	t, err := tlsfile.ClientConfig(c.Upstream.CA, c.Upstream.Name, c.Upstream.Cert, c.Upstream.Key)
 	if err == nil && c.Upstream.HTTP2 {
 		t.NextProtos = []string{"h2"}
 	}
--- a/internal/web/duties_test.go
+++ b/internal/web/duties_test.go
@@ -13,7 +13,7 @@
 )
 
 // echo tells in its answer what it has seen.
-func echo(s webbox.Seen, c net.Conn) bool {
+func echo(s webbox.Request, c net.Conn) bool {
 	_, err := io.WriteString(c, webbox.OK(string(s.Body)))
 	return err == nil
 }
@@ -121,16 +121,16 @@
 			}
 			if d.line == "" {
 				if r.requests() > before {
-					t.Errorf("the server saw %s", r.boxes[0].Seen()[before].Raw)
+					t.Errorf("the server saw %s", r.boxes[0].Requests()[before].Raw)
 				}
 				return
 			}
 			if r.requests() != before+1 {
 				t.Fatalf("the server saw %d requests", r.requests()-before)
 			}
-			seen := r.boxes[0].Seen()[before]
-			if seen.Line != d.line {
-				t.Errorf("request line %q, want %q", seen.Line, d.line)
+			seen := r.boxes[0].Requests()[before]
+			if seen.RequestLine != d.line {
+				t.Errorf("request line %q, want %q", seen.RequestLine, d.line)
 			}
 			for _, want := range d.has {
 				if !strings.Contains(string(seen.Raw), "\r\n"+want) {
@@ -150,7 +150,7 @@
 func TestTrustedForwarding(t *testing.T) {
 	r := open(t, "trust = [\"127.0.0.0/8\"]\n", echo)
 	r.ask("GET", "GET /x"+h11+"Forwarded: for=10.0.0.1\r\nX-Forwarded-For: 10.0.0.1\r\nX-Forwarded-Proto: https\r\n\r\n")
-	seen := r.boxes[0].Seen()[0].Header
+	seen := r.boxes[0].Requests()[0].Header
 	if seen.Get("Forwarded") != `for=10.0.0.1, for=127.0.0.1;proto=http;host="a.example"` || seen.Get("X-Forwarded-For") != "10.0.0.1, 127.0.0.1" || seen.Get("X-Forwarded-Proto") != "https" {
 		t.Errorf("%v", seen)
 	}
@@ -158,7 +158,7 @@
 
 // The node's own answers say what is the matter (RFC 9457), and when to come back.
 func TestOwnAnswers(t *testing.T) {
-	r := open(t, "attempts = 1\n[[web.class]]\nname = \"d\"\naim = \"20ms\"\ndeadline = \"100ms\"\n", func(_ webbox.Seen, c net.Conn) bool {
+	r := open(t, "attempts = 1\n[[web.class]]\nname = \"d\"\naim = \"20ms\"\ndeadline = \"100ms\"\n", func(_ webbox.Request, c net.Conn) bool {
 		_, _ = c.Read(make([]byte, 1)) // silent
 		return false
 	})
--- a/internal/web/exchange.go
+++ b/internal/web/exchange.go
@@ -37,12 +37,12 @@
 	expects bool        // the client waits for 100 before it sends the body
 	taken   atomic.Bool // an attempt reads the rest
 
-	ctx     context.Context // ends when the client goes or is answered
-	interim chan h1.Head    // 103s on their way to the client; one that finds no room is dropped
-	passed  *passing.Hand   // the one answer that goes to the client as it comes
-	reading sync.WaitGroup  // of the client's body
-	stop    func()          // makes that end
-	stopped atomic.Bool     // it was
+	ctx     context.Context  // ends when the client goes or is answered
+	interim chan h1.Head     // 103s on their way to the client; one that finds no room is dropped
+	passed  *passing.Handoff // the one answer that goes to the client as it comes
+	reading sync.WaitGroup   // of the client's body
+	stop    func()           // makes that end
+	stopped atomic.Bool      // it was
 
 	mu       sync.Mutex
 	fallback *whole // the last answer that was held back
@@ -58,12 +58,12 @@
 const heldBack = 64 << 10
 
 // Attempt implements core.Message.
-func (x *exchange) Attempt(ctx context.Context, to core.Server, _ time.Time, turn core.Turn) core.Reply {
+func (x *exchange) Attempt(ctx context.Context, to core.Server, _ time.Time, turn core.AttemptHandle) core.AttemptResult {
 	r := x.attempt(ctx, to, turn)
 	if x.ctx.Err() != nil { // the client's leaving broke it off: nothing to hold against the server
 		switch r.Status {
 		case policy.ConnectFailed:
-			r.Status = policy.Moot
+			r.Status = policy.NotSent
 		case policy.Reset:
 			r.Status = policy.Cancelled
 		}
@@ -71,31 +71,31 @@
 	return r
 }
 
-func (x *exchange) attempt(ctx context.Context, to core.Server, turn core.Turn) core.Reply {
+func (x *exchange) attempt(ctx context.Context, to core.Server, turn core.AttemptHandle) core.AttemptResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(x.ctx, cancel)()
 	if x.rest != nil && x.taken.Load() {
-		return core.Reply{Status: policy.Moot, Rejected: true} // its body is gone: no attempt can be made
+		return core.AttemptResult{Status: policy.NotSent, Rejected: true} // its body is gone: no attempt can be made
 	}
 	if x.front.h2 != nil && x.upgrade == "" {
 		return x.front.h2.attempt(ctx, x, to, turn)
 	}
 	c, err := x.front.pool.Get(ctx, to)
 	switch {
-	case errors.Is(err, conns.ErrNone):
-		return core.Reply{Status: policy.Moot}
+	case errors.Is(err, conns.ErrExhausted):
+		return core.AttemptResult{Status: policy.NotSent}
 	case err != nil:
-		return core.Reply{Status: policy.ConnectFailed}
+		return core.AttemptResult{Status: policy.ConnectFailed}
 	}
 	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes reads and writes
 	if !turn.Begin() {
 		x.front.pool.Put(c, release())
-		return core.Reply{Status: policy.Moot}
+		return core.AttemptResult{Status: policy.NotSent}
 	}
 	if x.rest != nil && x.taken.Swap(true) {
 		x.front.pool.Put(c, release())
-		return core.Reply{Status: policy.Moot, Rejected: true}
+		return core.AttemptResult{Status: policy.NotSent, Rejected: true}
 	}
 	first := x.encode()
 	text := first
@@ -106,9 +106,9 @@
 		release()
 		x.front.pool.Put(c, false)
 		if n < len(first) { // no server begins with half a head
-			return core.Reply{Status: policy.ConnectFailed}
+			return core.AttemptResult{Status: policy.ConnectFailed}
 		}
-		return core.Reply{Status: policy.Reset}
+		return core.AttemptResult{Status: policy.Reset}
 	}
 	sent, goOn := x.sendRest(ctx, c)
 	status, reusable := x.receive(ctx, c, turn, sent, goOn)
@@ -125,7 +125,7 @@
 		}
 	}
 	x.front.pool.Put(c, release() && reusable)
-	return core.Reply{Status: status}
+	return core.AttemptResult{Status: status}
 }
 
 // encode writes the request's head. All in it has passed net/http's checks on the way in,
@@ -220,7 +220,7 @@
 }
 
 // receive takes in the answer to what was written on c.
-func (x *exchange) receive(ctx context.Context, c *conns.Conn, turn core.Turn, sent chan error, goOn chan struct{}) (status policy.Status, reusable bool) {
+func (x *exchange) receive(ctx context.Context, c *conns.Conn, turn core.AttemptHandle, sent chan error, goOn chan struct{}) (status policy.Status, reusable bool) {
 	h, err := x.awaitHead(c, goOn)
 	if err != nil {
 		return policy.Reset, false
@@ -229,13 +229,13 @@
 		if x.upgrade == "" {
 			return policy.Reset, false // nobody asked for it
 		}
-		if !turn.Pass() {
+		if !turn.ClaimAnswer() {
 			return policy.Cancelled, false
 		}
-		return x.passed.Pass(&passing.Answer{Head: h, Tunnel: c}), false
+		return x.passed.Send(&passing.Answer{Head: h, Tunnel: c}), false
 	}
-	c.Budget.N = h1.Unbounded
-	b, err := h.Framed(c.In, x.method)
+	c.ReadLimit.N = h1.NoReadLimit
+	b, err := h.OpenBody(c.In, x.method)
 	if err != nil {
 		return policy.Reset, false
 	}
@@ -250,7 +250,7 @@
 			b.Reader = rest
 		}
 	}
-	if !turn.Pass() {
+	if !turn.ClaimAnswer() {
 		return policy.Cancelled, false
 	}
 	in := &passing.Answer{Head: h, Body: b}
@@ -258,9 +258,9 @@
 	case err := <-sent: // nil, for ever, if there is nothing to send
 		sent <- err
 	default:
-		in.Half = sent != nil
+		in.RequestPending = sent != nil
 	}
-	end := x.passed.Pass(in)
+	end := x.passed.Send(in)
 	if end == policy.OK {
 		end = v.Status
 	}
@@ -269,8 +269,8 @@
 
 // awaitHead reads heads up to the one that counts.
 func (x *exchange) awaitHead(c *conns.Conn, goOn chan struct{}) (h1.Head, error) {
-	for range h1.InterimMost + 1 {
-		c.Budget.N = int64(x.front.opt.Limits.Header.Bytes)
+	for range h1.MaxInterim + 1 {
+		c.ReadLimit.N = int64(x.front.opt.Limits.Header.Bytes)
 		h, err := h1.ReadHead(c.In)
 		switch {
 		case err != nil || h.Code >= 200 || h.Code == http.StatusSwitchingProtocols:
@@ -285,7 +285,7 @@
 			}
 		}
 	}
-	return h1.Head{}, h1.Spoilt("over %d interim answers", h1.InterimMost)
+	return h1.Head{}, h1.Malformed("over %d interim answers", h1.MaxInterim)
 }
 
 // hold reads a body that may be kept whole. If it is too long it gives a reader of all of
--- a/internal/web/front.go
+++ b/internal/web/front.go
@@ -81,8 +81,8 @@
 		plain.NextProtos = nil
 	}
 	f.pool = conns.New(conns.Options{
-		IdleFor: c.Upstream.Idle.Duration * 3 / 4, Connect: c.Upstream.Connect.Duration, Settle: 2 * time.Millisecond,
-		Most: c.Upstream.Connections, TLS: plain,
+		MaxIdle: c.Upstream.Idle.Duration * 3 / 4, ConnectTimeout: c.Upstream.Connect.Duration, SettleTime: 2 * time.Millisecond,
+		MaxConns: c.Upstream.Connections, TLS: plain,
 	})
 	drop := f.pool.Drop
 	if c.Upstream.HTTP2 {
@@ -185,7 +185,7 @@
 // Members hands over the pool's servers, or changes to them.
 func (f *Front) Members(kind policy.ListKind, servers []listed.Server) {
 	entries, addrs := listed.Entries(servers)
-	f.loop.Members(kind, entries, addrs)
+	f.loop.UpdateServers(kind, entries, addrs)
 }
 
 // Drain takes no more connections and lets requests end, streams and tunnels for the
@@ -280,7 +280,7 @@
 // leave ends an exchange whose client went away, or that the drain has ended.
 func (f *Front) leave(w http.ResponseWriter, x *exchange, ticket *core.Ticket) {
 	f.gone.Add(1)
-	f.loop.Leave(ticket)
+	f.loop.ClientGone(ticket)
 	x.passed.Close()
 	w.Header().Set("Connection", "close")
 	panic(http.ErrAbortHandler)
@@ -355,7 +355,7 @@
 	}
 	x := &exchange{ // never another one: what is hooked below reads it on other goroutines
 		front: f, method: r.Method, uri: originForm(r), host: r.Host, length: r.ContentLength,
-		interim: make(chan h1.Head, h1.InterimMost), passed: passing.New(),
+		interim: make(chan h1.Head, h1.MaxInterim), passed: passing.New(),
 		trailer: func() http.Header { return r.Trailer },
 	}
 	x.upgrade = fields.Upgrade(r.Header)
@@ -483,13 +483,13 @@
 
 // own gives the node's own answer.
 func (f *Front) own(a core.Answer) *problem {
-	switch a.Kind {
+	switch a.Outcome {
 	case core.Refused:
 		return &problem{
 			Status: http.StatusServiceUnavailable, Title: "refused", Type: "refused", retryAfter: a.RetryAfter,
 			Detail: "no server can take the request now; it has not run, or may run again without harm",
 		}
-	case core.Overdue:
+	case core.DeadlineExceeded:
 		return &problem{Status: http.StatusGatewayTimeout, Title: "no answer in time", Type: "overdue", Detail: "the request may have run"}
 	}
 	return &problem{Status: http.StatusBadGateway, Title: "failed", Type: "failed", Detail: "no server answered as it should; the request may have run"}
--- a/internal/web/hostile_test.go
+++ b/internal/web/hostile_test.go
@@ -449,7 +449,7 @@
 // when the client takes nothing for too long.
 func TestSlowClient(t *testing.T) {
 	ended := make(chan int64, 1)
-	r := open(t, "[web.limits]\nstall = \"300ms\"\n", func(_ webbox.Seen, c net.Conn) bool {
+	r := open(t, "[web.limits]\nstall = \"300ms\"\n", func(_ webbox.Request, c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n")
 		block, sent := make([]byte, 1<<16), int64(0)
 		for {
--- a/internal/web/multiplexed.go
+++ b/internal/web/multiplexed.go
@@ -67,7 +67,7 @@
 	}
 	if m.all >= m.most {
 		m.mu.Unlock()
-		return nil, conns.ErrNone
+		return nil, conns.ErrExhausted
 	}
 	m.all++
 	m.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 	c, err := m.transport.NewClientConn(nc)
 	if err == nil && !c.ReserveNewRequest() {
-		err = conns.ErrNone
+		err = conns.ErrExhausted
 	}
 	if err != nil {
 		nc.Close()
@@ -131,13 +131,13 @@
 }
 
 // attempt makes one attempt.
-func (m *multiplexed) attempt(ctx context.Context, x *exchange, to core.Server, turn core.Turn) core.Reply {
+func (m *multiplexed) attempt(ctx context.Context, x *exchange, to core.Server, turn core.AttemptHandle) core.AttemptResult {
 	c, err := m.get(ctx, to)
 	switch {
-	case errors.Is(err, conns.ErrNone):
-		return core.Reply{Status: policy.Moot}
+	case errors.Is(err, conns.ErrExhausted):
+		return core.AttemptResult{Status: policy.NotSent}
 	case err != nil:
-		return core.Reply{Status: policy.ConnectFailed}
+		return core.AttemptResult{Status: policy.ConnectFailed}
 	}
 	taken := x.rest != nil && x.taken.Swap(true)
 	if taken || !turn.Begin() {
@@ -146,19 +146,19 @@
 		cancel()
 		r, _ := http.NewRequestWithContext(over, http.MethodGet, "http://"+to.Addr+"/", nil)
 		_, _ = c.RoundTrip(r)
-		return core.Reply{Status: policy.Moot, Rejected: taken}
+		return core.AttemptResult{Status: policy.NotSent, Rejected: taken}
 	}
 	resp, err := c.RoundTrip(x.outgoing(ctx))
 	if err != nil {
 		var stream http2.StreamError
 		var away http2.GoAwayError
 		if errors.As(err, &stream) && stream.Code == http2.ErrCodeRefusedStream || errors.As(err, &away) {
-			return core.Reply{Status: policy.Full} // RFC 9113, section 8.7: it has not run
+			return core.AttemptResult{Status: policy.Full} // RFC 9113, section 8.7: it has not run
 		}
-		return core.Reply{Status: policy.Reset}
+		return core.AttemptResult{Status: policy.Reset}
 	}
 	defer resp.Body.Close()
-	return core.Reply{Status: x.receiveStream(resp, turn)}
+	return core.AttemptResult{Status: x.receiveStream(resp, turn)}
 }
 
 // outgoing gives the request as x/net sends it.
@@ -213,8 +213,8 @@
 }
 
 // receiveStream takes in an answer that came on a stream.
-func (x *exchange) receiveStream(resp *http.Response, turn core.Turn) policy.Status {
-	h := h1.Head{Code: resp.StatusCode, Header: resp.Header, Trails: len(resp.Trailer) > 0}
+func (x *exchange) receiveStream(resp *http.Response, turn core.AttemptHandle) policy.Status {
+	h := h1.Head{Code: resp.StatusCode, Header: resp.Header, TrailersWithLength: len(resp.Trailer) > 0}
 	b := h1.Body{Reader: resp.Body, Length: resp.ContentLength, Trailer: func() (http.Header, error) { return resp.Trailer, nil }}
 	v := verdict.Of(h.Code, h.Header)
 	if v.Again {
@@ -228,10 +228,10 @@
 		}
 		b.Reader = io.MultiReader(bytes.NewReader(text), resp.Body)
 	}
-	if !turn.Pass() {
+	if !turn.ClaimAnswer() {
 		return policy.Cancelled
 	}
-	if end := x.passed.Pass(&passing.Answer{Head: h, Body: b}); end != policy.OK {
+	if end := x.passed.Send(&passing.Answer{Head: h, Body: b}); end != policy.OK {
 		return end
 	}
 	return v.Status
--- a/internal/web/relay.go
+++ b/internal/web/relay.go
@@ -20,19 +20,19 @@
 // whole.
 func (f *Front) relay(w http.ResponseWriter, r *http.Request, x *exchange, in *passing.Answer) {
 	if in.Tunnel != nil {
-		in.End(f.tunnel(w, r, x, in))
+		in.Finish(f.tunnel(w, r, x, in))
 		return
 	}
 	f.streams.Add(1)
 	defer f.streams.Add(-1)
 	status := policy.Cancelled
-	defer func() { in.End(status) }() // also if the client's connection panics
+	defer func() { in.Finish(status) }() // also if the client's connection panics
 	copyHead(w, in.Head)
-	if in.Trails && r.ProtoMajor < 2 {
+	if in.TrailersWithLength && r.ProtoMajor < 2 {
 		w.Header().Del("Content-Length")
 		in.Length = -1
 	}
-	if in.Half {
+	if in.RequestPending {
 		w.Header().Set("Connection", "close") // what is left of the body follows on it
 	}
 	control := http.NewResponseController(w)
@@ -43,7 +43,7 @@
 	b := f.buffers.Get().(*[]byte)
 	defer f.buffers.Put(b)
 	switch err := in.Copy(x.ctx, w, f.opt.Limits.Stall.Duration, *b); {
-	case errors.Is(err, passing.ErrGone):
+	case errors.Is(err, passing.ErrClientGone):
 		f.gone.Add(1)
 		panic(http.ErrAbortHandler)
 	case err != nil:
@@ -69,7 +69,7 @@
 	f.tunnels.Add(1)
 	defer f.tunnels.Add(-1)
 	up := in.Tunnel
-	up.Budget.N = h1.Unbounded
+	up.ReadLimit.N = h1.NoReadLimit
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return policy.Cancelled
--- a/internal/web/stream_test.go
+++ b/internal/web/stream_test.go
@@ -29,7 +29,7 @@
 
 // ticking answers with events until its connection ends, and tells of that.
 func ticking(ended chan<- struct{}) webbox.Script {
-	return func(_ webbox.Seen, c net.Conn) bool {
+	return func(_ webbox.Request, c net.Conn) bool {
 		_, err := io.WriteString(c, events)
 		for err == nil {
 			_, err = io.WriteString(c, "8\r\ndata: x\n\r\n")
@@ -75,7 +75,7 @@
 // more memory than buffers; it is sent once.
 func TestLongBodiesAreStreamed(t *testing.T) {
 	const size = 64 << 20
-	r := open(t, "# early\n", func(s webbox.Seen, c net.Conn) bool {
+	r := open(t, "# early\n", func(s webbox.Request, c net.Conn) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
 		_, err := io.CopyN(c, c, size)
 		return err == nil
@@ -125,7 +125,7 @@
 
 // A body that can't be sent again ends its request when its server fails: sent once.
 func TestStreamedBodyIsSentOnce(t *testing.T) {
-	r := open(t, "[web.limits]\nkept = \"1KiB\"\n", webbox.Says("", false), webbox.Says("", false))
+	r := open(t, "[web.limits]\nkept = \"1KiB\"\n", webbox.Respond("", false), webbox.Respond("", false))
 	a := r.ask("PUT", "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n"+strings.Repeat("x", 5000))
 	if a.code != 502 || r.requests() > 1 {
 		t.Errorf("%+v after %d requests", a, r.requests())
@@ -135,7 +135,7 @@
 // An answer that comes before the body's end goes to the client at once, and the rest of
 // the body is read as nothing else.
 func TestEarlyAnswer(t *testing.T) {
-	r := open(t, "# early\n", webbox.Says("HTTP/1.1 403 No\r\nContent-Length: 2\r\nConnection: close\r\n\r\nno", false))
+	r := open(t, "# early\n", webbox.Respond("HTTP/1.1 403 No\r\nContent-Length: 2\r\nConnection: close\r\n\r\nno", false))
 	c := r.dial()
 	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("x", 100_000))
 	in := bufio.NewReader(c)
@@ -151,7 +151,7 @@
 // A client that asks first sends its body when the server wants it, and not otherwise.
 func TestExpectations(t *testing.T) {
 	for _, wants := range []bool{true, false} {
-		r := open(t, "# early\n", func(s webbox.Seen, c net.Conn) bool {
+		r := open(t, "# early\n", func(s webbox.Request, c net.Conn) bool {
 			if s.Header.Get("Expect") != "100-continue" {
 				_, _ = io.WriteString(c, webbox.OK("no expectation"))
 				return false
@@ -188,7 +188,7 @@
 const switches = "HTTP/1.1 101 Switching\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n"
 
 // echoing changes protocols and gives back what comes.
-func echoing(_ webbox.Seen, c net.Conn) bool {
+func echoing(_ webbox.Request, c net.Conn) bool {
 	_, _ = io.WriteString(c, switches)
 	_, _ = io.Copy(c, c)
 	return false
@@ -237,11 +237,11 @@
 func TestDrainOfStreamsAndTunnels(t *testing.T) {
 	const many = 60
 	ended := make(chan struct{}, many)
-	r := open(t, "drain = \"600ms\"\n[web.limits]\nstreams = 200\n", func(s webbox.Seen, c net.Conn) bool {
+	r := open(t, "drain = \"600ms\"\n[web.limits]\nstreams = 200\n", func(s webbox.Request, c net.Conn) bool {
 		if s.Header.Get("Upgrade") != "" {
 			return echoing(s, c)
 		}
-		if strings.Contains(s.Line, "/poll") {
+		if strings.Contains(s.RequestLine, "/poll") {
 			time.Sleep(300 * time.Millisecond)
 			_, err := io.WriteString(c, webbox.OK("polled"))
 			return err == nil
@@ -313,14 +313,14 @@
 	}
 	entries, addrs := listed.Entries(r.front.opt.Servers[:1])
 	entries[0].State = policy.Draining
-	r.front.loop.Members(policy.ListDelta, entries, addrs)
-	before := len(r.boxes[0].Seen())
+	r.front.loop.UpdateServers(policy.ListDelta, entries, addrs)
+	before := len(r.boxes[0].Requests())
 	for range 20 {
 		if a := r.ask("GET", get("/x")); a.code != 200 {
 			t.Errorf("%+v", a)
 		}
 	}
-	if n := len(r.boxes[0].Seen()); n != before {
+	if n := len(r.boxes[0].Requests()); n != before {
 		t.Errorf("%d new requests", n-before)
 	}
 	if _, err := io.ReadFull(c, make([]byte, 100)); err != nil {
@@ -333,9 +333,9 @@
 // HTTP/2 clients by prior knowledge: many streams on a connection, trailers, and a cut
 // answer ends its stream alone.
 func TestHTTP2Clients(t *testing.T) {
-	r := open(t, "", func(s webbox.Seen, c net.Conn) bool {
+	r := open(t, "", func(s webbox.Request, c net.Conn) bool {
 		switch {
-		case strings.Contains(s.Line, "/cut"):
+		case strings.Contains(s.RequestLine, "/cut"):
 			_, _ = io.WriteString(c, events+"5\r\nhel")
 			return false
 		case s.Header.Get("Te") == "trailers":
@@ -436,7 +436,7 @@
 		t.Fatal(err)
 	}
 	issue := func(name string) (cert, key string) {
-		if err := pki.Issue(dir, pki.Request{Name: name, Role: pki.Agent, Hosts: []string{name}, For: time.Hour}, time.Now()); err != nil {
+		if err := pki.Issue(dir, pki.Request{Name: name, Role: pki.Agent, Hosts: []string{name}, ValidFor: time.Hour}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key")
@@ -490,7 +490,7 @@
 // Beyond the bound on tunnels a wish to change protocols is not passed on, and the request
 // is answered as any other; beyond the room for kept bodies one is sent once, as it comes.
 func TestBounds(t *testing.T) {
-	r := open(t, "[web.limits]\ntunnels = 1\nkept = \"1KiB\"\nkept_all = \"1KiB\"\n", func(s webbox.Seen, c net.Conn) bool {
+	r := open(t, "[web.limits]\ntunnels = 1\nkept = \"1KiB\"\nkept_all = \"1KiB\"\n", func(s webbox.Request, c net.Conn) bool {
 		if s.Header.Get("Upgrade") != "" {
 			return echoing(s, c)
 		}
--- a/internal/web/web_test.go
+++ b/internal/web/web_test.go
@@ -135,7 +135,7 @@
 // requests counts what all servers have seen.
 func (r *rig) requests() (n int) {
 	for _, b := range r.boxes {
-		n += len(b.Seen())
+		n += len(b.Requests())
 	}
 	return n
 }
@@ -188,7 +188,7 @@
 		"failed, again": {"GET", "HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 4\r\n\r\nbusy", 503, "busy", map[string]string{"Retry-After": "3"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := open(t, "", webbox.Says(c.answer, !strings.HasPrefix(c.answer, "HTTP/1.0")))
+			r := open(t, "", webbox.Respond(c.answer, !strings.HasPrefix(c.answer, "HTTP/1.0")))
 			a := r.ask(c.method, c.method+" /x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
 			if a.err != nil || a.code != c.code || a.body != c.body {
 				t.Fatalf("%d %.60q, %v; want %d %.60q", a.code, a.body, a.err, c.code, c.body)
@@ -213,7 +213,7 @@
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
 	} {
 		at := make(chan int, 1)
-		r := open(t, "attempts = 3\n", func(_ webbox.Seen, c net.Conn) bool {
+		r := open(t, "attempts = 3\n", func(_ webbox.Request, c net.Conn) bool {
 			n := <-at
 			_, _ = io.WriteString(c, whole[:n])
 			return false
@@ -261,7 +261,7 @@
 		t.Run(name, func(t *testing.T) {
 			first := make(chan bool, 1)
 			first <- true
-			play := func(s webbox.Seen, conn net.Conn) bool {
+			play := func(s webbox.Request, conn net.Conn) bool {
 				select {
 				case <-first:
 					_, _ = io.WriteString(conn, c.first)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -145,9 +145,9 @@
 	}
 	s.Rules.ColdFor = j.Contract.ColdMs.or(s.Rules.ColdFor)
 	s.Rules.FallFor = j.Contract.FallMs.or(s.Rules.FallFor)
-	s.Rules.MustAsk = j.Contract.MustAskInMs.or(s.Rules.MustAsk)
+	s.Rules.MaxCallInterval = j.Contract.MustAskInMs.or(s.Rules.MaxCallInterval)
 	var ok bool
-	if s.ListAsked, ok = lookup(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
+	if s.ListWatched, ok = lookup(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
 		return s, fmt.Errorf("settings: RegistryMode: unknown value %q", j.RegistryMode)
 	}
 	for i, c := range j.Classes {
--- a/internal/wire/sites_test.go
+++ b/internal/wire/sites_test.go
@@ -120,7 +120,7 @@
 				unsafe++
 			}
 		}
-		if site.Settings.ListAsked {
+		if site.Settings.ListWatched {
 			onRequest++
 		}
 		if len(site.Tenants) != len(s.Tenant) || len(site.Settings.Tenants) != len(s.Tenant) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -144,7 +144,7 @@
 
 var statuses = map[uint16]policy.Status{
 	200: policy.OK, 502: policy.Error, 429: policy.Full, 408: policy.Timeout,
-	521: policy.ConnectFailed, 520: policy.Reset, 444: policy.Cancelled, 409: policy.Moot,
+	521: policy.ConnectFailed, 520: policy.Reset, 444: policy.Cancelled, 409: policy.NotSent,
 }
 
 // Event decodes record i of the batch into e.
@@ -188,7 +188,7 @@
 			hint = 0
 		}
 		e.Request = policy.Request{
-			ID: policy.RequestID(u32(1)), Class: int(rec[5]), Tenant: int(u16(6)), Key: u64(8), Left: left, Hint: hint,
+			ID: policy.RequestID(u32(1)), Class: int(rec[5]), Tenant: int(u16(6)), Key: u64(8), TimeLeft: left, Hint: hint,
 		}
 	case EventStarted:
 		e.Outcome = policy.Outcome{ID: policy.RequestID(u32(1)), Attempt: int(u16(5)), Server: serverID(rec[15:])}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -80,7 +80,7 @@
 		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].Token, events[7].Code)
 	}
 	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1, Key: 0x91f03b7c55d20a64,
-		Left: 240 * time.Millisecond, Hint: 12 * time.Millisecond}
+		TimeLeft: 240 * time.Millisecond, Hint: 12 * time.Millisecond}
 	if events[1].Request != wantRequest {
 		t.Errorf("request %+v, want %+v", events[1].Request, wantRequest)
 	}
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Nodes != 2 || s.Zone != 1 || !s.WorthByWork || !s.ListAsked || !s.WarmKeys ||
+	if s.Nodes != 2 || s.Zone != 1 || !s.WorthByWork || !s.ListWatched || !s.WarmKeys ||
 		s.OverShareWorth != 0.05 ||
 		s.Tenants[0].QuotaPerS != 84 || c.Effect != policy.Keyed || c.Scope != policy.ScopeZone ||
 		c.Window != 5*time.Second || c.Aim != 580*time.Millisecond || c.LateWorth != 0.5 || !c.Stream ||
@@ -223,7 +223,7 @@
 		s.Limits != (policy.Limits{MaxAttempts: 4, SecondCopies: true, Cancel: true,
 			MaxRetryAfter: 600 * time.Millisecond}) ||
 		s.Prices != (policy.Prices{Waste: 0.2, LateFail: 0.08, CrossZone: 0.04}) ||
-		s.Rules.FallMultiple != 3 || s.Rules.ColdFor != 8800*time.Millisecond || s.Rules.MustAsk != 9*time.Second {
+		s.Rules.FallMultiple != 3 || s.Rules.ColdFor != 8800*time.Millisecond || s.Rules.MaxCallInterval != 9*time.Second {
 		t.Errorf("settings %+v", s)
 	}
 	if d := s.Classes[1]; d.Effect != policy.Unsafe || d.Scope != policy.ScopeCell ||
--- a/policy/api.go
+++ b/policy/api.go
@@ -38,17 +38,17 @@
 
 // Class is a class of requests.
 type Class struct {
-	Deadline   time.Duration // total time that a client waits, over all of its tries
-	Aim        time.Duration // an answer within it earns the full worth; 0: the deadline
-	AimStretch float64       // if set, this multiple of the request's own work is added to the aim
-	LateWorth  float64       // share of the worth that a later answer earns
-	Worth      float64       // worth of one request, or of one unit of work
-	Effect     Effect
-	Scope      Scope         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are deduplicated, from the first send
-	Stream     bool          // the answer is a stream; see Balancer.Started
-	Grain      time.Duration // latencies below this are treated as equal
-	Parked     bool          // adds no load once the server has accepted it, like a ringing phone; see Balancer.Taken
+	Deadline     time.Duration // total time that a client waits, over all of its tries
+	Aim          time.Duration // an answer within it earns the full worth; 0: the deadline
+	AimStretch   float64       // if set, this multiple of the request's own work is added to the aim
+	LateWorth    float64       // share of the worth that a later answer earns
+	Worth        float64       // worth of one request, or of one unit of work
+	Effect       Effect
+	Scope        Scope         // for Keyed
+	Window       time.Duration // for Keyed: how long repeats are deduplicated, from the first send
+	Stream       bool          // the answer is a stream; see Balancer.StreamStarted
+	LatencyFloor time.Duration // latencies below this are treated as equal
+	Parked       bool          // adds no load once the server has accepted it, like a ringing phone; see Balancer.Accepted
 }
 
 // Tenant is a customer with a share of the fleet's capacity.
@@ -67,11 +67,11 @@
 
 // Rules holds the parameters of the rules that each node applies on its own.
 type Rules struct {
-	ColdFrom     float64       // a server starts with at least this share of its capacity
-	ColdFor      time.Duration // and is warm after this long at most
-	FallMultiple float64       // a cold server that is sent more than this multiple of its present capacity
-	FallFor      time.Duration // for this long falls over
-	MustAsk      time.Duration // with ListAsked: the longest time between two calls for the list
+	ColdFrom        float64       // a server starts with at least this share of its capacity
+	ColdFor         time.Duration // and is warm after this long at most
+	FallMultiple    float64       // a cold server that is sent more than this multiple of its present capacity
+	FallFor         time.Duration // for this long falls over
+	MaxCallInterval time.Duration // with ListAsked: the longest time between two calls for the list
 }
 
 // Prices holds the deductions that a site makes from its service score, as shares of it.
@@ -91,7 +91,7 @@
 	OverShareWorth float64 // worth of a request beyond its tenant's quota, as a share of its class's worth
 	WorthByWork    bool    // worth counts per unit of work instead of per request
 	WarmKeys       bool    // a server that served a key recently does less work for it
-	ListAsked      bool    // the server list has to be watched; otherwise it is pushed
+	ListWatched    bool    // the server list has to be watched; otherwise it is pushed
 	Limits         Limits
 	Rules          Rules
 	Prices         Prices
@@ -116,9 +116,9 @@
 	State   State
 	Weight  float64       // rough size, comparable across servers; 0: unknown
 	Started time.Duration // time of its latest start; 0: long ago
-	// Doubted marks an entry restored from storage that discovery has not confirmed. The server may have
+	// Unconfirmed marks an entry restored from storage that discovery has not confirmed. The server may have
 	// restarted since, so it is treated as just started until it is confirmed.
-	Doubted bool
+	Unconfirmed bool
 }
 
 // ListKind says how to apply a Members event.
@@ -134,13 +134,13 @@
 
 // Request is a client's request as it arrives.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Key    uint64        // requests with equal keys are related; 0: none
-	Left   time.Duration // time after which the client gives up this try
-	Hint   time.Duration // estimated work; 0: unknown
-	Coming bool          // the client is still sending it; see Balancer.Sent
+	ID        RequestID
+	Class     int
+	Tenant    int
+	Key       uint64        // requests with equal keys are related; 0: none
+	TimeLeft  time.Duration // time after which the client gives up this try
+	Hint      time.Duration // estimated work; 0: unknown
+	Uploading bool          // the client is still sending it; see Balancer.RequestSent
 }
 
 // Status is the result of an attempt.
@@ -155,7 +155,7 @@
 	ConnectFailed               // no connection; has not run
 	Reset                       // the connection dropped; may have run
 	Cancelled                   // cancelled; may have run
-	Moot                        // never sent; has not run
+	NotSent                     // never sent; has not run
 )
 
 // Outcome reports the end of one attempt. Every Host.Send is followed by one.
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -26,7 +26,7 @@
 func TestUnconfirmedServersAreNotOverloaded(t *testing.T) {
 	racing.Skip(t)
 	for _, size := range []float64{0.5, 2, 8, 32} {
-		if over, did := simulateColdServer(t, size, usualLoad, ListCached, func(e *Entry, _ time.Duration) { e.Doubted = true }); over > 0 || did < 0.5 {
+		if over, did := simulateColdServer(t, size, usualLoad, ListCached, func(e *Entry, _ time.Duration) { e.Unconfirmed = true }); over > 0 || did < 0.5 {
 			t.Errorf("size %v: sent %.3f s of work too much in a window; after four seconds it does %.2f of what it can", size, over, did)
 		}
 	}
@@ -49,7 +49,7 @@
 func TestRecoveryUnderOverloadDoesNotOverloadServers(t *testing.T) {
 	for _, a := range []offeredLoad{{3, 5}, {12, 5}, {12, 50}} {
 		for _, size := range []float64{0.5, 2, 8} {
-			over, did := simulateColdServer(t, size, a, ListCached, func(e *Entry, _ time.Duration) { e.Doubted = true })
+			over, did := simulateColdServer(t, size, a, ListCached, func(e *Entry, _ time.Duration) { e.Unconfirmed = true })
 			if over > 0 || did < 0.2 {
 				t.Errorf("%+v, size %v: sent %.3f s of work too much in a window; after four seconds it does %.2f of what it can", a, size, over, did)
 			}
@@ -123,7 +123,7 @@
 			}
 			for range 200 {
 				r.next++
-				q := r.b.newRequest(Request{ID: r.next, Left: time.Hour}, &r.b.classes[0])
+				q := r.b.newRequest(Request{ID: r.next, TimeLeft: time.Hour}, &r.b.classes[0])
 				q.deadline = now + time.Hour
 				s := r.b.servers[1]
 				if !r.b.maySend(now, q, s) {
--- a/policy/comeback.go
+++ b/policy/comeback.go
@@ -100,11 +100,11 @@
 	if !b.hasUnconfirmed() {
 		return
 	}
-	b.restored = &restored{fallback: b.Learnt(now), answeredBy: map[ServerID]bool{}, restoredServers: map[ServerID]float64{}}
+	b.restored = &restored{fallback: b.Learned(now), answeredBy: map[ServerID]bool{}, restoredServers: map[ServerID]float64{}}
 	b.restored.fallback.Servers, b.restored.fallback.Keys = nil, nil
 	for _, s := range m.Servers {
-		if s.LoneSeen > 0 {
-			b.restored.restoredServers[s.Server] = s.Lone
+		if s.UnloadedSamples > 0 {
+			b.restored.restoredServers[s.Server] = s.Unloaded
 		}
 	}
 }
@@ -129,14 +129,14 @@
 	}
 	m := w.fallback
 	m.Pressure, m.Admitted, m.Demand = b.pressure, b.admitted, b.demand.perSecond(now)
-	m.Bore = b.servedRate.perSecond(now) // in units of the restored latencies, so too high by at most the factor they were off
+	m.PeakServedRate = b.servedRate.perSecond(now) // in units of the restored latencies, so too high by at most the factor they were off
 	for _, k := range b.kinds {
 		*k = machineKind{speed: 1}
 	}
 	for _, s := range b.servers {
 		s.unloaded, s.unloadedSamples = 0, 0
 	}
-	if err := b.Recall(now, m); err != nil {
+	if err := b.Restore(now, m); err != nil {
 		panic(err) // it came from this Balancer
 	}
 	b.restored, b.congestion = nil, 0
--- a/policy/comeback_test.go
+++ b/policy/comeback_test.go
@@ -10,19 +10,19 @@
 func recoveryRig(t *testing.T, lone time.Duration) *rig {
 	r := newRig(t, testSettings(), 4)
 	r.serve(200, 0, lone)
-	m := r.b.Learnt(r.now)
+	m := r.b.Learned(r.now)
 	e := ready(1, 4)
 	for i := range e {
-		e[i].Doubted = true
+		e[i].Unconfirmed = true
 	}
 	r = newRig(t, testSettings(), 0)
 	r.list(ListCached, e...)
 	for i := range m.Servers {
-		s := &m.Servers[i] // as left by confidence.Fade
-		s.Rate, s.Done, s.ColdSaved, s.Earned, s.Good, s.Bad = 0, 0, 0, 0, 0, 0
+		s := &m.Servers[i] // as left by confidence.Decay
+		s.SentRate, s.ServedRate, s.ColdSaved, s.Earned, s.Successes, s.Failed = 0, 0, 0, 0, 0, 0
 	}
 	m.Admitted, m.Demand = 1, 0
-	if err := r.b.Recall(r.now, m); err != nil {
+	if err := r.b.Restore(r.now, m); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -126,9 +126,9 @@
 	}
 	r := newRig(t, testSettings(), 4)
 	r.serve(200, 0, 20*ms)
-	m := r.b.Learnt(r.now)
+	m := r.b.Learned(r.now)
 	r = newRig(t, testSettings(), 4)
-	if err := r.b.Recall(r.now, m); err != nil {
+	if err := r.b.Restore(r.now, m); err != nil {
 		t.Fatal(err)
 	}
 	r.serve(30, 0, 200*ms)
@@ -144,7 +144,7 @@
 	r := newRig(t, set, 0)
 	e := ready(1, 4)
 	for i := range e {
-		e[i].Doubted = true
+		e[i].Unconfirmed = true
 	}
 	r.list(ListCached, e...)
 	if got := r.b.admitted; got != set.Rules.ColdFrom {
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -70,7 +70,7 @@
 	for range 40 {
 		id := r.request(0)
 		r.advance(50 * ms)
-		r.b.Started(r.now, id, 0)
+		r.b.StreamStarted(r.now, id, 0)
 		r.advance(time.Minute)
 		r.end(id, OK, time.Minute)
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -37,16 +37,16 @@
 		return
 	}
 	now := time.Second // any monotonic clock
-	b.Members(now, policy.ListFull, []policy.Entry{
+	b.UpdateServers(now, policy.ListFull, []policy.Entry{
 		{Server: 1, State: policy.Ready, Weight: 1},
 		{Server: 2, State: policy.Ready, Weight: 1},
 	})
 
-	b.Request(now, policy.Request{ID: 1, Left: 2 * time.Second})
+	b.Request(now, policy.Request{ID: 1, TimeLeft: 2 * time.Second})
 	now += 20 * time.Millisecond
 	b.Outcome(now, policy.Outcome{ID: 1, Status: policy.OK, Ended: true, Latency: 20 * time.Millisecond})
 
-	b.Request(now, policy.Request{ID: 2, Left: 2 * time.Second})
+	b.Request(now, policy.Request{ID: 2, TimeLeft: 2 * time.Second})
 	b.Outcome(now, policy.Outcome{ID: 2, Status: policy.Error, Latency: time.Millisecond})
 	for range 10 { // timers trigger the retry after its backoff
 		now = max(now, host.at)
@@ -55,8 +55,8 @@
 	b.Outcome(now, policy.Outcome{ID: 2, Attempt: 1, Status: policy.OK, Ended: true,
 		Latency: 20 * time.Millisecond})
 
-	b.Members(now, policy.ListFull, nil) // no server is left
-	b.Request(now, policy.Request{ID: 3, Left: 2 * time.Second})
+	b.UpdateServers(now, policy.ListFull, nil) // no server is left
+	b.Request(now, policy.Request{ID: 3, TimeLeft: 2 * time.Second})
 
 	// Output:
 	// send request 1
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -50,7 +50,7 @@
 // average: a service that takes a call from each node within 2 s could answer them.
 func TestListCallsOfManyNodesAreLimited(t *testing.T) {
 	set := testSettings()
-	set.ListAsked = true
+	set.ListWatched = true
 	fleet := newFleet(t, set, 300, 3)
 	const seconds = 20
 	var calls [seconds]int
@@ -98,7 +98,7 @@
 				key = rare
 			}
 			r.next++
-			r.b.Request(r.now, Request{ID: r.next, Left: 2 * time.Second, Key: key})
+			r.b.Request(r.now, Request{ID: r.next, TimeLeft: 2 * time.Second, Key: key})
 			if sent := r.sendsOf(r.next); round >= 100 && count[key] != nil && len(sent) > 0 {
 				count[key][sent[0]]++
 			}
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -37,7 +37,7 @@
 					all = append(all, entry(i))
 				}
 			}
-			b.Members(now, ListFull, all)
+			b.UpdateServers(now, ListFull, all)
 		}
 		full()
 		cordoned := map[ServerID]bool{}
@@ -55,11 +55,11 @@
 				b.Uncordon(now, s, now)
 				delete(cordoned, s)
 			case 2:
-				b.Members(now, ListDelta, []Entry{entry(rng.IntN(servers))})
+				b.UpdateServers(now, ListDelta, []Entry{entry(rng.IntN(servers))})
 			case 3:
 				full()
 			}
-			b.Request(now, Request{ID: id, Class: rng.IntN(len(set.Classes)), Left: time.Second})
+			b.Request(now, Request{ID: id, Class: rng.IntN(len(set.Classes)), TimeLeft: time.Second})
 			b.Timer(now, tokenSweep)
 			for ; seen < len(h.sends); seen++ {
 				s := h.sends[seen]
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -125,7 +125,7 @@
 		if !p.done && w.rng.IntN(400) == 0 {
 			p.done = true
 			w.answered[id]++
-			w.b.Left(w.now, id)
+			w.b.ClientGone(w.now, id)
 		}
 	}
 	var due []timer
@@ -151,7 +151,7 @@
 		e.State, e.Started = Ready, start
 	}
 	w.state[id] = e
-	w.b.Members(w.now, ListDelta, []Entry{e})
+	w.b.UpdateServers(w.now, ListDelta, []Entry{e})
 }
 
 func runScript(t *testing.T, seed uint64, servers int) []string {
@@ -170,7 +170,7 @@
 		entries[i].Cell = int(entries[i].Server) / 3
 		w.state[entries[i].Server] = entries[i]
 	}
-	b.Members(w.now, ListCached, entries)
+	b.UpdateServers(w.now, ListCached, entries)
 	var ids []RequestID
 	for step := range 4000 {
 		w.now += 5 * ms
@@ -183,7 +183,7 @@
 			left := time.Duration(300+w.rng.IntN(1700)) * ms
 			ids = append(ids, id)
 			w.open[id] = &scriptRequest{class: set.Classes[class], end: w.now + left}
-			b.Request(w.now, Request{ID: id, Class: class, Key: uint64(w.rng.IntN(50)), Left: left})
+			b.Request(w.now, Request{ID: id, Class: class, Key: uint64(w.rng.IntN(50)), TimeLeft: left})
 		}
 		if w.rng.IntN(60) == 0 {
 			w.change(w.now)
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -160,7 +160,7 @@
 	r := newRig(t, set, 4) // one zone
 	ask := func() ServerID {
 		r.next++
-		r.b.Request(r.now, Request{ID: r.next, Key: 42, Left: time.Second})
+		r.b.Request(r.now, Request{ID: r.next, Key: 42, TimeLeft: time.Second})
 		s := r.sendsOf(r.next)[0]
 		r.advance(10 * ms)
 		r.end(r.next, OK, 10*ms)
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -12,17 +12,17 @@
 // processes.
 type Memory struct {
 	Limit           float64        `json:"limit"`
-	LimitKnown      float64        `json:"limit_known"`
+	GoodLimit       float64        `json:"limit_known"`
 	CongestedBefore bool           `json:"crowded"`
 	Congestion      float64        `json:"crowding"`
-	LoneSeen        int            `json:"lone_seen"`
-	Typical         float64        `json:"typical"`
+	UnloadedSamples int            `json:"lone_seen"`
+	TypicalLatency  float64        `json:"typical"`
 	MeanSuccess     float64        `json:"mean_success"`
 	MeanLatency     float64        `json:"mean_latency"`
 	Pressure        float64        `json:"pressure"`
 	Admitted        float64        `json:"admitted"`
 	Demand          float64        `json:"demand"` // work per second
-	Bore            float64        `json:"bore"`   // recent peak of the work served per second
+	PeakServedRate  float64        `json:"bore"`   // recent peak of the work served per second
 	Classes         []ClassMemory  `json:"classes"`
 	Kinds           []KindMemory   `json:"kinds"`
 	Servers         []ServerMemory `json:"servers"`
@@ -31,39 +31,39 @@
 
 // ClassMemory holds the latency statistics of a class.
 type ClassMemory struct {
-	Lone      float64 `json:"lone"`
-	Yardstick float64 `json:"yardstick"`
-	LoneSeen  float64 `json:"lone_seen"`
-	Work      float64 `json:"work"`
-	Seen      float64 `json:"seen"`
-	Hint      float64 `json:"hint"`
-	Hinted    float64 `json:"hinted"`
+	Unloaded        float64 `json:"lone"`
+	Baseline        float64 `json:"yardstick"`
+	UnloadedSamples float64 `json:"lone_seen"`
+	Work            float64 `json:"work"`
+	Samples         float64 `json:"seen"`
+	MeanHint        float64 `json:"hint"`
+	HintSamples     float64 `json:"hinted"`
 }
 
 // KindMemory holds the latency statistics of a machine type.
 type KindMemory struct {
 	Kind    int     `json:"kind"`
 	Latency float64 `json:"latency"`
-	Seen    float64 `json:"seen"`
+	Samples float64 `json:"seen"`
 }
 
 // ServerMemory holds what is known about one process of a server, from its start to its end.
 type ServerMemory struct {
-	Server    ServerID      `json:"server"`
-	Age       time.Duration `json:"age"` // of the process; 0: it started long ago
-	Open      bool          `json:"open"`
-	ReopenIn  time.Duration `json:"reopen_in"`
-	OpenFor   time.Duration `json:"open_for"`
-	Failures  int           `json:"failures"`
-	Good      int           `json:"good"` // successes among the latest outcomes
-	Bad       int           `json:"bad"`
-	Latency   float64       `json:"latency"` // mean of the successes, as a multiple of the unloaded latency
-	Lone      float64       `json:"lone"`
-	LoneSeen  float64       `json:"lone_seen"`
-	Rate      float64       `json:"rate"`
-	Done      float64       `json:"done"`
-	ColdSaved float64       `json:"cold_saved"`
-	Earned    float64       `json:"earned"`
+	Server          ServerID      `json:"server"`
+	Age             time.Duration `json:"age"` // of the process; 0: it started long ago
+	Open            bool          `json:"open"`
+	ReopenIn        time.Duration `json:"reopen_in"`
+	OpenFor         time.Duration `json:"open_for"`
+	Failures        int           `json:"failures"`
+	Successes       int           `json:"good"` // successes among the latest outcomes
+	Failed          int           `json:"bad"`
+	Latency         float64       `json:"latency"` // mean of the successes, as a multiple of the unloaded latency
+	Unloaded        float64       `json:"lone"`
+	UnloadedSamples float64       `json:"lone_seen"`
+	SentRate        float64       `json:"rate"`
+	ServedRate      float64       `json:"done"`
+	ColdSaved       float64       `json:"cold_saved"`
+	Earned          float64       `json:"earned"`
 }
 
 // KeyMemory names the server that served a key last.
@@ -75,21 +75,21 @@
 // startTolerance is how far two processes may disagree on a server's start, as lists give milliseconds.
 const startTolerance = 5 * time.Millisecond
 
-// Pass returns what was learned, for a successor, and gives up the budgets saved up for cold servers, so that both
+// HandOver returns what was learned, for a successor, and gives up the budgets saved up for cold servers, so that both
 // processes together spend them only once.
-func (b *Balancer) Pass(now time.Duration) Memory {
-	m := b.Learnt(now)
+func (b *Balancer) HandOver(now time.Duration) Memory {
+	m := b.Learned(now)
 	for _, s := range b.ready {
 		s.coldSaved, s.earned = min(s.coldSaved, 0), 0
 	}
 	return m
 }
 
-// Learnt returns what was learned and changes nothing.
-func (b *Balancer) Learnt(now time.Duration) Memory {
+// Learned returns what was learned and changes nothing.
+func (b *Balancer) Learned(now time.Duration) Memory {
 	m := Memory{
-		Limit: b.limit, LimitKnown: b.goodLimit, CongestedBefore: b.congestedBefore, Congestion: b.congestion, LoneSeen: b.unloadedSamples, Typical: b.typicalLatency,
-		MeanSuccess: b.meanSuccess, MeanLatency: b.meanLatency, Pressure: b.pressure, Admitted: b.admitted, Demand: b.demand.perSecond(now), Bore: b.peakServedRate,
+		Limit: b.limit, GoodLimit: b.goodLimit, CongestedBefore: b.congestedBefore, Congestion: b.congestion, UnloadedSamples: b.unloadedSamples, TypicalLatency: b.typicalLatency,
+		MeanSuccess: b.meanSuccess, MeanLatency: b.meanLatency, Pressure: b.pressure, Admitted: b.admitted, Demand: b.demand.perSecond(now), PeakServedRate: b.peakServedRate,
 	}
 	for i := range b.classes {
 		c := &b.classes[i]
@@ -101,8 +101,8 @@
 	slices.SortFunc(m.Kinds, func(x, y KindMemory) int { return cmp.Compare(x.Kind, y.Kind) })
 	for _, s := range b.ready {
 		sm := ServerMemory{
-			Server: s.Server, OpenFor: s.openFor, Failures: len(s.failures), Good: s.successes, Bad: s.judged - s.successes,
-			Lone: s.unloaded, LoneSeen: s.unloadedSamples, Rate: s.sentRate.perSecond(now), Done: s.servedRate.perSecond(now), ColdSaved: s.coldSaved, Earned: s.earned,
+			Server: s.Server, OpenFor: s.openFor, Failures: len(s.failures), Successes: s.successes, Failed: s.judged - s.successes,
+			Unloaded: s.unloaded, UnloadedSamples: s.unloadedSamples, SentRate: s.sentRate.perSecond(now), ServedRate: s.servedRate.perSecond(now), ColdSaved: s.coldSaved, Earned: s.earned,
 		}
 		if s.Started > 0 {
 			sm.Age = max(1, now-s.Started)
@@ -124,24 +124,24 @@
 	return m
 }
 
-// Recall takes over what another Balancer has learned. If a value is invalid, nothing is taken over and the error names
+// Restore takes over what another Balancer has learned. If a value is invalid, nothing is taken over and the error names
 // it. Servers that are not listed or have restarted since are skipped.
-func (b *Balancer) Recall(now time.Duration, m Memory) error {
+func (b *Balancer) Restore(now time.Duration, m Memory) error {
 	if err := m.check(len(b.classes)); err != nil {
 		return fmt.Errorf("policy: memory: %w", err)
 	}
 	b.markRestored(now, m)
-	b.limit, b.goodLimit, b.congestedBefore, b.congestion, b.unloadedSamples = m.Limit, m.LimitKnown, m.CongestedBefore, m.Congestion, m.LoneSeen
-	b.typicalLatency, b.meanSuccess, b.meanLatency = m.Typical, m.MeanSuccess, m.MeanLatency
+	b.limit, b.goodLimit, b.congestedBefore, b.congestion, b.unloadedSamples = m.Limit, m.GoodLimit, m.CongestedBefore, m.Congestion, m.UnloadedSamples
+	b.typicalLatency, b.meanSuccess, b.meanLatency = m.TypicalLatency, m.MeanSuccess, m.MeanLatency
 	b.pressure, b.admitted, b.pressureAt, b.adjustedAt = m.Pressure, m.Admitted, now, now
-	b.demand, b.peakServedRate = meter{now, m.Demand}, m.Bore
+	b.demand, b.peakServedRate = meter{now, m.Demand}, m.PeakServedRate
 	for i, c := range m.Classes {
 		o := &b.classes[i]
-		o.unloaded, o.baseline, o.unloadedSamples, o.work, o.samples, o.meanHint, o.hintSamples = c.Lone, c.Yardstick, c.LoneSeen, c.Work, c.Seen, c.Hint, c.Hinted
+		o.unloaded, o.baseline, o.unloadedSamples, o.work, o.samples, o.meanHint, o.hintSamples = c.Unloaded, c.Baseline, c.UnloadedSamples, c.Work, c.Samples, c.MeanHint, c.HintSamples
 	}
 	for _, k := range m.Kinds {
 		if o := b.kinds[k.Kind]; o != nil {
-			*o = machineKind{k.Latency, k.Seen, math.Exp(-k.Latency)}
+			*o = machineKind{k.Latency, k.Samples, math.Exp(-k.Latency)}
 		}
 	}
 	for _, sm := range m.Servers {
@@ -167,14 +167,14 @@
 }
 
 func (s *server) restore(now time.Duration, m ServerMemory) {
-	s.unloaded, s.unloadedSamples, s.sentRate, s.servedRate = m.Lone, m.LoneSeen, meter{now, m.Rate}, meter{now, m.Done}
-	if s.earned = m.Earned; !s.Doubted { // otherwise it is saved up from a random start, so that nodes that restart together are not in step
+	s.unloaded, s.unloadedSamples, s.sentRate, s.servedRate = m.Unloaded, m.UnloadedSamples, meter{now, m.SentRate}, meter{now, m.ServedRate}
+	if s.earned = m.Earned; !s.Unconfirmed { // otherwise it is saved up from a random start, so that nodes that restart together are not in step
 		s.coldSaved, s.coldAt = m.ColdSaved, now
 	}
-	for range m.Bad {
+	for range m.Failed {
 		s.record(now, false, 0)
 	}
-	for range m.Good {
+	for range m.Successes {
 		s.record(now, true, m.Latency)
 	}
 	for range m.Failures {
@@ -197,22 +197,22 @@
 	}
 	lowest := -math.MaxFloat64
 	errs := []error{
-		require("limit", math.SmallestNonzeroFloat64, m.Limit), require("limit_known", 0, m.LimitKnown), require("crowding", lowest, m.Congestion),
-		require("typical", math.SmallestNonzeroFloat64, m.Typical), require("mean_success", 0, m.MeanSuccess), require("mean_latency", 0, m.MeanLatency),
-		require("pressure", 0, m.Pressure), require("admitted", minAdmitted, m.Admitted), require("demand", 0, m.Demand, m.Bore),
+		require("limit", math.SmallestNonzeroFloat64, m.Limit), require("limit_known", 0, m.GoodLimit), require("crowding", lowest, m.Congestion),
+		require("typical", math.SmallestNonzeroFloat64, m.TypicalLatency), require("mean_success", 0, m.MeanSuccess), require("mean_latency", 0, m.MeanLatency),
+		require("pressure", 0, m.Pressure), require("admitted", minAdmitted, m.Admitted), require("demand", 0, m.Demand, m.PeakServedRate),
 	}
 	if len(m.Classes) != classes {
 		errs = append(errs, fmt.Errorf("classes: got %d, want %d", len(m.Classes), classes))
 	}
 	for _, c := range m.Classes {
-		errs = append(errs, require("classes", 0, c.Yardstick, c.LoneSeen, c.Seen, c.Hint, c.Hinted), require("classes", math.SmallestNonzeroFloat64, c.Lone, c.Work))
+		errs = append(errs, require("classes", 0, c.Baseline, c.UnloadedSamples, c.Samples, c.MeanHint, c.HintSamples), require("classes", math.SmallestNonzeroFloat64, c.Unloaded, c.Work))
 	}
 	for _, k := range m.Kinds {
-		errs = append(errs, require("kinds", lowest, k.Latency), require("kinds", 0, k.Seen))
+		errs = append(errs, require("kinds", lowest, k.Latency), require("kinds", 0, k.Samples))
 	}
 	for _, s := range m.Servers {
-		errs = append(errs, require("servers", 0, s.Latency, s.LoneSeen, s.Rate, s.Done, s.Earned), require("servers", lowest, s.Lone, s.ColdSaved))
-		if s.Good < 0 || s.Bad < 0 || s.Good+s.Bad > maxOutcomes || s.Failures < 0 || s.Failures > maxOutcomes || s.OpenFor < 0 || s.ReopenIn < 0 || s.Age < 0 {
+		errs = append(errs, require("servers", 0, s.Latency, s.UnloadedSamples, s.SentRate, s.ServedRate, s.Earned), require("servers", lowest, s.Unloaded, s.ColdSaved))
+		if s.Successes < 0 || s.Failed < 0 || s.Successes+s.Failed > maxOutcomes || s.Failures < 0 || s.Failures > maxOutcomes || s.OpenFor < 0 || s.ReopenIn < 0 || s.Age < 0 {
 			errs = append(errs, fmt.Errorf("servers: invalid entry %+v", s))
 		}
 	}
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -30,7 +30,7 @@
 	}
 	r.b.keys[77] = r.b.servers[3]
 	saved := r.b.servers[4].coldSaved
-	text, err := json.Marshal(r.b.Pass(r.now))
+	text, err := json.Marshal(r.b.HandOver(r.now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,8 +50,8 @@
 	now := 5 * time.Hour
 	list := ready(1, 5) // server 6 has gone
 	list[3].Started, list[4].Started = now-m.Servers[3].Age, now-time.Second
-	b.Members(now, ListFull, list)
-	if err := b.Recall(now, m); err != nil {
+	b.UpdateServers(now, ListFull, list)
+	if err := b.Restore(now, m); err != nil {
 		t.Fatal(err)
 	}
 	if s := b.servers[4]; s.coldSaved != saved {
@@ -63,12 +63,12 @@
 	if b.keys[77] != b.servers[3] {
 		t.Error("the server of a key is not known")
 	}
-	again := b.Pass(now)
-	if again.Limit != m.Limit || again.LoneSeen != m.LoneSeen || !reflect.DeepEqual(again.Classes, m.Classes) || !reflect.DeepEqual(again.Kinds, m.Kinds) {
+	again := b.HandOver(now)
+	if again.Limit != m.Limit || again.UnloadedSamples != m.UnloadedSamples || !reflect.DeepEqual(again.Classes, m.Classes) || !reflect.DeepEqual(again.Kinds, m.Kinds) {
 		t.Errorf("%+v, want %+v", again, m)
 	}
 	for i := range 4 {
-		if x, y := again.Servers[i], m.Servers[i]; x.Good != y.Good || x.Bad != y.Bad || x.Rate != y.Rate || x.Done != y.Done || x.Open != y.Open || math.Abs(x.Latency-y.Latency) > 1e-9 {
+		if x, y := again.Servers[i], m.Servers[i]; x.Successes != y.Successes || x.Failed != y.Failed || x.SentRate != y.SentRate || x.ServedRate != y.ServedRate || x.Open != y.Open || math.Abs(x.Latency-y.Latency) > 1e-9 {
 			t.Errorf("server %d: %+v, want %+v", i, x, y)
 		}
 	}
@@ -77,23 +77,23 @@
 // Invalid memory is rejected as a whole.
 func TestInvalidMemory(t *testing.T) {
 	for name, spoil := range map[string]func(*Memory){
-		"limit": func(m *Memory) { m.Limit = 0 }, "typical": func(m *Memory) { m.Typical = math.NaN() },
+		"limit": func(m *Memory) { m.Limit = 0 }, "typical": func(m *Memory) { m.TypicalLatency = math.NaN() },
 		"crowding": func(m *Memory) { m.Congestion = math.Inf(1) }, "admitted": func(m *Memory) { m.Admitted = 0 },
-		"classes": func(m *Memory) { m.Classes = m.Classes[:1] }, "classes is": func(m *Memory) { m.Classes[0].Lone = -1 },
-		"kinds": func(m *Memory) { m.Kinds[0].Latency = math.NaN() }, "servers": func(m *Memory) { m.Servers[0].Good = maxOutcomes + 1 },
-		"servers is": func(m *Memory) { m.Servers[0].Rate = -1 }, "keys": func(m *Memory) { m.Keys = make([]KeyMemory, 5000) },
+		"classes": func(m *Memory) { m.Classes = m.Classes[:1] }, "classes is": func(m *Memory) { m.Classes[0].Unloaded = -1 },
+		"kinds": func(m *Memory) { m.Kinds[0].Latency = math.NaN() }, "servers": func(m *Memory) { m.Servers[0].Successes = maxOutcomes + 1 },
+		"servers is": func(m *Memory) { m.Servers[0].SentRate = -1 }, "keys": func(m *Memory) { m.Keys = make([]KeyMemory, 5000) },
 		"servers: ": func(m *Memory) { m.Servers[0].Failures = 1 << 40 },
 	} {
 		r := newRig(t, testSettings(), 3)
 		r.serve(50, 0, 20*ms)
-		m := r.b.Pass(r.now)
-		m.LoneSeen += 1000
-		before := r.b.Pass(r.now)
+		m := r.b.HandOver(r.now)
+		m.UnloadedSamples += 1000
+		before := r.b.HandOver(r.now)
 		spoil(&m)
-		if err := r.b.Recall(r.now, m); err == nil || !strings.Contains(err.Error(), name) {
+		if err := r.b.Restore(r.now, m); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if after := r.b.Pass(r.now); !reflect.DeepEqual(after, before) {
+		if after := r.b.HandOver(r.now); !reflect.DeepEqual(after, before) {
 			t.Errorf("%s: partly taken over", name)
 		}
 	}
--- a/policy/parked_test.go
+++ b/policy/parked_test.go
@@ -9,7 +9,7 @@
 func TestGrain(t *testing.T) {
 	for _, grain := range []time.Duration{0, 100 * ms} {
 		s := testSettings()
-		s.Classes[0].Grain = grain
+		s.Classes[0].LatencyFloor = grain
 		r := newRig(t, s, 1)
 		for n := range 200 {
 			id := r.request(0)
@@ -36,13 +36,13 @@
 	if len(r.h.sends) != 1 {
 		t.Fatalf("%d sends to a server with room for one", len(r.h.sends))
 	}
-	r.b.Taken(r.now, first, 0)
+	r.b.Accepted(r.now, first, 0)
 	if len(r.h.sends) != 2 || server().InFlight != 1 {
 		t.Errorf("%d sends once the first is accepted, %d in flight", len(r.h.sends), server().InFlight)
 	}
 	r.now += 100 * ms
 	for range 2 {
-		r.b.Started(r.now, first, 0)
+		r.b.StreamStarted(r.now, first, 0)
 	}
 	if v := server(); v.Judged != 1 || v.Success != 1 {
 		t.Errorf("once started it is judged %d times, success %v", v.Judged, v.Success)
@@ -51,13 +51,13 @@
 	if v := server(); v.Judged != 1 || r.b.meanLatency > 2 {
 		t.Errorf("once answered it is judged %d times, mean latency %v", v.Judged, r.b.meanLatency)
 	}
-	r.b.Started(r.now, second, 0)
+	r.b.StreamStarted(r.now, second, 0)
 	r.now += 30 * time.Second
 	r.b.Outcome(r.now, Outcome{ID: second, Server: 1, Status: Timeout, Latency: 30 * time.Second})
 	if good := r.b.servers[1].successes; good != 2 || r.b.servers[1].judged != 3 || !r.h.failed[second] {
 		t.Errorf("after a timeout once started: %d good of %d, failed %v", good, r.b.servers[1].judged, r.h.failed)
 	}
-	if v := r.b.Inspect(r.now); v.Open != 0 || v.Out != 0 || v.Servers[0].InFlight != 0 {
+	if v := r.b.Inspect(r.now); v.Open != 0 || v.InFlight != 0 || v.Servers[0].InFlight != 0 {
 		t.Errorf("not cleaned up: %+v", v)
 	}
 }
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -121,7 +121,7 @@
 	send := func(hint time.Duration) ServerID {
 		r.now += ms
 		r.next++
-		r.b.Request(r.now, Request{ID: r.next, Left: 2 * time.Second, Hint: hint})
+		r.b.Request(r.now, Request{ID: r.next, TimeLeft: 2 * time.Second, Hint: hint})
 		s := r.sendsOf(r.next)[0]
 		if s == 3 {
 			r.end(r.next, OK, hint)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -66,18 +66,18 @@
 
 // ---- server list
 
-// Members applies a server list event. A list that has to be watched is watched from the start, and again
+// UpdateServers applies a server list event. A list that has to be watched is watched from the start, and again
 // after each failure, with growing delays.
-func (b *Balancer) Members(now time.Duration, kind ListKind, entries []Entry) {
+func (b *Balancer) UpdateServers(now time.Duration, kind ListKind, entries []Entry) {
 	if kind == ListFailed {
 		delay := b.jitter(b.watchDelay)
 		b.host.SetTimer(now+delay+b.randomDelay(min(b.watchSpread, maxWatchDelay-delay)), tokenWatch)
-		b.watchDelay = min(2*b.watchDelay, b.set.Rules.MustAsk/4+watchRetryDelay, maxWatchDelay/3)
-		b.watchSpread = min(2*b.watchSpread, b.set.Rules.MustAsk)
+		b.watchDelay = min(2*b.watchDelay, b.set.Rules.MaxCallInterval/4+watchRetryDelay, maxWatchDelay/3)
+		b.watchSpread = min(2*b.watchSpread, b.set.Rules.MaxCallInterval)
 		return
 	}
 	b.watchDelay, b.watchSpread = watchRetryDelay, b.callSpread()
-	if kind == ListCached && b.set.ListAsked {
+	if kind == ListCached && b.set.ListWatched {
 		if b.watchSpread > 0 {
 			b.host.SetTimer(now+b.randomDelay(b.watchSpread), tokenWatch)
 		} else {
@@ -96,7 +96,7 @@
 // callSpread is the time over which the nodes spread their calls for the list. One service answers the calls
 // one by one: if all nodes called at once, every caller would have timed out by the time it got to it.
 func (b *Balancer) callSpread() time.Duration {
-	return min(time.Duration(b.set.Nodes-1)*watchSpacing, b.set.Rules.MustAsk/2)
+	return min(time.Duration(b.set.Nodes-1)*watchSpacing, b.set.Rules.MaxCallInterval/2)
 }
 
 // randomDelay is this node's random time within a spread.
@@ -108,7 +108,7 @@
 func (b *Balancer) coldShare(s *server, now time.Duration) float64 {
 	start := s.lastStart()
 	age := max(0, now-start)
-	if s.Doubted && b.set.Rules.ColdFor > 0 {
+	if s.Unconfirmed && b.set.Rules.ColdFor > 0 {
 		return b.set.Rules.ColdFrom // it may restart at any time: only what it serves raises its budget
 	}
 	if start <= 0 || age >= b.set.Rules.ColdFor {
@@ -383,7 +383,7 @@
 	}
 	c := &b.classes[q.Class]
 	r := b.newRequest(q, c)
-	b.startClock(now, r, q.Left)
+	b.startClock(now, r, q.TimeLeft)
 	r.worth = c.Worth
 	overQuota := q.Tenant >= 0 && q.Tenant < len(b.tenants) && !b.tenants[q.Tenant].take(now)
 	if overQuota {
@@ -485,7 +485,7 @@
 		return
 	}
 	b.endAttempt(r, a)
-	a.neverRan = o.Status == Full || o.Status == ConnectFailed || o.Status == Moot
+	a.neverRan = o.Status == Full || o.Status == ConnectFailed || o.Status == NotSent
 	o = r.class.withLatencyFloor(o)
 	if !r.streaming { // otherwise its time was recorded when it started
 		b.recordAnswerTime(now, a, o)
@@ -598,7 +598,7 @@
 	for i := len(b.unfinished) - 1; i >= 0; i-- { // finish moves the last one here, which was already checked
 		r := b.unfinished[i]
 		switch {
-		case r.streaming, r.Coming && r.inFlight > 0: // no answer is due yet
+		case r.streaming, r.Uploading && r.inFlight > 0: // no answer is due yet
 		case r.inFlight > 0:
 			b.checkOverdue(now, r)
 		case now >= r.deadline:
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -80,7 +80,7 @@
 	s.Classes = []Class{class, keyed, unsafe}
 	s.Limits = Limits{MaxAttempts: 4, SecondCopies: true, Cancel: true, MaxRetryAfter: time.Second}
 	s.Rules = Rules{ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallFor: time.Second,
-		MustAsk: 10 * time.Second}
+		MaxCallInterval: 10 * time.Second}
 	return s
 }
 
@@ -115,11 +115,11 @@
 	return entries
 }
 
-func (r *rig) list(kind ListKind, entries ...Entry) { r.b.Members(r.now, kind, entries) }
+func (r *rig) list(kind ListKind, entries ...Entry) { r.b.UpdateServers(r.now, kind, entries) }
 
 func (r *rig) request(class int) RequestID {
 	r.next++
-	r.b.Request(r.now, Request{ID: r.next, Class: class, Left: 2 * time.Second})
+	r.b.Request(r.now, Request{ID: r.next, Class: class, TimeLeft: 2 * time.Second})
 	return r.next
 }
 
@@ -278,11 +278,11 @@
 		want   string
 	}{
 		{0, Error, retried}, {0, Full, retried}, {0, Timeout, retried}, {0, ConnectFailed, retried},
-		{0, Reset, retried}, {0, Moot, retried},
+		{0, Reset, retried}, {0, NotSent, retried},
 		{1, Error, retried}, {1, Full, retried}, {1, Timeout, retried}, {1, ConnectFailed, retried},
-		{1, Reset, retried}, {1, Moot, retried},
+		{1, Reset, retried}, {1, NotSent, retried},
 		{2, Error, failed}, {2, Full, retried}, {2, Timeout, failed}, {2, ConnectFailed, retried},
-		{2, Reset, failed}, {2, Moot, retried},
+		{2, Reset, failed}, {2, NotSent, retried},
 	} {
 		t.Run(fmt.Sprintf("class %d status %d", tc.class, tc.status), func(t *testing.T) {
 			set := testSettings()
@@ -382,14 +382,14 @@
 
 func TestWatchedListIsWatchedAgainAfterFailures(t *testing.T) {
 	set := testSettings()
-	set.ListAsked = true
+	set.ListWatched = true
 	r := newRig(t, set, 3)
 	if r.h.watches != 1 {
 		t.Fatalf("%d calls at the start, want 1", r.h.watches)
 	}
 	r.list(ListFailed)
 	r.list(ListFailed)
-	r.advance(set.Rules.MustAsk / 2)
+	r.advance(set.Rules.MaxCallInterval / 2)
 	if r.h.watches < 2 {
 		t.Fatal("no new call after a failure")
 	}
@@ -404,7 +404,7 @@
 	for _, nodes := range []int{1, 30, 300} {
 		for _, ask := range []time.Duration{4600 * ms, 13 * time.Second} {
 			set := testSettings()
-			set.ListAsked, set.Nodes, set.Rules.MustAsk = true, nodes, ask
+			set.ListWatched, set.Nodes, set.Rules.MaxCallInterval = true, nodes, ask
 			r := newRig(t, set, 3)
 			for n := range 20 {
 				before := r.h.watches
@@ -439,7 +439,7 @@
 			burst := func() { // limited by maySend alone
 				for range 1000 {
 					r.next++
-					q := r.b.newRequest(Request{ID: r.next, Left: time.Second}, &r.b.classes[0])
+					q := r.b.newRequest(Request{ID: r.next, TimeLeft: time.Second}, &r.b.classes[0])
 					q.deadline = r.now + time.Second
 					if !r.b.maySend(r.now, q, s) {
 						break
@@ -505,7 +505,7 @@
 // Guards against maySend allowing a send to a server that is not ready.
 func TestMaySendRejectsServersThatAreNotReady(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	q := r.b.newRequest(Request{ID: 9, Left: time.Second}, &r.b.classes[0])
+	q := r.b.newRequest(Request{ID: 9, TimeLeft: time.Second}, &r.b.classes[0])
 	q.deadline = r.now + time.Second
 	s := r.b.ready[0]
 	if !r.b.maySend(r.now, q, s) {
@@ -619,7 +619,7 @@
 	r := newRig(t, set, 1)
 	ask := func(tenant int) RequestID {
 		r.next++
-		r.b.Request(r.now, Request{ID: r.next, Tenant: tenant, Left: 2 * time.Second})
+		r.b.Request(r.now, Request{ID: r.next, Tenant: tenant, TimeLeft: 2 * time.Second})
 		return r.next
 	}
 	first := ask(0)
@@ -687,14 +687,14 @@
 	r.b.Outcome(r.now, Outcome{ID: id, Attempt: 0, Status: OK})
 	r.b.Outcome(r.now, Outcome{ID: 999, Attempt: 3, Status: Error})
 	r.b.Outcome(r.now, Outcome{ID: id, Attempt: -1, Status: Error})
-	r.b.Left(r.now, id)
-	r.b.Started(r.now, id, 0)
+	r.b.ClientGone(r.now, id)
+	r.b.StreamStarted(r.now, id, 0)
 	r.b.Timer(r.now, 77)
 	r.list(ListDelta, Entry{Server: 55, State: Gone})
 	if len(r.h.log) != before {
 		t.Fatalf("stale events led to %v", r.h.log[before:])
 	}
-	r.b.Request(r.now, Request{ID: 1000, Class: 9, Left: time.Second})
+	r.b.Request(r.now, Request{ID: 1000, Class: 9, TimeLeft: time.Second})
 	if _, ok := r.h.refused[1000]; !ok {
 		t.Fatal("a request of an unknown class got no answer")
 	}
@@ -705,7 +705,7 @@
 	set.Classes[0].Stream = true
 	r := newRig(t, set, 4)
 	id := r.request(0)
-	r.b.Started(r.now, id, 0)
+	r.b.StreamStarted(r.now, id, 0)
 	r.advance(10 * time.Second) // long after the deadline
 	if len(r.sendsOf(id)) != 1 || r.h.failed[id] || r.h.cancels > 0 {
 		t.Fatalf("a running stream was affected: %v", r.h.log)
@@ -742,7 +742,7 @@
 		{"Rules.ColdFor", func(s *Settings) { s.Rules.ColdFor = -1 }},
 		{"Rules.FallMultiple", func(s *Settings) { s.Rules.FallMultiple = nan }},
 		{"Rules.FallFor", func(s *Settings) { s.Rules.FallFor = -1 }},
-		{"Rules.MustAsk", func(s *Settings) { s.Rules.MustAsk = -1 }},
+		{"Rules.MustAsk", func(s *Settings) { s.Rules.MaxCallInterval = -1 }},
 	} {
 		set := testSettings()
 		tc.change(&set)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -19,7 +19,7 @@
 		Rules: Rules{
 			ColdFrom: 0.1, ColdFor: 30 * time.Second,
 			FallMultiple: 2, FallFor: time.Second,
-			MustAsk: 10 * time.Second,
+			MaxCallInterval: 10 * time.Second,
 		},
 	}
 }
@@ -95,8 +95,8 @@
 		return invalid("Rules.FallMultiple", s.Rules.FallMultiple)
 	case s.Rules.FallFor < 0:
 		return invalid("Rules.FallFor", s.Rules.FallFor)
-	case s.Rules.MustAsk < 0:
-		return invalid("Rules.MustAsk", s.Rules.MustAsk)
+	case s.Rules.MaxCallInterval < 0:
+		return invalid("Rules.MustAsk", s.Rules.MaxCallInterval)
 	}
 	for i, c := range s.Classes {
 		field := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
@@ -115,8 +115,8 @@
 			return invalid(field("Effect"), c.Effect)
 		case c.Scope > ScopeCell:
 			return invalid(field("Scope"), c.Scope)
-		case c.Grain < 0:
-			return invalid(field("Grain"), c.Grain)
+		case c.LatencyFloor < 0:
+			return invalid(field("Grain"), c.LatencyFloor)
 		case c.Window < 0:
 			return invalid(field("Window"), c.Window)
 		}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -15,19 +15,19 @@
 
 // View is a Balancer's state for monitoring.
 type View struct {
-	Servers []ServerView // ready ones, in the order of the list
-	Open    int          // requests without a final answer
-	Held    int          // those of them that are queued for a server
-	Out     int          // attempts in flight
+	Servers  []ServerView // ready ones, in the order of the list
+	Open     int          // requests without a final answer
+	Queued   int          // those of them that are queued for a server
+	InFlight int          // attempts in flight
 }
 
 // Inspect returns a copy of the state. It has no side effects, so no later decision
 // depends on whether it was called. It allocates a few words per ready server.
 func (b *Balancer) Inspect(now time.Duration) View {
-	v := View{Servers: make([]ServerView, 0, len(b.ready)), Open: len(b.unfinished), Out: b.inFlight}
+	v := View{Servers: make([]ServerView, 0, len(b.ready)), Open: len(b.unfinished), InFlight: b.inFlight}
 	for _, r := range b.queue {
 		if !r.done {
-			v.Held++
+			v.Queued++
 		}
 	}
 	for _, s := range b.ready {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -50,10 +50,10 @@
 	for n := range 5 {
 		entries = append(entries, Entry{Server: ServerID(n + 1), State: Ready, Weight: 1})
 	}
-	b.Members(now, ListFull, entries)
+	b.UpdateServers(now, ListFull, entries)
 	for id := range 400 {
 		now += time.Duration(rng.IntN(10)) * time.Millisecond
-		b.Request(now, Request{ID: RequestID(id + 1), Left: time.Second})
+		b.Request(now, Request{ID: RequestID(id + 1), TimeLeft: time.Second})
 		if inspect {
 			b.Inspect(now)
 		}
@@ -96,7 +96,7 @@
 				}
 			}
 		}
-		if len(view.Servers) != 5 || open != 1 || view.Out == 0 {
+		if len(view.Servers) != 5 || open != 1 || view.InFlight == 0 {
 			t.Errorf("seed %d: %+v", seed, view)
 		}
 	}
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -163,7 +163,7 @@
 		if i%15 == 14 {
 			r.advance(time.Second)
 			r.end(id, Timeout, 1200*ms)
-			r.b.Left(r.now, id)
+			r.b.ClientGone(r.now, id)
 		} else {
 			r.end(id, OK, 200*ms)
 		}
@@ -420,7 +420,7 @@
 	jammed := map[ServerID]bool{}
 	for i := range 12 {
 		r.next++
-		r.b.Request(r.now, Request{ID: r.next, Left: 2 * time.Second, Key: 7})
+		r.b.Request(r.now, Request{ID: r.next, TimeLeft: 2 * time.Second, Key: 7})
 		s := r.sendsOf(r.next)[0]
 		if jammed[s] {
 			t.Fatalf("request %d goes back to server %d", i, s)
--- a/policy/state.go
+++ b/policy/state.go
@@ -319,7 +319,7 @@
 	for _, s := range b.ready {
 		if s.acceptsWork() {
 			kept = append(kept, s)
-			if s.Doubted {
+			if s.Unconfirmed {
 				b.unconfirmed++
 			}
 			b.weight += s.Weight
@@ -434,7 +434,7 @@
 // withLatencyFloor raises an outcome's latency to the class's floor: differences below it must not rank
 // servers or make them count as congested or silent.
 func (c *class) withLatencyFloor(o Outcome) Outcome {
-	o.Latency = max(o.Latency, c.Grain)
+	o.Latency = max(o.Latency, c.LatencyFloor)
 	return o
 }
 
@@ -607,8 +607,8 @@
 	b.closeRequest(r)
 }
 
-// Left reports that the client has gone: it is owed no answer any more.
-func (b *Balancer) Left(now time.Duration, id RequestID) {
+// ClientGone reports that the client has gone: it is owed no answer any more.
+func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
 		b.finish(r)
 	}
@@ -623,23 +623,23 @@
 	}
 }
 
-// Taken reports that the server has accepted a request of a parked class and works on it: from then on the
+// Accepted reports that the server has accepted a request of a parked class and works on it: from then on the
 // request adds no load. A missing answer still counts as a failure.
-func (b *Balancer) Taken(now time.Duration, id RequestID, index int) {
+func (b *Balancer) Accepted(now time.Duration, id RequestID, index int) {
 	if r, a := b.findAttempt(id, index); r != nil && r.class.Parked {
 		b.releaseLoad(a)
 		b.dispatch(now)
 	}
 }
 
-// Sent reports that the last byte of a request that was still arriving has been sent: from now on its own time
+// RequestSent reports that the last byte of a request that was still arriving has been sent: from now on its own time
 // and its server's latency count.
-func (b *Balancer) Sent(now time.Duration, id RequestID, index int, left time.Duration) {
+func (b *Balancer) RequestSent(now time.Duration, id RequestID, index int, left time.Duration) {
 	r, a := b.findAttempt(id, index)
-	if r == nil || !r.Coming {
+	if r == nil || !r.Uploading {
 		return
 	}
-	r.Coming, a.sentAt = false, now
+	r.Uploading, a.sentAt = false, now
 	b.startClock(now, r, left)
 }
 
@@ -649,25 +649,25 @@
 	r.usefulUntil = min(r.deadline, now+r.class.Aim+time.Duration(r.class.AimStretch*float64(r.Hint)))
 }
 
-// Shorten reports that a request has to be answered sooner than first said: within left from now on.
-func (b *Balancer) Shorten(now time.Duration, id RequestID, left time.Duration) {
+// ShortenDeadline reports that a request has to be answered sooner than first said: within left from now on.
+func (b *Balancer) ShortenDeadline(now time.Duration, id RequestID, left time.Duration) {
 	if r := b.requests[id]; r != nil {
 		r.deadline = min(r.deadline, now+left)
 		r.usefulUntil = min(r.usefulUntil, r.deadline)
 	}
 }
 
-// Last reports that no further attempt of a request is possible, as its body is no longer available.
-func (b *Balancer) Last(id RequestID) {
+// DisallowRetry reports that no further attempt of a request is possible, as its body is no longer available.
+func (b *Balancer) DisallowRetry(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.noRetry = true
 	}
 }
 
-// Started reports that the stream of the answer has begun: the attempt now belongs to the client. A server of
+// StreamStarted reports that the stream of the answer has begun: the attempt now belongs to the client. A server of
 // a parked class has done its work by then and is judged by the time it took; for other classes only
 // a failure still counts.
-func (b *Balancer) Started(now time.Duration, id RequestID, index int) {
+func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
 	r, a := b.findAttempt(id, index)
 	if r == nil || r.streaming {
 		return
--- a/policy/upload_test.go
+++ b/policy/upload_test.go
@@ -15,7 +15,7 @@
 	r.serve(100, 0, 10*ms)
 	r.next++
 	id := r.next
-	r.b.Request(r.now, Request{ID: id, Class: 0, Left: 2 * time.Second, Coming: true})
+	r.b.Request(r.now, Request{ID: id, Class: 0, TimeLeft: 2 * time.Second, Uploading: true})
 	to := r.sendsOf(id)
 	if len(to) != 1 {
 		t.Fatalf("sent %d times", len(to))
@@ -24,7 +24,7 @@
 	if n := len(r.sendsOf(id)); n != 1 || r.h.failed[id] || r.b.servers[to[0]].breaker != closed || len(r.b.servers[to[0]].failures) != 0 {
 		t.Fatalf("after 30 s of upload: %d sends, failed %v", n, r.h.failed[id])
 	}
-	r.b.Sent(r.now, id, 0, 2*time.Second)
+	r.b.RequestSent(r.now, id, 0, 2*time.Second)
 	r.advance(20 * ms)
 	r.end(id, OK, 20*ms)
 	if s := r.b.servers[to[0]]; s.latency > 3 {
@@ -33,9 +33,9 @@
 	// A server that does not answer after Sent is overdue.
 	r.next++
 	id = r.next
-	r.b.Request(r.now, Request{ID: id, Class: 0, Left: 2 * time.Second, Coming: true})
+	r.b.Request(r.now, Request{ID: id, Class: 0, TimeLeft: 2 * time.Second, Uploading: true})
 	r.advance(5 * time.Second)
-	r.b.Sent(r.now, id, 0, 2*time.Second)
+	r.b.RequestSent(r.now, id, 0, 2*time.Second)
 	r.advance(3 * time.Second)
 	if len(r.sendsOf(id)) < 2 {
 		t.Error("no copy of an overdue request after it was sent")
@@ -54,8 +54,8 @@
 	}{{0, ConnectFailed, true}, {2, ConnectFailed, true}, {2, Reset, false}, {0, Reset, true}} {
 		r.next++
 		id := r.next
-		r.b.Request(r.now, Request{ID: id, Class: c.class, Left: 2 * time.Second, Coming: true})
-		r.b.Last(id)
+		r.b.Request(r.now, Request{ID: id, Class: c.class, TimeLeft: 2 * time.Second, Uploading: true})
+		r.b.DisallowRetry(id)
 		r.end(id, c.status, 10*ms)
 		r.advance(5 * time.Second)
 		if _, refused := r.h.refused[id]; refused != c.refused || r.h.failed[id] == c.refused || len(r.sendsOf(id)) != 1 {
@@ -65,7 +65,7 @@
 	full := newRig(t, set, 1)
 	full.b.Cordon(full.now, 1)
 	full.next++
-	full.b.Request(full.now, Request{ID: full.next, Left: 2 * time.Second, Coming: true})
+	full.b.Request(full.now, Request{ID: full.next, TimeLeft: 2 * time.Second, Uploading: true})
 	if _, refused := full.h.refused[full.next]; !refused {
 		t.Error("without a server the request waits")
 	}
@@ -80,7 +80,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Share(time.Hour, part)
+		b.SetNodePart(time.Hour, part)
 		for i := range 5000 { // five seconds
 			if b.tenants[0].take(time.Hour + time.Duration(i)*ms) {
 				n++
