--- a/cmd/otterlab/comeback.go
+++ b/cmd/otterlab/comeback.go
@@ -14,7 +14,7 @@
 
 	"otterstep/internal/cli"
 	"otterstep/internal/sim"
-	"otterstep/internal/sim/returns"
+	"otterstep/internal/sim/fleetrestart"
 	"otterstep/internal/standin/lab"
 )
 
@@ -132,7 +132,7 @@
 
 // virtual plays returns of large fleets in virtual time.
 func virtual() *cobra.Command {
-	opt := returns.Options{}
+	opt := fleetrestart.Options{}
 	seeds, losses := 0, []string(nil)
 	c := &cobra.Command{
 		Use: "virtual", Short: "Play a fleet's return in virtual time, seed after seed; exit 1 if a drained instance was started", Args: cobra.NoArgs,
@@ -145,10 +145,10 @@
 			for _, opt.Loss = range losses {
 				for _, opt.Pace.Rate = range slices.Compact([]float64{0, rate}) {
 					var half, nine, all []time.Duration
-					sum := returns.Result{}
+					sum := fleetrestart.Result{}
 					for n := range seeds {
 						opt.Seed = uint64(n + 1)
-						r, err := returns.Simulate(opt)
+						r, err := fleetrestart.Simulate(opt)
 						if err != nil {
 							return &cli.Exit{Code: cli.Usage, Err: err}
 						}
@@ -175,7 +175,7 @@
 	f.IntVar(&opt.Instances, "instances", 300, "of all agents")
 	f.IntVar(&opt.Changes, "changes", 60, "operators' words before")
 	f.IntVar(&seeds, "seeds", 20, "how many")
-	f.StringSliceVar(&losses, "loss", returns.Losses, "what is lost")
+	f.StringSliceVar(&losses, "loss", fleetrestart.Losses, "what is lost")
 	f.Float64Var(&opt.Pace.Rate, "pace", 50, "starts a second of the paced case")
 	f.IntVar(&opt.Pace.Burst, "burst", 20, "starts at once of the paced case")
 	f.DurationVar(&opt.Within, "within", time.Second, "in which the agents start")
--- a/cmd/otterstep/serve.go
+++ b/cmd/otterstep/serve.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"otterstep/internal/core"
-	"otterstep/internal/listed"
+	"otterstep/internal/serverlist"
 	"otterstep/internal/tomlfile"
 	"otterstep/internal/web"
 )
@@ -51,7 +51,7 @@
 	if path == "" {
 		one := web.Config{Listen: listen}
 		for i, s := range servers {
-			one.Servers = append(one.Servers, listed.Server{Name: fmt.Sprint("s", i+1), Address: s})
+			one.Servers = append(one.Servers, serverlist.Server{Name: fmt.Sprint("s", i+1), Address: s})
 		}
 		file.Web = []web.Config{one}
 		f := tomlfile.Parse("command line", nil, &struct{}{})
--- a/internal/comeback/comeback.go
+++ b/internal/clientretry/clientretry.go
@@ -1,7 +1,7 @@
 // Package comeback models how clients retry: whether a client sends a request again after
 // a refusal or a failure, and after which delay. The simulator and the load generator share
 // it, so it does no I/O and reads no clock.
-package comeback
+package clientretry
 
 import (
 	"math/rand/v2"
--- a/internal/comeback/comeback_test.go
+++ b/internal/clientretry/clientretry_test.go
@@ -1,4 +1,4 @@
-package comeback
+package clientretry
 
 import (
 	"math/rand/v2"
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -9,13 +9,13 @@
 	"strings"
 	"testing"
 
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 // The experiments that are handed out hold what they say, in virtual time. The two with
 // the most events are left to .ci/run, which plays all of them without the race detector.
 func TestExperimentsHold(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) < 12 {
 		t.Fatalf("%d experiments, %v", len(files), err)
@@ -91,7 +91,7 @@
 // The bootstrap's intervals cover the true mean about as often as they say; for twenty
 // seeds of a skewed distribution somewhat less, as its authors have it.
 func TestIntervalsCover(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	const trials = 600
 	covered := 0
@@ -111,7 +111,7 @@
 
 // Paired runs: a setting against itself makes no difference, a slower server does.
 func TestCompare(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	x, err := Load("../../experiments/hang.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"otterstep/internal/comeback"
+	"otterstep/internal/clientretry"
 	"otterstep/internal/sim"
 	"otterstep/internal/tomlfile"
 	"otterstep/policy"
@@ -241,7 +241,7 @@
 	}
 	o.Load = sim.Load{
 		Rate: file.Load.Rate, Shares: o.Load.Shares, Tenants: number("load.tenants", &file.Load.Tenants, 1, 1_000_000), Skew: file.Load.Skew,
-		Keys: file.Load.Keys, Bursts: file.Load.Bursts, Behavior: comeback.Behavior{HonorRetryAfter: heed, RetryImmediately: share("load.rash", file.Load.Rash), MaxAttempts: number("load.tries", &file.Load.Tries, 1, 100)},
+		Keys: file.Load.Keys, Bursts: file.Load.Bursts, Behavior: clientretry.Behavior{HonorRetryAfter: heed, RetryImmediately: share("load.rash", file.Load.Rash), MaxAttempts: number("load.tries", &file.Load.Tries, 1, 100)},
 		Impatient: share("load.impatient", file.Load.Impatient), Patience: duration("load.patience", &file.Load.Patience, 200*time.Millisecond, 0),
 	}
 	if file.Load.Trace != "" {
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -10,13 +10,13 @@
 	"testing"
 
 	"otterstep/internal/experiment"
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 // A report is one file that refers to nothing outside it, with four readable plots a part
 // and each run's figures.
 func TestReport(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	var parts []Part
 	for _, name := range []string{"hang", "calm"} {
 		x, err := experiment.Load("../../../experiments/" + name + ".toml")
--- a/internal/experiment/search_test.go
+++ b/internal/experiment/search_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/ledger"
+	"otterstep/internal/rulecheck"
 	"otterstep/internal/sim"
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 func load(t testing.TB, name string) *Experiment {
@@ -27,20 +27,20 @@
 // file that it writes shows the same when it is read and played again, and another build
 // (here: one without the fault) is told apart.
 func TestHuntFindsAndShrinks(t *testing.T) {
-	racing.Skip(t)
-	for rule, plant := range map[ledger.Violation]sim.Defects{
-		ledger.PushedOver:   {}, // random choice does that: it sends cold servers as much as others
-		ledger.SecondAnswer: {DuplicateAnswers: true},
-		ledger.RanTwice:     {DuplicateUnsafe: true},
-		ledger.AfterDrain:   {IgnoreChanges: true},
-		ledger.NoAnswer:     {DropEvery: 400},
+	racedetector.Skip(t)
+	for rule, plant := range map[rulecheck.Violation]sim.Defects{
+		rulecheck.PushedOver:   {}, // random choice does that: it sends cold servers as much as others
+		rulecheck.SecondAnswer: {DuplicateAnswers: true},
+		rulecheck.RanTwice:     {DuplicateUnsafe: true},
+		rulecheck.AfterDrain:   {IgnoreChanges: true},
+		rulecheck.NoAnswer:     {DropEvery: 400},
 	} {
 		t.Run(string(rule), func(t *testing.T) {
 			t.Parallel()
 			x := load(t, "calm")
 			x.File.For.Duration, x.File.Load.Rate = 5*time.Second, 150
 			x.Options.Defects = plant
-			if rule == ledger.PushedOver {
+			if rule == rulecheck.PushedOver {
 				x.Options.Policy, x.File.Load.Rate = "random", 600
 			}
 			var said []string
@@ -108,7 +108,7 @@
 }
 
 func TestSweep(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	file := "../../experiments/hang.toml"
 	steps, err := Sweep(t.Context(), file, "fleet.parallel", []string{"4", "1"}, "ours", 1, 1, func() {})
 	if err != nil {
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"otterstep/internal/boottime"
-	"otterstep/internal/fleet/book"
+	"otterstep/internal/fleet/agentstate"
 	"otterstep/internal/fleet/council"
 	"otterstep/internal/fleet/instance"
 	"otterstep/internal/fleet/protocol"
@@ -77,7 +77,7 @@
 	recordCopy      *record.Log // second copy of the desired state, outside the state folder
 
 	mu             sync.RWMutex // guards the following fields; never held during I/O
-	book           *book.State
+	book           *agentstate.State
 	recovery       recoveryTracker
 	leases         map[string]time.Time // expiry times of the open commands' leases
 	operationEnded chan struct{}        // closed and replaced whenever an operation ends
@@ -118,7 +118,7 @@
 		a.unitNames = append(a.unitNames, def.Name)
 	}
 	slices.Sort(a.unitNames)
-	a.book = book.New(a.unitNames)
+	a.book = agentstate.New(a.unitNames)
 	if err := a.openRecord(opt.FS, opt.FirstStart); err != nil {
 		a.lockFile.Close()
 		return nil, err
@@ -154,7 +154,7 @@
 // agent left unfinished.
 func (a *Agent) openRecord(fsys record.FS, first bool) error {
 	log, found, err := record.Open(fsys, filepath.Join(a.cfg.State, "record"), a.cfg.Name, func(text json.RawMessage) error {
-		var e book.Entry
+		var e agentstate.Entry
 		if err := json.Unmarshal(text, &e); err != nil {
 			return err
 		}
@@ -281,7 +281,7 @@
 			a.mu.RUnlock()
 			for _, id := range expired {
 				reason := fmt.Sprintf("lease not renewed for %v: its tool is gone", protocol.LeaseDuration)
-				if _, err := a.commit(book.Entry{Close: &book.Close{ID: id, State: protocol.Expired, Reason: reason}}); err == nil {
+				if _, err := a.commit(agentstate.Entry{Close: &agentstate.Close{ID: id, State: protocol.Expired, Reason: reason}}); err == nil {
 					a.log.Warn("a command's lease has expired", "command", id)
 				}
 			}
@@ -294,7 +294,7 @@
 	a.mu.RLock()
 	s := a.book.Snapshot()
 	a.mu.RUnlock()
-	err := a.record.Rewrite(book.Entry{At: time.Now(), Snapshot: s})
+	err := a.record.Rewrite(agentstate.Entry{At: time.Now(), Snapshot: s})
 	if err == nil {
 		err = a.writeCopy()
 	}
@@ -320,14 +320,14 @@
 
 // commit checks an entry, writes it to disk and applies it. done means that the same
 // change was made before.
-func (a *Agent) commit(e book.Entry) (done bool, err error) {
+func (a *Agent) commit(e agentstate.Entry) (done bool, err error) {
 	a.commitMu.Lock()
 	defer a.commitMu.Unlock()
 	return a.commitLocked(e)
 }
 
 // commitLocked is commit for callers that hold commitMu.
-func (a *Agent) commitLocked(e book.Entry) (done bool, err error) {
+func (a *Agent) commitLocked(e agentstate.Entry) (done bool, err error) {
 	a.mu.RLock()
 	done, err = a.book.Check(e)
 	a.mu.RUnlock()
@@ -363,7 +363,7 @@
 }
 
 // apply applies an entry to the book and to the state derived from it.
-func (a *Agent) apply(e book.Entry) {
+func (a *Agent) apply(e agentstate.Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.book.Apply(e)
@@ -382,7 +382,7 @@
 
 // recordStep records the step that an operation is about to take.
 func (a *Agent) recordStep(op *protocol.Operation, name, note string) error {
-	_, err := a.commit(book.Entry{Step: &book.Step{ID: op.Command, Instance: op.Instance, Name: name, Note: note}})
+	_, err := a.commit(agentstate.Entry{Step: &agentstate.Step{ID: op.Command, Instance: op.Instance, Name: name, Note: note}})
 	return err
 }
 
@@ -391,7 +391,7 @@
 func (a *Agent) endOperation(op *protocol.Operation, state, reason string) {
 	a.commitMu.Lock()
 	defer a.commitMu.Unlock()
-	e := book.Entry{At: time.Now(), End: &book.End{ID: op.Command, Instance: op.Instance, State: state, Reason: reason}}
+	e := agentstate.Entry{At: time.Now(), End: &agentstate.End{ID: op.Command, Instance: op.Instance, State: state, Reason: reason}}
 	if _, err := a.commitLocked(e); err != nil {
 		a.recordErr = err
 		a.apply(e)
@@ -457,7 +457,7 @@
 // raiseFence raises a duty's fencing token and returns the instances' state after it.
 // Operations begun under a lower token are shown as running until they have ended.
 func (a *Agent) raiseFence(f protocol.Fence, by string) (*protocol.FenceAnswer, error) {
-	if _, err := a.commit(book.Entry{Fence: &book.Fence{Fence: f, By: by}}); err != nil {
+	if _, err := a.commit(agentstate.Entry{Fence: &agentstate.Fence{Fence: f, By: by}}); err != nil {
 		return nil, err
 	}
 	return &protocol.FenceAnswer{Instances: a.instances()}, nil
@@ -486,7 +486,7 @@
 			return nil, err
 		}
 	}
-	if _, err := a.commit(book.Entry{Open: &book.Open{Request: r, Operator: operator}}); err != nil {
+	if _, err := a.commit(agentstate.Entry{Open: &agentstate.Open{Request: r, Operator: operator}}); err != nil {
 		return nil, err
 	}
 	return a.renew(r.ID, who)
@@ -564,7 +564,7 @@
 	if _, err := a.authorizedCommand(id, who); err != nil {
 		return nil, err
 	}
-	if _, err := a.commit(book.Entry{Close: &book.Close{ID: id, State: protocol.Closed, Reason: reason, Fence: who.fence}}); err != nil {
+	if _, err := a.commit(agentstate.Entry{Close: &agentstate.Close{ID: id, State: protocol.Closed, Reason: reason, Fence: who.fence}}); err != nil {
 		return nil, err
 	}
 	return a.command(id)
@@ -579,7 +579,7 @@
 	if u == nil {
 		return nil, &protocol.Error{Code: protocol.CodeNotFound, Instance: instance, Text: fmt.Sprintf("no instance %q is known here", instance)}
 	}
-	if _, err := a.commit(book.Entry{Begin: &book.Begin{ID: id, Instance: instance, Run: u.currentView().token, Fence: who.fence}}); err != nil {
+	if _, err := a.commit(agentstate.Entry{Begin: &agentstate.Begin{ID: id, Instance: instance, Run: u.currentView().token, Fence: who.fence}}); err != nil {
 		return nil, err
 	}
 	u.wake()
@@ -632,13 +632,13 @@
 	reason := "aborted by " + operator
 	for _, o := range c.Operations {
 		if o.State == protocol.Interrupted {
-			if _, err := a.commit(book.Entry{End: &book.End{ID: id, Instance: o.Instance, State: protocol.Aborted, Reason: reason + "; " + o.Reason}}); err != nil {
+			if _, err := a.commit(agentstate.Entry{End: &agentstate.End{ID: id, Instance: o.Instance, State: protocol.Aborted, Reason: reason + "; " + o.Reason}}); err != nil {
 				return nil, err
 			}
 		}
 	}
 	if c.State == protocol.Open {
-		if _, err := a.commit(book.Entry{Close: &book.Close{ID: id, State: protocol.Closed, Reason: reason}}); err != nil {
+		if _, err := a.commit(agentstate.Entry{Close: &agentstate.Close{ID: id, State: protocol.Closed, Reason: reason}}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"otterstep/internal/fleet/book"
+	"otterstep/internal/fleet/agentstate"
 	"otterstep/internal/fleet/instance"
 	"otterstep/internal/fleet/protocol"
 	"otterstep/internal/fleet/record"
@@ -635,7 +635,7 @@
 }
 
 // appendRecord appends entries to the record while no agent runs.
-func (w *fixture) appendRecord(entries ...book.Entry) {
+func (w *fixture) appendRecord(entries ...agentstate.Entry) {
 	w.t.Helper()
 	log, _, err := record.Open(record.OS{}, filepath.Join(w.cfg.State, "record"), w.cfg.Name, func(json.RawMessage) error { return nil })
 	if err != nil {
@@ -672,9 +672,9 @@
 				l.stop()
 				then := time.Now().Add(-c.ago)
 				w.appendRecord(
-					book.Entry{At: then, Open: &book.Open{Request: r, Operator: "ada"}},
-					book.Entry{At: then, Begin: &book.Begin{ID: r.ID, Instance: "a", Run: w.machine.Running("a")}},
-					book.Entry{At: then, Step: &book.Step{ID: r.ID, Instance: "a", Name: "term"}},
+					agentstate.Entry{At: then, Open: &agentstate.Open{Request: r, Operator: "ada"}},
+					agentstate.Entry{At: then, Begin: &agentstate.Begin{ID: r.ID, Instance: "a", Run: w.machine.Running("a")}},
+					agentstate.Entry{At: then, Step: &agentstate.Step{ID: r.ID, Instance: "a", Name: "term"}},
 				)
 				l = w.start(nil)
 				defer l.stop()
--- a/internal/fleet/agent/fleetbans.go
+++ b/internal/fleet/agent/fleetbans.go
@@ -10,7 +10,7 @@
 	"otterstep/internal/boottime"
 	"otterstep/internal/control"
 	"otterstep/internal/cordon"
-	"otterstep/internal/fleet/book"
+	"otterstep/internal/fleet/agentstate"
 	"otterstep/internal/fleet/duty"
 	"otterstep/internal/fleet/protocol"
 )
@@ -197,7 +197,7 @@
 	if fence == nil && bans.Version < before {
 		return nil // the leader is catching up, or the answer was delayed
 	}
-	if _, err := h.agent.commit(book.Entry{FleetBans: &book.FleetBans{Bans: bans, Fence: fence}}); err != nil {
+	if _, err := h.agent.commit(agentstate.Entry{FleetBans: &agentstate.FleetBans{Bans: bans, Fence: fence}}); err != nil {
 		return err
 	}
 	h.markCurrent(asked)
@@ -216,7 +216,7 @@
 			return nil, err
 		}
 	} else {
-		if _, err := h.agent.commit(book.Entry{Fence: &book.Fence{Fence: fence, By: "fleet"}}); err != nil {
+		if _, err := h.agent.commit(agentstate.Entry{Fence: &agentstate.Fence{Fence: fence, By: "fleet"}}); err != nil {
 			return nil, err
 		}
 		h.agent.mu.RLock()
--- a/internal/fleet/agent/recovery.go
+++ b/internal/fleet/agent/recovery.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"otterstep/internal/fleet/book"
+	"otterstep/internal/fleet/agentstate"
 	"otterstep/internal/fleet/duty"
 	"otterstep/internal/fleet/protocol"
 	"otterstep/internal/fleet/record"
@@ -31,7 +31,7 @@
 // stateCopy is the content of the record's copy: the desired state and the fencing tokens seen,
 // which are needed if the record is lost.
 type stateCopy struct {
-	Life      book.AgentStart           `json:"life"`
+	Life      agentstate.AgentStart     `json:"life"`
 	Instances map[string]copiedInstance `json:"instances"`
 	Fences    map[string]protocol.Token `json:"fences,omitempty"`
 }
@@ -106,7 +106,7 @@
 	if a.cfg.Council != nil {
 		m.council = recovery.Unanswered
 	}
-	next := book.AgentStart{StateDirID: life.StateDirID, Starts: life.Starts + 1, MayLackState: life.MayLackState}
+	next := agentstate.AgentStart{StateDirID: life.StateDirID, Starts: life.Starts + 1, MayLackState: life.MayLackState}
 	if copied != nil {
 		next.Starts = max(next.Starts, copied.Life.Starts+1)
 		next.MayLackState = next.MayLackState || copied.Life.MayLackState
@@ -128,18 +128,18 @@
 		if c, known := copied.Instances[name]; known && c.Held == "" {
 			m.sources[name] = append(m.sources[name], recovery.Claim{Source: "its copy", Up: c.Up, Generation: c.Generation, Program: c.Program})
 		} else if known && i.HeldReason == "" && !whole {
-			a.book.Apply(book.Entry{Hold: &book.Hold{Instances: []string{name}, Reason: c.Held}})
+			a.book.Apply(agentstate.Entry{Hold: &agentstate.Hold{Instances: []string{name}, Reason: c.Held}})
 		}
 	}
 	if !whole {
 		a.log.Error("the agent's record is lost or outdated: instances whose desired state is unknown are held", "memory", m.kind.String(), "forgetful", next.MayLackState)
 		a.book.RaiseHorizon(time.Now())
-		a.book.Apply(book.Entry{Hold: &book.Hold{Instances: a.unitNames, Reason: m.kind.String()}})
+		a.book.Apply(agentstate.Entry{Hold: &agentstate.Hold{Instances: a.unitNames, Reason: m.kind.String()}})
 		if copied != nil { // fencing tokens must never decrease
-			a.book.Apply(book.Entry{Adopt: &book.Adopt{Fences: copied.Fences, Source: "its copy"}})
+			a.book.Apply(agentstate.Entry{Adopt: &agentstate.Adopt{Fences: copied.Fences, Source: "its copy"}})
 		}
 	}
-	entry := book.Entry{At: time.Now(), AgentStart: &next}
+	entry := agentstate.Entry{At: time.Now(), AgentStart: &next}
 	a.book.Apply(entry)
 	b := pace.Bound{Parties: a.cfg.agentCount(), Rate: a.cfg.Pace.Rate, Burst: a.cfg.Pace.Burst}
 	m.startSchedule = b.NewSchedule(randv2.Float64)
@@ -198,7 +198,7 @@
 }
 
 // changesCopy reports whether an entry changes the content of the record's copy.
-func changesCopy(e book.Entry) bool {
+func changesCopy(e agentstate.Entry) bool {
 	return e.Begin != nil || e.Fence != nil || e.AgentStart != nil || e.Hold != nil || e.Adopt != nil || e.FleetBans != nil && e.FleetBans.Fence != nil || e.Open != nil && e.Open.Request.Fence != nil
 }
 
@@ -208,7 +208,7 @@
 	now := time.Now()
 	a.mu.Lock()
 	m := &a.recovery
-	recovered := map[string]book.DesiredState{}
+	recovered := map[string]agentstate.DesiredState{}
 	cleared := []string{}
 	source := ""
 	for name, h := range m.held {
@@ -230,7 +230,7 @@
 			continue
 		}
 		cleared = append(cleared, name)
-		if w := (book.DesiredState{Up: v.Claim.Up, Generation: max(v.Claim.Generation, i.Generation), Program: v.Claim.Program}); i.HeldReason != "" || w != (book.DesiredState{Up: i.Up, Generation: i.Generation, Program: i.Program}) {
+		if w := (agentstate.DesiredState{Up: v.Claim.Up, Generation: max(v.Claim.Generation, i.Generation), Program: v.Claim.Program}); i.HeldReason != "" || w != (agentstate.DesiredState{Up: i.Up, Generation: i.Generation, Program: i.Program}) {
 			recovered[name], source = w, v.Claim.Source
 			if f.Record != recovery.Intact {
 				a.log.Warn("recovered the desired state", "instance", name, "why", v.Reason)
@@ -242,7 +242,7 @@
 		return
 	}
 	if len(recovered) > 0 {
-		if _, err := a.commit(book.Entry{Adopt: &book.Adopt{Instances: recovered, Source: source}}); err != nil {
+		if _, err := a.commit(agentstate.Entry{Adopt: &agentstate.Adopt{Instances: recovered, Source: source}}); err != nil {
 			return // retried at the next interval
 		}
 	}
@@ -347,14 +347,14 @@
 // handleReportAnswer applies the council's answer to a report: fencing tokens, and on the first answer the
 // desired states that the council knows.
 func (a *Agent) handleReportAnswer(t duty.ReportAnswer) error {
-	learn := book.Adopt{Fences: t.Fences, StateComplete: true, Source: "the council"}
+	learn := agentstate.Adopt{Fences: t.Fences, StateComplete: true, Source: "the council"}
 	a.mu.RLock()
 	fences, asked := a.book.Fences(), a.recovery.council != recovery.Unanswered
 	forgetful := a.book.AgentStart().MayLackState
 	a.mu.RUnlock()
 	maps.DeleteFunc(learn.Fences, func(d string, token protocol.Token) bool { return token <= fences[d] })
 	if len(learn.Fences) > 0 && !asked || forgetful {
-		if _, err := a.commit(book.Entry{Adopt: &learn}); err != nil {
+		if _, err := a.commit(agentstate.Entry{Adopt: &learn}); err != nil {
 			return err
 		}
 	}
@@ -447,7 +447,7 @@
 		a.commitMu.Unlock()
 		return &protocol.Error{Code: protocol.CodeConflict, Instance: name, Text: fmt.Sprintf("%s is not held: another operator or the council has decided; use start or drain", name)}
 	}
-	_, err := a.commitLocked(book.Entry{Adopt: &book.Adopt{Instances: map[string]book.DesiredState{name: {Up: up, Generation: newest + 1, Program: program}}, Source: "operator " + by}})
+	_, err := a.commitLocked(agentstate.Entry{Adopt: &agentstate.Adopt{Instances: map[string]agentstate.DesiredState{name: {Up: up, Generation: newest + 1, Program: program}}, Source: "operator " + by}})
 	a.commitMu.Unlock()
 	if err != nil {
 		return err
--- a/internal/fleet/book/fence_test.go
+++ b/internal/fleet/agentstate/fence_test.go
@@ -1,4 +1,4 @@
-package book
+package agentstate
 
 import (
 	"encoding/json"
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 
 	"otterstep/internal/fleet/protocol"
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 func fence(token protocol.Token) *protocol.Fence {
 	return &protocol.Fence{Duty: "rollouts", Token: token}
--- a/internal/fleet/book/book.go
+++ b/internal/fleet/agentstate/state.go
@@ -2,7 +2,7 @@
 // holds it, and the commands and operations with their steps. It does no I/O and has no
 // clock. Each change is an Entry, which the agent writes to its record before it
 // applies it, so that replaying the record gives the same State.
-package book
+package agentstate
 
 import (
 	"cmp"
--- a/internal/fleet/book/book_test.go
+++ b/internal/fleet/agentstate/state_test.go
@@ -1,4 +1,4 @@
-package book
+package agentstate
 
 import (
 	"encoding/json"
--- a/internal/fleet/desired/desired_test.go
+++ b/internal/fleet/desired/desired_test.go
@@ -14,10 +14,10 @@
 
 	"otterstep/internal/cordon"
 	"otterstep/internal/fleet/protocol"
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 func id(n int) string { return protocol.NewID(time.UnixMilli(int64(n)), uint64(n)) }
 
--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 
 	"otterstep/internal/fleet/protocol"
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 func jobID(n int) string { return protocol.NewID(time.UnixMilli(1000), uint64(n)) }
 
--- a/internal/fleet/reconcile/reconcile_test.go
+++ b/internal/fleet/reconcile/reconcile_test.go
@@ -10,10 +10,10 @@
 
 	"otterstep/internal/fleet/desired"
 	"otterstep/internal/fleet/protocol"
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // node is the actual state of a node.
 type node struct {
--- a/internal/fleet/recovery/recovery_test.go
+++ b/internal/fleet/recovery/recovery_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // storedState is one copy of the desired state; it may be lost or outdated.
 type storedState struct {
--- a/internal/fleet/rollout/desk_test.go
+++ b/internal/fleet/rollout/scheduler_test.go
@@ -10,10 +10,10 @@
 
 	"otterstep/internal/fleet/duty"
 	"otterstep/internal/fleet/protocol"
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // actualInstance is the actual state of an instance, whether or not it was observed.
 type actualInstance struct {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 
 	"otterstep/internal/cordon"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/unixsock"
 )
 
@@ -155,7 +155,7 @@
 }
 
 func state(name string) State {
-	return State{Name: name, ManualCordons: []cordon.Entry{{ID: "a", Out: true, Stamp: 3}}, Delisted: []string{"k"}, Quiesce: life.QuiesceState{Quiesced: true, Changes: 2}}
+	return State{Name: name, ManualCordons: []cordon.Entry{{ID: "a", Out: true, Stamp: 3}}, Delisted: []string{"k"}, Quiesce: lifecycle.QuiesceState{Quiesced: true, Changes: 2}}
 }
 
 // pair links two processes; the test calls Run on both links.
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"otterstep/internal/cordon"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/policy"
 )
 
@@ -20,11 +20,11 @@
 
 // State is the manual cordons, the quiesce state and the fleet's bans, as one process sends them to the other.
 type State struct {
-	Name          string            `json:"name"`            // node name
-	ManualCordons []cordon.Entry    `json:"hand"`            // manual cordons
-	Delisted      []string          `json:"known,omitempty"` // servers that have left the list
-	Quiesce       life.QuiesceState `json:"drained"`
-	FleetBans     *cordon.FleetBans `json:"word,omitempty"` // latest fleet bans
+	Name          string                 `json:"name"`            // node name
+	ManualCordons []cordon.Entry         `json:"hand"`            // manual cordons
+	Delisted      []string               `json:"known,omitempty"` // servers that have left the list
+	Quiesce       lifecycle.QuiesceState `json:"drained"`
+	FleetBans     *cordon.FleetBans      `json:"word,omitempty"` // latest fleet bans
 }
 
 // ConnCounts is the number of connections that a process has open.
@@ -36,13 +36,13 @@
 // Message is one line of JSON. One of its parts is set; a message with a Seq is answered by an Ack with the same
 // number once it has taken effect.
 type Message struct {
-	Version   int                `json:"v,omitempty"` // in the first message only
-	State     *State             `json:"state,omitempty"`
-	Entry     *cordon.Entry      `json:"entry,omitempty"`
-	FleetBans *cordon.FleetBans  `json:"word,omitempty"` // fleet bans
-	Quiesce   *life.QuiesceState `json:"drained,omitempty"`
-	Serving   bool               `json:"serving,omitempty"`
-	Conns     *ConnCounts        `json:"holds,omitempty"`
+	Version   int                     `json:"v,omitempty"` // in the first message only
+	State     *State                  `json:"state,omitempty"`
+	Entry     *cordon.Entry           `json:"entry,omitempty"`
+	FleetBans *cordon.FleetBans       `json:"word,omitempty"` // fleet bans
+	Quiesce   *lifecycle.QuiesceState `json:"drained,omitempty"`
+	Serving   bool                    `json:"serving,omitempty"`
+	Conns     *ConnCounts             `json:"holds,omitempty"`
 	// Memory is what the predecessor's decision module has learnt, sent before its Ack of Serving.
 	Memory *policy.Memory `json:"memory,omitempty"`
 	Seq    uint64         `json:"seq,omitempty"`
--- a/internal/life/life.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
 // Package life holds a node's lifecycle state. It is the single source of that state for /up, the
 // operator API, signal handling and the control socket.
-package life
+package lifecycle
 
 import (
 	"sync"
--- a/internal/life/termination.go
+++ b/internal/lifecycle/termination.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import "time"
 
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 )
 
 const (
@@ -258,7 +258,7 @@
 
 // run evicts connections once they are old enough, as eviction otherwise happens only on state
 // changes. It also evicts all idle connections when the node has been quiesced for long enough.
-func (g *clients) run(ctx context.Context, state *life.Lifecycle) {
+func (g *clients) run(ctx context.Context, state *lifecycle.Lifecycle) {
 	for every := time.Tick(evictInterval); ctx.Err() == nil; <-every {
 		if state.ClosesIdle(time.Now()) {
 			g.evictAllIdle()
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/wire"
 )
 
@@ -303,7 +303,7 @@
 // Guards the memory limit: the total of all bodies is limited by their declared lengths, which
 // are reserved before any of a body is read.
 func TestBodyBudgetIsReservedBeforeReading(t *testing.T) {
-	f := newFront(idle(t), nil, wire.Site{Classes: []string{"book"}}, newClients(8), 10<<10, new(life.Lifecycle), false)
+	f := newFront(idle(t), nil, wire.Site{Classes: []string{"book"}}, newClients(8), 10<<10, new(lifecycle.Lifecycle), false)
 	f.site.Settings.Classes = siteOf(t, settings).Settings.Classes[2:]
 	ask := func() (code int, read int64) {
 		body := &countingReader{}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -16,7 +16,7 @@
 
 	"otterstep/internal/conns"
 	"otterstep/internal/core"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/policy"
 )
 
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	g := newClients(512)
-	f := newFront(l, up, site, g, 1<<20, new(life.Lifecycle), false)
+	f := newFront(l, up, site, g, 1<<20, new(lifecycle.Lifecycle), false)
 	s := f.server(quiet())
 	t.Cleanup(func() { s.Close(); listener.Close() })
 	return &fixture{listener.Addr().String(), l, f, s}, func() { go func() { _ = s.Serve(g.listener(listener)) }() }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 )
 
 // drainPollInterval is how often a draining node checks its connections.
@@ -16,7 +16,7 @@
 // drain goes on serving and closes clients' connections by the timetable, which counts from terminatedAt.
 // accepts reports whether new connections are still accepted. A connection on which a request has begun stays open
 // until the request is answered or answers are due: none is closed after a part of a request was read.
-func drain(ctx context.Context, terminatedAt time.Time, timetable life.Termination, accepts func() bool, f *front, g *clients, server *http.Server) error {
+func drain(ctx context.Context, terminatedAt time.Time, timetable lifecycle.Termination, accepts func() bool, f *front, g *clients, server *http.Server) error {
 	waitUntil := func(at time.Duration, done func() bool) {
 		for time.Since(terminatedAt) < at && !done() {
 			time.Sleep(min(drainPollInterval, at-time.Since(terminatedAt)))
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"otterstep/internal/core"
-	"otterstep/internal/life"
-	"otterstep/internal/passing"
+	"otterstep/internal/lifecycle"
+	"otterstep/internal/streaming"
 	"otterstep/internal/web/classify"
 	"otterstep/internal/wire"
 	"otterstep/policy"
@@ -27,7 +27,7 @@
 	upstream     *upstream
 	site         wire.Site
 	clients      *clients
-	life         *life.Lifecycle
+	life         *lifecycle.Lifecycle
 	failUpAtOnce bool // /up fails as soon as termination begins
 	classes      map[string]int
 	tenants      map[string]int
@@ -36,7 +36,7 @@
 	bodies       byteBudget  // memory for clients' larger bodies
 }
 
-func newFront(l *core.Loop, up *upstream, site wire.Site, g *clients, bodies int64, state *life.Lifecycle, tellUp bool) *front {
+func newFront(l *core.Loop, up *upstream, site wire.Site, g *clients, bodies int64, state *lifecycle.Lifecycle, tellUp bool) *front {
 	f := &front{
 		loop: l, upstream: up, site: site, clients: g, life: state, failUpAtOnce: tellUp,
 		classes: map[string]int{}, tenants: map[string]int{},
@@ -118,7 +118,7 @@
 	}
 
 	answers := make(chan core.Answer, 1)
-	m.handoff = passing.New()
+	m.handoff = streaming.New()
 	defer m.handoff.Close()
 	q.Message, q.Answers = m, answers
 	taken, ok := f.loop.Submit(q)
@@ -155,7 +155,7 @@
 
 // relay streams an answer to the client. If the answer is truncated it aborts the client's
 // connection, so that the client does not take the answer for complete.
-func (f *front) relay(w http.ResponseWriter, r *http.Request, in *passing.Answer) {
+func (f *front) relay(w http.ResponseWriter, r *http.Request, in *streaming.Answer) {
 	status := policy.Cancelled
 	defer func() { in.Finish(status) }() // also after a panic
 	f.announceClose(w)
@@ -164,7 +164,7 @@
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
 	switch err := in.Copy(r.Context(), w, clientWriteTimeout, *buf); {
-	case errors.Is(err, passing.ErrClientGone):
+	case errors.Is(err, streaming.ErrClientGone):
 		panic(http.ErrAbortHandler)
 	case err != nil:
 		status = policy.Reset
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -17,7 +17,7 @@
 	"otterstep/internal/cordon"
 	"otterstep/internal/fleet/record"
 	"otterstep/internal/handover"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/unixsock"
 )
 
@@ -347,7 +347,7 @@
 	s.mu.Lock()
 	handingOver := s.role == handover.HandingOver
 	s.mu.Unlock()
-	if sinceTermination < life.AcceptWindow && !handingOver {
+	if sinceTermination < lifecycle.AcceptWindow && !handingOver {
 		return true
 	}
 	s.ending.Store(true)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -21,7 +21,7 @@
 	"otterstep/internal/cordon"
 	"otterstep/internal/fleet/record"
 	"otterstep/internal/handover"
-	"otterstep/internal/kept"
+	"otterstep/internal/nodestate"
 	"otterstep/internal/operator"
 )
 
@@ -311,7 +311,7 @@
 	out := func(uid string, want bool) {
 		t.Helper()
 		waitFor(t, fmt.Sprint("state on disk with ", uid, " cordoned: ", want), func() bool {
-			s, v, _ := kept.Open(record.OS{}, p.op.Kept.File, p.cfg.Name)
+			s, v, _ := nodestate.Open(record.OS{}, p.op.Kept.File, p.cfg.Name)
 			defer s.Close()
 			return v != nil && slices.ContainsFunc(v.ManualCordons, func(e cordon.Entry) bool { return e.ID == uid && e.Out == want })
 		})
--- a/internal/node/inspect.go
+++ b/internal/node/inspect.go
@@ -12,7 +12,7 @@
 	"otterstep/internal/buildinfo"
 	"otterstep/internal/control"
 	"otterstep/internal/core"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/sip"
 	"otterstep/internal/sip/proxy"
 	"otterstep/internal/web"
@@ -28,7 +28,7 @@
 	webFronts *web.Fronts
 	saver     *stateSaver // nil if no state is saved
 	fleet     *fleetBans  // nil if fleet bans are not accepted
-	state     func() life.State
+	state     func() lifecycle.State
 	started   time.Time
 
 	mu        sync.Mutex
@@ -48,7 +48,7 @@
 	i.reloadErr = err
 }
 
-func (i *inspector) serve(ctx context.Context, path string, state func() life.State, log *slog.Logger) error {
+func (i *inspector) serve(ctx context.Context, path string, state func() lifecycle.State, log *slog.Logger) error {
 	i.state = state
 	return control.Serve(ctx, path, i, log)
 }
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"otterstep/internal/core"
-	"otterstep/internal/passing"
+	"otterstep/internal/streaming"
 	"otterstep/policy"
 )
 
@@ -207,7 +207,7 @@
 					return false
 				})
 				m := get()
-				m.handoff = passing.New()
+				m.handoff = streaming.New()
 				p := testUpstream(t, 1).roundTrip(t.Context(), at(s.addr), m, time.Now().Add(testTimeout), permit)
 				if p.status != policy.Reset || p.body != nil {
 					t.Fatalf("%s, cut at byte %d, reset %v: status %d with %q", name, cut, reset, p.status, p.body)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"otterstep/internal/core"
-	"otterstep/internal/door"
 	"otterstep/internal/handover"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/operator"
+	"otterstep/internal/operatorapi"
 	"otterstep/internal/sip"
 	"otterstep/internal/web"
 )
@@ -24,7 +24,7 @@
 	// File descriptors reserved for other uses than connections of clients and servers: standard streams,
 	// listener, poller, discovery; and the operator API, if it is on.
 	reservedDescriptors = 16
-	operatorDescriptors = door.MaxConnections + 2
+	operatorDescriptors = operatorapi.MaxConnections + 2
 	minSockets          = 64
 
 	writeReserve = 50 * time.Millisecond // for writing a request once its connection is established
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	var state life.Lifecycle
+	var state lifecycle.Lifecycle
 	discoveryClient.onList = l.UpdateServers // returns once the list is in place, so that /up does not report ready before
 	bodies := int64(64 << 20)
 	if cfg.MemoryMB > 0 {
@@ -140,7 +140,7 @@
 			discoveryClient.onTargets = notifyBoth(ops.listed, discoveryClient.onTargets)
 		}
 		operatorDone := make(chan struct{})
-		d := door.New(operatorListener, ops, log)
+		d := operatorapi.New(operatorListener, ops, log)
 		go func() {
 			defer close(operatorDone)
 			d.Run(background)
@@ -238,7 +238,7 @@
 	for _, class := range policySettings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	timetable := life.PlanTermination(longest)
+	timetable := lifecycle.PlanTermination(longest)
 	l.ShutDownIn(timetable.AnswersDue - time.Since(terminatedAt))
 	accepts := func() bool {
 		if handovers != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"otterstep/internal/core"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/operator"
 	"otterstep/internal/wire"
 	"otterstep/policy"
@@ -560,7 +560,7 @@
 		stopped := make(chan error, 1)
 		go func() { stopped <- stop() }()
 		reported := false
-		for until := time.Now().Add(life.AcceptWindow); time.Now().Before(until) && !reported; {
+		for until := time.Now().Add(lifecycle.AcceptWindow); time.Now().Before(until) && !reported; {
 			resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(httptest.NewRequest(http.MethodGet, "http://"+addr+"/up", nil))
 			if err != nil {
 				t.Fatalf("tell_up %v: the node no longer accepts: %v", tell, err)
@@ -686,7 +686,7 @@
 // Guards against clients that use a draining node's connections until they are cut off: once draining is set, each
 // answer closes its connection.
 func TestDrainingFrontClosesAfterAnswers(t *testing.T) {
-	var state life.Lifecycle
+	var state lifecycle.Lifecycle
 	state.Ready()
 	f := newFront(idle(t), nil, wire.Site{}, newClients(8), 0, &state, false)
 	for _, draining := range []bool{false, true} {
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -11,14 +11,14 @@
 
 	"otterstep/internal/cordon"
 	"otterstep/internal/core"
-	"otterstep/internal/door"
 	"otterstep/internal/handover"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
+	"otterstep/internal/operatorapi"
 )
 
 // operations carries out operators' requests.
 type operations struct {
-	life *life.Lifecycle
+	life *lifecycle.Lifecycle
 	loop *core.Loop
 	log  *slog.Logger
 
@@ -33,7 +33,7 @@
 	unapplied map[string]struct{} // servers whose change of fleet ban the loop has not applied yet
 }
 
-func newOperations(l *life.Lifecycle, loop *core.Loop, log *slog.Logger) *operations {
+func newOperations(l *lifecycle.Lifecycle, loop *core.Loop, log *slog.Logger) *operations {
 	return &operations{life: l, loop: loop, log: log, cordons: cordon.New(), unapplied: map[string]struct{}{}}
 }
 
@@ -41,7 +41,7 @@
 
 // Health implements door.Node.
 func (o *operations) Health() error {
-	if s := o.life.State(); s == life.Starting {
+	if s := o.life.State(); s == lifecycle.Starting {
 		return errNotServing
 	}
 	return nil
@@ -63,7 +63,7 @@
 	ban, banned := o.cordons.Banned(id)
 	o.mu.Unlock()
 	if banned && !out {
-		return fmt.Errorf("%w: server %q is no longer cordoned at this node, but it is banned by the fleet, by %s: %s; end the ban with otterctl unban", door.ErrRefused, id, ban.By, ban.Reason)
+		return fmt.Errorf("%w: server %q is no longer cordoned at this node, but it is banned by the fleet, by %s: %s; end the ban with otterctl unban", operatorapi.ErrRefused, id, ban.By, ban.Reason)
 	}
 	return nil
 }
@@ -90,9 +90,9 @@
 	e, changed, err := o.cordons.Apply(time.Now(), id, out)
 	switch {
 	case errors.Is(err, cordon.ErrNeverListed):
-		return e, fmt.Errorf("%w: server %q: %w", door.ErrUnknown, id, err)
+		return e, fmt.Errorf("%w: server %q: %w", operatorapi.ErrUnknown, id, err)
 	case err != nil:
-		return e, fmt.Errorf("%w: server %q: %w", door.ErrRefused, id, err)
+		return e, fmt.Errorf("%w: server %q: %w", operatorapi.ErrRefused, id, err)
 	}
 	// A repeated call is carried out again: the previous one may have failed after changing the set.
 	if err := o.loop.Cordon(ctx, serverID(id), o.cordons.IsOut(id), o.loop.Clock().Now()); err != nil {
@@ -185,8 +185,8 @@
 
 // Quiesce implements door.Node.
 func (o *operations) Quiesce(ctx context.Context) error {
-	if o.life.State() == life.Ending {
-		return fmt.Errorf("%w: the node is shutting down", door.ErrRefused)
+	if o.life.State() == lifecycle.Ending {
+		return fmt.Errorf("%w: the node is shutting down", operatorapi.ErrRefused)
 	}
 	d := o.life.Quiesce(time.Now())
 	o.log.Info("quiesced")
@@ -195,8 +195,8 @@
 
 // Resume implements door.Node.
 func (o *operations) Resume(ctx context.Context) error {
-	if o.life.State() == life.Ending {
-		return fmt.Errorf("%w: the node is shutting down", door.ErrRefused)
+	if o.life.State() == lifecycle.Ending {
+		return fmt.Errorf("%w: the node is shutting down", operatorapi.ErrRefused)
 	}
 	d := o.life.Resume()
 	o.log.Info("back to work")
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -14,7 +14,7 @@
 
 	"otterstep/internal/cordon"
 	"otterstep/internal/core"
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/operator"
 	"otterstep/policy"
 )
@@ -268,7 +268,7 @@
 	}
 	go l.Run(t.Context())
 	l.UpdateServers(policy.ListFull, []policy.Entry{{Server: serverID("s1"), State: policy.Ready}}, []string{"127.0.0.1:1"})
-	o = newOperations(new(life.Lifecycle), l, quiet())
+	o = newOperations(new(lifecycle.Lifecycle), l, quiet())
 	o.listed(true, []target{{UID: "s1", State: "in_service"}})
 	if err := out(o); err != nil {
 		t.Fatal(err)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/life"
+	"otterstep/internal/lifecycle"
 	"otterstep/internal/operator"
 )
 
@@ -239,7 +239,7 @@
 	})
 	ended := make(chan error, 1)
 	go func() {
-		ended <- drain(context.Background(), time.Now(), life.Termination{AnswersDue: testTimeout, CloseAll: testTimeout, Kill: testTimeout},
+		ended <- drain(context.Background(), time.Now(), lifecycle.Termination{AnswersDue: testTimeout, CloseAll: testTimeout, Kill: testTimeout},
 			func() bool { return false }, b.front, b.front.clients, b.server)
 	}()
 	idleConn.SetReadDeadline(time.Now().Add(testTimeout))
--- a/internal/node/statesaver.go
+++ b/internal/node/statesaver.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"otterstep/internal/boottime"
-	"otterstep/internal/confidence"
 	"otterstep/internal/control"
 	"otterstep/internal/core"
 	"otterstep/internal/fleet/record"
-	"otterstep/internal/kept"
+	"otterstep/internal/nodestate"
+	"otterstep/internal/staleness"
 	"otterstep/policy"
 )
 
@@ -34,16 +34,16 @@
 	startedAt time.Time
 
 	saving sync.Mutex // held during a save, so that the later state is the later one on disk
-	store  *kept.Store
+	store  *nodestate.Store
 
 	mu             sync.Mutex
-	current        *kept.Snapshot // state found at the start or last saved; nil if there is none
-	age            confidence.Age
+	current        *nodestate.Snapshot // state found at the start or last saved; nil if there is none
+	age            staleness.Age
 	problems       []string // problems with the files
 	used           bool
 	servers        map[string]target // from discovery, or the saved ones until it has answered
 	rev            int64
-	confirmed      confidence.Timestamp
+	confirmed      staleness.Timestamp
 	discoveryHeard bool // discovery has answered
 	frozen         bool // by an operator: only manual cordons and fleet bans are written
 	unconfirmed    int  // servers in use that discovery has not confirmed
@@ -55,16 +55,16 @@
 // newStateSaver opens the saved state.
 func newStateSaver(path string, interval time.Duration, node string, l *core.Loop, ops *operations, discoveryClient *discovery, log *slog.Logger) *stateSaver {
 	r := &stateSaver{interval: interval, loop: l, ops: ops, discovery: discoveryClient, log: log, startedAt: time.Now(), servers: map[string]target{}}
-	r.store, r.current, r.problems = kept.Open(record.OS{}, path, node)
+	r.store, r.current, r.problems = nodestate.Open(record.OS{}, path, node)
 	if r.current != nil {
-		r.age, r.frozen = confidence.AgeBetween(r.current.Confirmed, currentStamp()), r.current.Frozen
+		r.age, r.frozen = staleness.AgeBetween(r.current.Confirmed, currentStamp()), r.current.Frozen
 	}
 	ops.save = r.saveNow
 	return r
 }
 
-func currentStamp() confidence.Timestamp {
-	return confidence.Timestamp{Wall: time.Now(), Boot: kept.BootID(), SinceBoot: boottime.System{}.Now()}
+func currentStamp() staleness.Timestamp {
+	return staleness.Timestamp{Wall: time.Now(), Boot: nodestate.BootID(), SinceBoot: boottime.System{}.Now()}
 }
 
 // begin restores the saved state before the first request. It returns false if the node has to use the configured
@@ -90,9 +90,9 @@
 	}
 	var usable []target
 	for _, s := range v.Servers {
-		line := confidence.ListEntry{UID: s.UID, Endpoint: s.Endpoint, BootMs: s.BootMs}
+		line := staleness.ListEntry{UID: s.UID, Endpoint: s.Endpoint, BootMs: s.BootMs}
 		t := target{UID: s.UID, Endpoint: s.Endpoint, AZ: s.Zone, PodGroup: s.Group, State: s.State, Model: s.Model, CapacityHint: s.Capacity, BootMs: s.BootMs}
-		if confidence.Classify(line, r.age, false, nil, nil) == confidence.Unconfirmed && t.check() == nil {
+		if staleness.Classify(line, r.age, false, nil, nil) == staleness.Unconfirmed && t.check() == nil {
 			usable = append(usable, t)
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 // restoreMemory restores what the decision module had learnt, decayed by its age.
-func (r *stateSaver) restoreMemory(ctx context.Context, v *kept.Snapshot, usable []target) {
+func (r *stateSaver) restoreMemory(ctx context.Context, v *nodestate.Snapshot, usable []target) {
 	if v.Memory == nil {
 		return
 	}
@@ -128,7 +128,7 @@
 			ages[serverID(t.UID)] = 0
 		}
 	}
-	if err := r.loop.Restore(ctx, confidence.Decay(*v.Memory, fresh, r.age, ages)); err != nil {
+	if err := r.loop.Restore(ctx, staleness.Decay(*v.Memory, fresh, r.age, ages)); err != nil {
 		r.log.Error("the saved learnt state can't be used; this process starts without it", "err", err)
 	}
 }
@@ -229,7 +229,7 @@
 func (r *stateSaver) write(ctx context.Context) {
 	cordons, _ := r.ops.calls()
 	r.mu.Lock()
-	var v kept.Snapshot
+	var v nodestate.Snapshot
 	if r.current != nil {
 		v = *r.current
 	}
@@ -237,9 +237,9 @@
 	heard := r.discoveryHeard && !r.frozen
 	if heard {
 		v.Rev, v.Source, v.Confirmed = r.rev, "discovery", r.confirmed
-		v.Servers = make([]kept.Server, 0, len(r.servers))
+		v.Servers = make([]nodestate.Server, 0, len(r.servers))
 		for _, t := range r.servers {
-			v.Servers = append(v.Servers, kept.Server{
+			v.Servers = append(v.Servers, nodestate.Server{
 				UID: t.UID, Endpoint: t.Endpoint, Zone: t.AZ, Group: t.PodGroup, State: t.State, Model: t.Model, Capacity: t.CapacityHint, BootMs: t.BootMs,
 			})
 		}
@@ -258,13 +258,13 @@
 		v.Memory = &mem
 	}
 	err := r.store.Save(v)
-	if errors.Is(err, kept.ErrNotOwner) {
+	if errors.Is(err, nodestate.ErrNotOwner) {
 		err = nil // the other process of this node writes the state
 	}
 	r.mu.Lock()
 	repeated := err != nil && r.failure != nil
 	r.saved, r.failure = time.Now(), err
-	if err == nil && v.Saved != (confidence.Timestamp{}) {
+	if err == nil && v.Saved != (staleness.Timestamp{}) {
 		r.current = &v
 	}
 	r.mu.Unlock()
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -15,7 +15,7 @@
 	"otterstep/internal/conns"
 	"otterstep/internal/core"
 	"otterstep/internal/h1"
-	"otterstep/internal/passing"
+	"otterstep/internal/streaming"
 	"otterstep/policy"
 )
 
@@ -47,10 +47,10 @@
 	uri         string // request target exactly as the client sent it
 	host        string
 	header      http.Header
-	body        *body            // nil for none
-	timeLeft    time.Duration    // how long the client waits, counted from the request's last byte
-	handoff     *passing.Handoff // receives an answer that is streamed; nil if none can be
-	needsLength bool             // the client does not support chunked encoding, so it could not detect truncation of an answer without a length
+	body        *body              // nil for none
+	timeLeft    time.Duration      // how long the client waits, counted from the request's last byte
+	handoff     *streaming.Handoff // receives an answer that is streamed; nil if none can be
+	needsLength bool               // the client does not support chunked encoding, so it could not detect truncation of an answer without a length
 	upstream    *upstream
 	client      *client // checked for a disconnect right before an attempt's first byte; nil if unknown
 }
@@ -334,7 +334,7 @@
 	if len(ahead) > 0 {
 		b.Reader = io.MultiReader(bytes.NewReader(ahead), b.Reader)
 	}
-	if p.status = m.handoff.Send(&passing.Answer{Head: h, Body: b}); p.status != policy.OK {
+	if p.status = m.handoff.Send(&streaming.Answer{Head: h, Body: b}); p.status != policy.OK {
 		return p, false
 	}
 	setReadDeadline(ctx, c, time.Now().Add(stallTimeout))
--- a/internal/kept/kept.go
+++ b/internal/nodestate/nodestate.go
@@ -2,7 +2,7 @@
 // manual cordons and what the decision module has learnt. There are two generations, so that a corrupt file
 // leaves the previous one. During an upgrade a second process of the node reads the files, and writes them
 // only once the first process has ended.
-package kept
+package nodestate
 
 import (
 	"encoding/json"
@@ -14,9 +14,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterstep/internal/confidence"
 	"otterstep/internal/cordon"
 	"otterstep/internal/fleet/record"
+	"otterstep/internal/staleness"
 	"otterstep/policy"
 )
 
@@ -41,18 +41,18 @@
 
 // Snapshot is a snapshot of a node's state.
 type Snapshot struct {
-	FormatVersion int                  `json:"form"`
-	Sequence      uint64               `json:"sequence"` // number of the save; the higher one is the later
-	Node          string               `json:"node"`     // the owner, checked also by processes that do not hold the lock
-	Saved         confidence.Timestamp `json:"saved"`
-	Confirmed     confidence.Timestamp `json:"confirmed"` // when discovery last answered
-	Source        string               `json:"by"`        // source of the servers
-	Rev           int64                `json:"rev"`       // discovery's revision
-	Servers       []Server             `json:"servers"`
-	ManualCordons []cordon.Entry       `json:"hand,omitempty"` // manual cordons
-	Frozen        bool                 `json:"held,omitempty"` // frozen by an operator: only manual cordons and fleet bans are updated
-	Memory        *policy.Memory       `json:"memory,omitempty"`
-	Fleet         *cordon.FleetBans    `json:"fleet,omitempty"` // latest fleet bans
+	FormatVersion int                 `json:"form"`
+	Sequence      uint64              `json:"sequence"` // number of the save; the higher one is the later
+	Node          string              `json:"node"`     // the owner, checked also by processes that do not hold the lock
+	Saved         staleness.Timestamp `json:"saved"`
+	Confirmed     staleness.Timestamp `json:"confirmed"` // when discovery last answered
+	Source        string              `json:"by"`        // source of the servers
+	Rev           int64               `json:"rev"`       // discovery's revision
+	Servers       []Server            `json:"servers"`
+	ManualCordons []cordon.Entry      `json:"hand,omitempty"` // manual cordons
+	Frozen        bool                `json:"held,omitempty"` // frozen by an operator: only manual cordons and fleet bans are updated
+	Memory        *policy.Memory      `json:"memory,omitempty"`
+	Fleet         *cordon.FleetBans   `json:"fleet,omitempty"` // latest fleet bans
 }
 
 // check validates a snapshot that was read for node.
--- a/internal/kept/kept_test.go
+++ b/internal/nodestate/nodestate_test.go
@@ -1,4 +1,4 @@
-package kept
+package nodestate
 
 import (
 	"errors"
@@ -11,13 +11,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterstep/internal/confidence"
 	"otterstep/internal/cordon"
 	"otterstep/internal/fleet/record"
+	"otterstep/internal/staleness"
 )
 
 func view(rev int64, servers int) Snapshot {
-	v := Snapshot{Rev: rev, Source: "discovery", Saved: confidence.Timestamp{Wall: time.Unix(1000+rev, 0).UTC(), Boot: "b"}, ManualCordons: []cordon.Entry{{ID: "s1", Out: true, Stamp: 3}}}
+	v := Snapshot{Rev: rev, Source: "discovery", Saved: staleness.Timestamp{Wall: time.Unix(1000+rev, 0).UTC(), Boot: "b"}, ManualCordons: []cordon.Entry{{ID: "s1", Out: true, Stamp: 3}}}
 	for n := range servers {
 		v.Servers = append(v.Servers, Server{UID: fmt.Sprint("s", n), Endpoint: "127.0.0.1:1", State: "in_service", BootMs: int64(n)})
 	}
--- a/internal/door/door_test.go
+++ b/internal/operatorapi/operatorapi_test.go
@@ -1,4 +1,4 @@
-package door
+package operatorapi
 
 import (
 	"bufio"
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // maxInWindow returns the largest number of times within any window of the given length.
 func maxInWindow(all []time.Duration, within time.Duration) (n int) {
--- a/internal/ledger/ledger.go
+++ b/internal/rulecheck/checker.go
@@ -2,7 +2,7 @@
 // receive and the answers that clients get: no request is lost, no effect happens twice,
 // drains are kept, and no cold server is pushed over. It uses neither a clock nor sockets, so
 // that the simulation and the stand-in servers on loopback share it.
-package ledger
+package rulecheck
 
 import (
 	"fmt"
--- a/internal/ledger/ledger_test.go
+++ b/internal/rulecheck/checker_test.go
@@ -1,4 +1,4 @@
-package ledger
+package rulecheck
 
 import (
 	"math/rand/v2"
--- a/internal/listed/listed.go
+++ b/internal/serverlist/serverlist.go
@@ -1,5 +1,5 @@
 // Package listed handles server pools that are listed statically in a configuration file.
-package listed
+package serverlist
 
 import (
 	"fmt"
--- a/internal/sim/ledger.go
+++ b/internal/sim/checker.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"otterstep/internal/core"
-	"otterstep/internal/ledger"
+	"otterstep/internal/rulecheck"
 	"otterstep/policy"
 )
 
@@ -17,7 +17,7 @@
 // Checker reports the events of a World to the checks of package rulecheck. A record lives for as
 // long as an attempt, a server or a client references it.
 type Checker struct {
-	*ledger.Checker
+	*rulecheck.Checker
 	engine  *Engine
 	classes []policy.Class
 	open    int
@@ -25,7 +25,7 @@
 
 // record is the checker's state of one try.
 type record struct {
-	ledger.Record
+	rulecheck.Record
 	id       uint64
 	class    int
 	deadline time.Duration
@@ -34,7 +34,7 @@
 func (r *record) name() string { return fmt.Sprint("request ", r.id) }
 
 func newChecker(e *Engine, classes []policy.Class) *Checker {
-	return &Checker{Checker: ledger.New(drainGrace, sendGrace), engine: e, classes: classes}
+	return &Checker{Checker: rulecheck.New(drainGrace, sendGrace), engine: e, classes: classes}
 }
 
 // openRecord opens a record.
@@ -48,11 +48,11 @@
 func (l *Checker) closeRecord(r *record, owed bool) {
 	l.open--
 	if owed && !r.Answered() {
-		l.Answer(l.engine.Now(), &r.Record, r.name(), ledger.Lost, 0)
+		l.Answer(l.engine.Now(), &r.Record, r.name(), rulecheck.Lost, 0)
 	}
 }
 
-var effects = map[policy.Effect]ledger.Effect{policy.Safe: ledger.Safe, policy.Keyed: ledger.Keyed, policy.Unsafe: ledger.Unsafe}
+var effects = map[policy.Effect]rulecheck.Effect{policy.Safe: rulecheck.Safe, policy.Keyed: rulecheck.Keyed, policy.Unsafe: rulecheck.Unsafe}
 
 // ran records that a server begins a request; it returns false for a repeat that servers drop.
 func (l *Checker) ran(r *record, s *Server) bool {
@@ -65,12 +65,12 @@
 
 // answered records an answer that has arrived at a client.
 func (l *Checker) answered(r *record, kind core.Outcome) {
-	o := ledger.Failed
+	o := rulecheck.Failed
 	switch kind {
 	case core.Served:
-		o = ledger.Served
+		o = rulecheck.Served
 	case core.Refused:
-		o = ledger.Refused
+		o = rulecheck.Refused
 	}
 	l.Answer(l.engine.Now(), &r.Record, r.name(), o, r.deadline)
 }
--- a/internal/sim/clients.go
+++ b/internal/sim/clients.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"otterstep/internal/comeback"
+	"otterstep/internal/clientretry"
 	"otterstep/internal/core"
 	"otterstep/policy"
 )
@@ -23,7 +23,7 @@
 	Keys    int                         // number of distinct keys; 0: a unique key per request
 	Bursts  bool                        // arrivals in groups of ten
 	Curve   func(time.Duration) float64 // fraction of Rate over time; nil: constant
-	comeback.Behavior
+	clientretry.Behavior
 	// Impatient is the share of clients that disconnect without an answer after a time that
 	// is uniformly distributed from 0 to twice Patience.
 	Impatient float64
@@ -52,7 +52,7 @@
 	key           uint64
 	began, end    time.Duration
 	tries         int
-	client        comeback.Client
+	client        clientretry.Client
 	patience      time.Duration // the client disconnects after that; 0: it waits until the deadline
 }
 
@@ -201,7 +201,7 @@
 	}
 	t.ended = true
 	w.checker.closeRecord(t.record, true)
-	wait, again := t.client.Retry(comeback.Answer{
+	wait, again := t.client.Retry(clientretry.Answer{
 		Attempts: t.tries, Refused: a.Outcome == core.Refused, Unsafe: w.settings.Classes[t.class].Effect == policy.Unsafe,
 		RetryAfter: a.RetryAfter, TimeLeft: t.end - w.engine.Now(),
 	}, w.clients.rng)
--- a/internal/sim/cold_test.go
+++ b/internal/sim/cold_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/ledger"
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/rulecheck"
+	"otterstep/internal/standin/racedetector"
 )
 
 // coldFleet has thirty nodes, each of which sees little of the load. Servers restart cold under load, one at a time and a
@@ -34,7 +34,7 @@
 // from all nodes together than the settings allow plus random variation, N + 2*sqrt(N) + 2, even while a third of the
 // servers start at once. Random choice exceeds that, which shows that the check detects it.
 func TestFleetKeepsColdServerLimit(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	t.Parallel()
 	seeds := uint64(50)
 	if testing.Short() {
@@ -44,7 +44,7 @@
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			t.Parallel()
 			r := run(t, smallWorld(coldFleet), seed+1)
-			if r.ColdOver > 0 || r.Broken[ledger.PushedOver] > 0 {
+			if r.ColdOver > 0 || r.Broken[rulecheck.PushedOver] > 0 {
 				t.Errorf("%.1f requests beyond the limit and random variation; broken %v", r.ColdOver, r.Broken)
 			}
 		})
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 // largeTier is a tier of 80 nodes and 60 servers with on-request discovery: a single service that takes 50 ms per call, so
@@ -24,7 +24,7 @@
 // After a simultaneous start and after all watches have broken at once, every node watches the list again within 15 s, no
 // more than an eighth of the nodes call within a tenth of a second, and few calls are rejected.
 func TestDiscoveryCallsAreSpread(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	for name, faults := range map[string][]Fault{
 		"simultaneous start": nil,
 		"watches broken":     {{At: 5 * time.Second, For: 10 * time.Millisecond, What: "discovery"}},
--- a/internal/sim/returns/returns.go
+++ b/internal/sim/fleetrestart/fleetrestart.go
@@ -2,7 +2,7 @@
 // processes were killed and some of their persisted state was lost. The production code
 // decides what an agent may start (packages recovery, pace and duty); machines, disks, links
 // and discovery are modelled.
-package returns
+package fleetrestart
 
 import (
 	"fmt"
--- a/internal/sim/returns/returns_test.go
+++ b/internal/sim/fleetrestart/fleetrestart_test.go
@@ -1,4 +1,4 @@
-package returns
+package fleetrestart
 
 import (
 	"testing"
--- a/internal/sim/thin_test.go
+++ b/internal/sim/many_nodes_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/comeback"
-	"otterstep/internal/ledger"
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/clientretry"
+	"otterstep/internal/rulecheck"
+	"otterstep/internal/standin/racedetector"
 	"otterstep/policy"
 )
 
@@ -22,7 +22,7 @@
 	replaceServers(o, 35, func(s *ServerOptions) {
 		s.Parallel, s.Queue, s.Service = 6, 24, map[int]Distribution{0: service, 1: service, 2: service}
 	})
-	o.Load.Rate, o.Load.Behavior = 800, comeback.Behavior{HonorRetryAfter: 0.85, MaxAttempts: 2}
+	o.Load.Rate, o.Load.Behavior = 800, clientretry.Behavior{HonorRetryAfter: 0.85, MaxAttempts: 2}
 }
 
 // Without faults, the share of requests served within their aim must be at most 0.05 below that of the simplest baseline,
@@ -35,7 +35,7 @@
 // node at its limit gets hardly any. With only that evidence changed, 0.999 were served within the aim. Now the limit
 // uses the latencies of all answers (policy/concurrency.go).
 func TestManyNodesWithoutFaults(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	within := map[string]float64{}
 	for _, policyName := range []string{"", "random"} {
 		r := run(t, smallWorld(func(o *Options) { faultFreeTier(o); o.Policy = policyName }), 1)
@@ -76,7 +76,7 @@
 // the latency there. This test fails only without both that change and the fix of the concurrency limit; policy's
 // TestRequestsSpillOverFromASlowZone fails without the former alone.
 func TestRequestsLeaveOverloadedZone(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	requireNearBaseline(t, func(o *Options) {
 		o.Settings.Prices.CrossZone = 0.03
 		o.Load.Rate = 1000
@@ -100,7 +100,7 @@
 
 // Guards against treating pure service time as overload where it is a large part of the aim.
 func TestManyNodesServeTightAims(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	requireNearBaseline(t, tightAims)
 }
 
@@ -109,7 +109,7 @@
 // while answers take more than half of their aim, whatever the unloaded latency is. A target based on each node's unloaded
 // latency fixes this test, but admits more than TestShedsLaterWhereLateAnswersPay allows.
 func TestVeryManyNodesServeTightAims(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	requireNearBaseline(t, func(o *Options) {
 		tightAims(o)
 		o.Nodes = 160
@@ -121,7 +121,7 @@
 // full servers reject requests, nodes immediately retry them elsewhere, and each try counts as work sent. Now each
 // rejection by a full server lowers the limit.
 func TestServersRestartUnderManyNodes(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	for seed := range uint64(2) {
 		r := run(t, smallWorld(func(o *Options) {
 			o.Settings.Rules = policy.Rules{ColdFrom: 0.3, ColdFor: 9 * time.Second, FallMultiple: 1.2, FallFor: time.Second}
@@ -130,10 +130,10 @@
 			})
 			o.Nodes, o.For = 20, 10*time.Second
 			o.Load.Rate = 8 * 4 / 0.02 // the full capacity of the servers
-			o.Load.Behavior = comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}
+			o.Load.Behavior = clientretry.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}
 			o.Faults = []Fault{{At: 3 * time.Second, For: time.Second, What: "crash", Servers: []int{0, 1, 2, 3, 4, 5, 6, 7}}}
 		}), seed)
-		if n := r.Broken[ledger.PushedOver]; n > 0 {
+		if n := r.Broken[rulecheck.PushedOver]; n > 0 {
 			t.Errorf("seed %d: cold servers were pushed over %d times", seed, n)
 		}
 	}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"otterstep/internal/confidence"
 	"otterstep/internal/core"
+	"otterstep/internal/staleness"
 	"otterstep/policy"
 )
 
@@ -152,8 +152,8 @@
 		n.members(policy.ListCached, nil)
 		return
 	}
-	age := confidence.Age{Elapsed: now - n.savedAt + k.ExtraAge, Known: true}
-	if confidence.Classify(confidence.ListEntry{}, age, false, nil, nil) != confidence.Unconfirmed {
+	age := staleness.Age{Elapsed: now - n.savedAt + k.ExtraAge, Known: true}
+	if staleness.Classify(staleness.ListEntry{}, age, false, nil, nil) != staleness.Unconfirmed {
 		n.members(policy.ListCached, nil)
 		return
 	}
@@ -170,7 +170,7 @@
 			ages[s.listed.Server] = max(1, now-s.listed.Started)
 		}
 	}
-	if err := m.machine.Restore(now, confidence.Decay(*n.saved, m.machine.Learned(now), age, ages)); err != nil {
+	if err := m.machine.Restore(now, staleness.Decay(*n.saved, m.machine.Learned(now), age, ages)); err != nil {
 		panic(err) // cannot happen: the memory came from a Machine
 	}
 	n.afterEvent()
--- a/internal/sim/return_test.go
+++ b/internal/sim/restart_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/comeback"
-	"otterstep/internal/ledger"
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/clientretry"
+	"otterstep/internal/rulecheck"
+	"otterstep/internal/standin/racedetector"
 )
 
 // powerCut kills all nodes and servers 5 s into the run, while discovery is unavailable, and restarts them a
@@ -37,11 +37,11 @@
 // All nodes and servers restart together, the servers cold, while discovery is unavailable: the nodes serve
 // from persisted state before discovery is back, and push no server over.
 func TestSimultaneousRestart(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	for seed := range uint64(3) {
 		o := smallWorld(func(o *Options) { o.Load.Rate = 900; powerCut(o) })
 		r := run(t, o, seed+1)
-		if r.Broken[ledger.PushedOver] > 0 {
+		if r.Broken[rulecheck.PushedOver] > 0 {
 			t.Errorf("seed %d: %v", seed+1, r.Broken)
 		}
 		away, back := servedIn(r, 7, 12), servedIn(r, 14, 19)
@@ -56,7 +56,7 @@
 func overloadedRestart(k *SavedState, believe bool) TierRestart {
 	return TierRestart{
 		Nodes: 12, Servers: 4, Load: 3, DiscoveryDown: 4 * time.Second, CallTime: 10 * time.Millisecond, Observe: 7 * time.Second, FallMultiple: 1.05, Queue: 1,
-		SavedState: k, TrustSavedState: believe, ClientBehavior: comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3},
+		SavedState: k, TrustSavedState: believe, ClientBehavior: clientretry.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3},
 	}
 }
 
@@ -64,7 +64,7 @@
 // no server over and break no rule, even if half of the nodes have no usable state. Nodes that trust their persisted
 // list push servers over; nodes whose state is too old serve nothing before discovery is back.
 func TestTierRestart(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	t.Parallel()
 	const seed = 3
 	for name, k := range map[string]*SavedState{"fresh": {}, "three weeks, half of them broken": {ExtraAge: 21 * 24 * time.Hour, UnusableShare: 0.5}} {
--- a/internal/sim/results.go
+++ b/internal/sim/results.go
@@ -4,28 +4,28 @@
 	"time"
 
 	"otterstep/internal/latency"
-	"otterstep/internal/ledger"
+	"otterstep/internal/rulecheck"
 )
 
 // Results are the results of a run, in virtual time or on sockets. Use NewResults to create
 // them.
 type Results struct {
-	Asked    uint64                   `json:"asked"`     // requests, each counted once regardless of its tries
-	Tries    uint64                   `json:"tries"`     // requests sent to nodes
-	Attempts uint64                   `json:"attempts"`  // requests sent to servers
-	Counted  uint64                   `json:"counted"`   // requests that began after the warm-up
-	Within   uint64                   `json:"within"`    // requests served within their aim
-	Ends     map[string]uint64        `json:"ends"`      // requests by how they ended
-	Seconds  []Second                 `json:"seconds"`   // by the second in which requests began
-	Broken   map[ledger.Violation]int `json:"broken"`    // rule violations by kind
-	First    string                   `json:"first"`     // description of the first violation
-	Work     map[string]time.Duration `json:"work"`      // work done by each server
-	ColdOver float64                  `json:"cold_over"` // largest excess at one cold server beyond what the rules allow plus random variation, in requests of mean work; 0: none
-	Pushed   map[string]float64       `json:"pushed"`    // peak load of each cold server, as a fraction of the load that makes it fall over
-	Digest   string                   `json:"digest"`    // hash of all ended requests in their order
-	Events   int                      `json:"events"`    // simulation events that ran
-	Open     int                      `json:"open"`      // records still open at the end
-	P50, P99 time.Duration            `json:",omitzero"` // latency quantiles of served requests
+	Asked    uint64                      `json:"asked"`     // requests, each counted once regardless of its tries
+	Tries    uint64                      `json:"tries"`     // requests sent to nodes
+	Attempts uint64                      `json:"attempts"`  // requests sent to servers
+	Counted  uint64                      `json:"counted"`   // requests that began after the warm-up
+	Within   uint64                      `json:"within"`    // requests served within their aim
+	Ends     map[string]uint64           `json:"ends"`      // requests by how they ended
+	Seconds  []Second                    `json:"seconds"`   // by the second in which requests began
+	Broken   map[rulecheck.Violation]int `json:"broken"`    // rule violations by kind
+	First    string                      `json:"first"`     // description of the first violation
+	Work     map[string]time.Duration    `json:"work"`      // work done by each server
+	ColdOver float64                     `json:"cold_over"` // largest excess at one cold server beyond what the rules allow plus random variation, in requests of mean work; 0: none
+	Pushed   map[string]float64          `json:"pushed"`    // peak load of each cold server, as a fraction of the load that makes it fall over
+	Digest   string                      `json:"digest"`    // hash of all ended requests in their order
+	Events   int                         `json:"events"`    // simulation events that ran
+	Open     int                         `json:"open"`      // records still open at the end
+	P50, P99 time.Duration               `json:",omitzero"` // latency quantiles of served requests
 
 	warmUp time.Duration
 	served *latency.Histogram
@@ -106,7 +106,7 @@
 }
 
 // SetReport records the result of the rule checks.
-func (r *Results) SetReport(l ledger.Report) {
+func (r *Results) SetReport(l rulecheck.Report) {
 	if r.Broken = l.Broken; len(l.Descriptions) > 0 {
 		r.First = l.Descriptions[0]
 	}
--- a/internal/sim/server.go
+++ b/internal/sim/server.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"otterstep/internal/ledger"
+	"otterstep/internal/rulecheck"
 	"otterstep/policy"
 )
 
@@ -46,9 +46,9 @@
 	// peakColdLoad is the peak load while it was cold, as a fraction of the load that makes it
 	// fall over.
 	peakColdLoad float64
-	cold         ledger.ColdLoad // excess load while it was cold
-	meanWork     float64         // mean work over the classes, in seconds
-	work         time.Duration   // total work done, for the report
+	cold         rulecheck.ColdLoad // excess load while it was cold
+	meanWork     float64            // mean work over the classes, in seconds
+	work         time.Duration      // total work done, for the report
 	ran          int64
 }
 
--- a/internal/sim/server_test.go
+++ b/internal/sim/server_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 	"otterstep/policy"
 )
 
@@ -51,7 +51,7 @@
 // Compares simulated waiting times with the formulas for M/M/1, M/M/c (Erlang C) and M/G/1
 // (Pollaczek-Khinchine).
 func TestWaitsAgainstQueueingTheory(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	const ms = time.Millisecond
 	sigma := 0.6
 	for _, c := range []struct {
@@ -78,7 +78,7 @@
 // that go to the shorter of two queues, the share of servers with i requests or more is
 // r^(2^i - 1).
 func TestPowerOfTwoChoicesAgainstTheSupermarketModel(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	const servers, rate, looks = 500, 0.8, 1500
 	e := NewEngine(time.Hour)
 	l := newChecker(e, []policy.Class{{}})
--- a/internal/sim/herd.go
+++ b/internal/sim/tier_restart.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"otterstep/internal/comeback"
-	"otterstep/internal/ledger"
+	"otterstep/internal/clientretry"
+	"otterstep/internal/rulecheck"
 	"otterstep/policy"
 )
 
@@ -22,7 +22,7 @@
 	Observe         time.Duration // observed time after the restart
 	SavedState      *SavedState   // persisted state; nil: nodes restart without any
 	TrustSavedState bool          // nodes trust persisted state as if discovery had confirmed it
-	ClientBehavior  comeback.Behavior
+	ClientBehavior  clientretry.Behavior
 	FallMultiple    float64 // load, as a multiple of its capacity, that makes a cold server fall over; 2 if 0
 	Queue           int     // queue capacity of each server; 32 if 0
 	ExtraRestarts   int     // all nodes are killed again after each of the first n seconds
@@ -110,9 +110,9 @@
 		}
 	}
 	res := w.Run()
-	r := TierRestartResult{PushedOver: res.Broken[ledger.PushedOver]}
+	r := TierRestartResult{PushedOver: res.Broken[rulecheck.PushedOver]}
 	for b, n := range res.Broken {
-		if b != ledger.PushedOver {
+		if b != rulecheck.PushedOver {
 			r.OtherViolations += n
 		}
 	}
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/comeback"
-	"otterstep/internal/ledger"
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/clientretry"
+	"otterstep/internal/rulecheck"
+	"otterstep/internal/standin/racedetector"
 	"otterstep/policy"
 )
 
@@ -25,7 +25,7 @@
 		Nodes: 2, Settings: s, For: 8 * time.Second, WarmUp: time.Second,
 		Net:       Network{Latency: Distribution{Kind: "exponential", Mean: time.Millisecond}},
 		ClientNet: Distribution{Kind: "constant", Mean: time.Millisecond}, ListDelay: Distribution{Kind: "uniform", Mean: 100 * time.Millisecond},
-		Load: Load{Rate: 250, Shares: []float64{0.7, 0.15, 0.15}, Tenants: 5, Skew: 1, Behavior: comeback.Behavior{HonorRetryAfter: 1, MaxAttempts: 3}},
+		Load: Load{Rate: 250, Shares: []float64{0.7, 0.15, 0.15}, Tenants: 5, Skew: 1, Behavior: clientretry.Behavior{HonorRetryAfter: 1, MaxAttempts: 3}},
 	}
 	service := Distribution{Kind: "lognormal", Mean: 20 * time.Millisecond, Sigma: 0.5}
 	for i := range 6 {
@@ -95,7 +95,7 @@
 // Under each kind of fault the rules hold and each request ends; without faults nearly all
 // requests are served within their aim.
 func TestRulesHoldUnderEachFault(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	calm := run(t, smallWorld(nil), 1)
 	if calm.Share() < 0.99 || calm.Open != 0 || len(calm.Broken) > 0 {
 		t.Errorf("no faults: %.3f within the aim, %d open, broken %v: %s", calm.Share(), calm.Open, calm.Broken, calm.First)
@@ -120,7 +120,7 @@
 
 // The rule checks detect each defect planted in a node.
 func TestPlantedDefectsAreDetected(t *testing.T) {
-	for rule, change := range map[ledger.Violation]func(*Options){
+	for rule, change := range map[rulecheck.Violation]func(*Options){
 		"a second answer":             func(o *Options) { o.Defects.DuplicateAnswers = true },
 		"a request without an answer": func(o *Options) { o.Defects.DropEvery = 50 },
 		"an effect happened twice": func(o *Options) {
@@ -167,7 +167,7 @@
 // With on-request discovery, nodes watch the list, receive changes, and continue to serve while
 // discovery is unavailable or stale; calls that would wait too long are rejected and repeated.
 func TestOnRequestDiscovery(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	runOnRequest := func(change func(*Options)) *Results {
 		return run(t, smallWorld(func(o *Options) {
 			o.Pull, o.Call, o.MaxWait = true, 5*time.Millisecond, 2*time.Second
@@ -207,7 +207,7 @@
 		"flap":        {[]Fault{{At: 2 * time.Second, For: 5 * time.Second, What: "flap", Servers: []int{2}, Amount: 2}}, true},
 	} {
 		ignoring := runOnRequest(func(o *Options) { o.Faults, o.Defects.IgnoreChanges = c.faults, true })
-		if got := ignoring.Broken[ledger.AfterDrain] > 0; got != c.heard {
+		if got := ignoring.Broken[rulecheck.AfterDrain] > 0; got != c.heard {
 			t.Errorf("%s: nodes received the change: %v, want %v", name, got, c.heard)
 		}
 	}
--- a/internal/sip/config.go
+++ b/internal/sip/config.go
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"otterstep/internal/listed"
+	"otterstep/internal/serverlist"
 	"otterstep/internal/sip/proxy"
 	"otterstep/internal/sip/token"
 	"otterstep/internal/tlsfile"
@@ -26,14 +26,14 @@
 	Key      string `toml:"key"`       //
 	ClientCA string `toml:"client_ca"` // callers must show a certificate of it; "" for none
 
-	TokenKey   string            `toml:"token_key"`   // a file of 32 bytes or more, the same at all instances
-	DialogFor  tomlfile.Duration `toml:"dialog_for"`  // how long a dialog is routed
-	Model      string            `toml:"model"`       // servers are those of this model in discovery's list
-	Servers    []listed.Server   `toml:"server"`      // or these
-	Instances  int               `toml:"instances"`   // that share the servers, this one included
-	RetryAfter tomlfile.Duration `toml:"retry_after"` // least advice to callers refused; at most twice that is given
-	Ping       tomlfile.Duration `toml:"ping"`        // how often it is looked whether a server is due its trial, an OPTIONS
-	Drain      tomlfile.Duration `toml:"drain"`       // a node told to end waits so long for calls being set up
+	TokenKey   string              `toml:"token_key"`   // a file of 32 bytes or more, the same at all instances
+	DialogFor  tomlfile.Duration   `toml:"dialog_for"`  // how long a dialog is routed
+	Model      string              `toml:"model"`       // servers are those of this model in discovery's list
+	Servers    []serverlist.Server `toml:"server"`      // or these
+	Instances  int                 `toml:"instances"`   // that share the servers, this one included
+	RetryAfter tomlfile.Duration   `toml:"retry_after"` // least advice to callers refused; at most twice that is given
+	Ping       tomlfile.Duration   `toml:"ping"`        // how often it is looked whether a server is due its trial, an OPTIONS
+	Drain      tomlfile.Duration   `toml:"drain"`       // a node told to end waits so long for calls being set up
 
 	Upstream struct {
 		Transport string `toml:"transport"` // to the servers: udp, tcp or tls
@@ -154,7 +154,7 @@
 	case c.Model != "" && len(c.Servers) > 0:
 		f.Errorf("sip.model", "servers come from discovery's list or from [[sip.server]], not from both")
 	}
-	listed.Check(f, "sip.server", c.Servers)
+	serverlist.Check(f, "sip.server", c.Servers)
 	if _, err := c.sealer(); err != nil {
 		f.Errorf("sip.token_key", "%v", err)
 	}
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"otterstep/internal/core"
-	"otterstep/internal/listed"
+	"otterstep/internal/serverlist"
 	"otterstep/internal/sip/message"
 	"otterstep/internal/sip/proxy"
 	"otterstep/internal/sip/transaction"
@@ -185,7 +185,7 @@
 		all.Go(func() { f.accept(l, transport) })
 	}
 	all.Go(func() { f.ping(ctx) })
-	if entries, addrs := listed.Entries(f.config.Servers); len(entries) > 0 {
+	if entries, addrs := serverlist.Entries(f.config.Servers); len(entries) > 0 {
 		f.Members(policy.ListFull, entries, addrs)
 	}
 	f.log.Info("SIP is served", "listen", f.Listen(), "servers", f.config.Upstream.Transport)
--- a/internal/sip/hard_test.go
+++ b/internal/sip/hard_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"otterstep/internal/fleet/pki"
-	"otterstep/internal/listed"
+	"otterstep/internal/serverlist"
 	"otterstep/internal/sip/proxy"
 	"otterstep/internal/standin/sipua"
 	"otterstep/policy"
@@ -389,7 +389,7 @@
 
 // list sets the states of the desk's servers.
 func (d *desk) list(change func(entries []policy.Entry)) {
-	entries, addrs := listed.Entries(d.front.config.Servers)
+	entries, addrs := serverlist.Entries(d.front.config.Servers)
 	change(entries)
 	d.front.Members(policy.ListDelta, entries, addrs)
 }
--- a/internal/confidence/confidence_test.go
+++ b/internal/staleness/staleness_test.go
@@ -1,4 +1,4 @@
-package confidence
+package staleness
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	"pgregory.net/rapid"
 
-	"otterstep/internal/standin/drawn"
+	"otterstep/internal/standin/fixedseed"
 	"otterstep/policy"
 )
 
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // Compares ages with a simple model: between two points in time the wall clock may be set and the machine may
 // reboot. Without a reboot the age is exact, whatever the wall clock did; after a reboot it is as accurate as
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"otterstep/internal/ledger"
+	"otterstep/internal/rulecheck"
 )
 
 // Class is a class of requests as boxes and clients see it.
@@ -79,7 +79,7 @@
 	draining   bool
 	fell       bool
 	admitted   int
-	cold       ledger.ColdLoad
+	cold       rulecheck.ColdLoad
 	excessWork float64 // seconds of work beyond a cold box's limit, see addColdWork
 	excessAt   time.Time
 	rng        *rand.Rand
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"otterstep/internal/comeback"
+	"otterstep/internal/clientretry"
 	"otterstep/internal/load"
 )
 
@@ -162,7 +162,7 @@
 	MaxOpen int // bound on open requests; above it none is sent, see Clients.Skipped
 	// FullDeadline gives each request the full deadline of its class instead of 70% to 100% of it.
 	FullDeadline bool
-	Comeback     comeback.Behavior // retries after a refusal, or after a failure of a request that may run twice
+	Comeback     clientretry.Behavior // retries after a refusal, or after a failure of a request that may run twice
 	// OnEnd, if set, is called at the end of each request, on any goroutine.
 	OnEnd func(RequestResult)
 }
@@ -276,7 +276,7 @@
 		}
 		e.Sent = true
 		e.Tries++
-		wait, again := client.Retry(comeback.Answer{
+		wait, again := client.Retry(clientretry.Answer{
 			Attempts: e.Tries, Refused: e.Outcome == Refused, Unsafe: class.Effect == Unsafe, RetryAfter: retryAfter, TimeLeft: time.Until(end),
 		}, rng)
 		if e.Outcome == Served || e.Outcome == Lost || !again {
--- a/internal/standin/faults/check.go
+++ b/internal/standin/faults/check.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"otterstep/internal/fleet/book"
+	"otterstep/internal/fleet/agentstate"
 	"otterstep/internal/fleet/duty"
 	"otterstep/internal/fleet/protocol"
 	"otterstep/internal/fleet/record"
@@ -81,7 +81,7 @@
 			return nil
 		}
 		seen[string(text)] = true
-		var e book.Entry
+		var e agentstate.Entry
 		if err := json.Unmarshal(text, &e); err != nil {
 			return err
 		}
--- a/internal/standin/drawn/drawn.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
 // Package drawn fixes the random seed of property tests, so that a build gives the same result on each run.
-package drawn
+package fixedseed
 
 import (
 	"flag"
--- a/internal/standin/lab/play_test.go
+++ b/internal/standin/lab/experiment_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"otterstep/internal/experiment"
-	"otterstep/internal/ledger"
 	"otterstep/internal/node"
+	"otterstep/internal/rulecheck"
 	"otterstep/internal/standin"
 )
 
@@ -212,15 +212,15 @@
 	withoutFaults, _, _ := strings.Cut(strings.Replace(experimentText, "for = \"7s\"", "for = \"4s\"", 1), "[[fault]]")
 	for name, c := range map[string]struct {
 		text string
-		want []ledger.Violation
+		want []rulecheck.Violation
 	}{
 		"drain": {
 			strings.Replace(withoutFaults, "rate = 80.0", "rate = 40.0", 1) + "[[fault]]\nat = \"1500ms\"\nwhat = \"drain\"\nservers = [0]\n",
-			[]ledger.Violation{ledger.RanTwice, ledger.AfterDrain, ledger.SecondAnswer},
+			[]rulecheck.Violation{rulecheck.RanTwice, rulecheck.AfterDrain, rulecheck.SecondAnswer},
 		},
 		"cold": {
 			strings.NewReplacer("rate = 80.0", "rate = 150.0", "zones = 2", "zones = 2\ncold = true").Replace(withoutFaults),
-			[]ledger.Violation{ledger.PushedOver},
+			[]rulecheck.Violation{rulecheck.PushedOver},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/standin/lab/return_test.go
+++ b/internal/standin/lab/fleetrestart_test.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"otterstep/internal/cli"
-	"otterstep/internal/comeback"
+	"otterstep/internal/clientretry"
 	"otterstep/internal/control"
 	"otterstep/internal/fleet/record"
-	"otterstep/internal/kept"
+	"otterstep/internal/nodestate"
 	"otterstep/internal/standin"
 	"otterstep/internal/standin/mutant"
 )
@@ -92,9 +92,9 @@
 }
 
 // editSavedState changes the saved state of an instance that is not running.
-func (w *testFleet) editSavedState(i Instance, change func(*kept.Snapshot)) {
+func (w *testFleet) editSavedState(i Instance, change func(*nodestate.Snapshot)) {
 	w.t.Helper()
-	s, v, problems := kept.Open(record.OS{}, w.savedFile(i), i.Name)
+	s, v, problems := nodestate.Open(record.OS{}, w.savedFile(i), i.Name)
 	defer s.Close()
 	if v == nil {
 		w.t.Fatalf("%s has no saved state: %v", i.Name, problems)
@@ -108,8 +108,8 @@
 }
 
 // withAge makes saved state older by the given time, and makes it look saved before the machine's last boot.
-func withAge(by time.Duration) func(*kept.Snapshot) {
-	return func(v *kept.Snapshot) {
+func withAge(by time.Duration) func(*nodestate.Snapshot) {
+	return func(v *nodestate.Snapshot) {
 		v.Saved.Wall, v.Confirmed.Wall = v.Saved.Wall.Add(-by), v.Confirmed.Wall.Add(-by)
 		v.Saved.Boot, v.Confirmed.Boot = "another", "another"
 	}
@@ -219,7 +219,7 @@
 	"clients that retry": {
 		minServed: 30,
 		change: func(o *Options) {
-			o.ClientBehavior = comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}
+			o.ClientBehavior = clientretry.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}
 		},
 	},
 	// A lower rate would suffice to make servers fall over: see TestCheckerDetectsTrustInSavedState.
@@ -227,7 +227,7 @@
 		minServed: 30,
 		minShare:  0.4,
 		change: func(o *Options) {
-			o.Rate, o.ClientBehavior, o.FallMultiple = 110, comeback.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}, 1.2
+			o.Rate, o.ClientBehavior, o.FallMultiple = 110, clientretry.Behavior{MaxAttempts: 3, HonorRetryAfter: 0.7, RetryImmediately: 0.3}, 1.2
 			o.AdjustBox = func(_ int, b *standin.BoxOptions) { b.Cores, b.Speed, b.Queue = 1, 1, 1 }
 		},
 	},
@@ -419,7 +419,7 @@
 	time.Sleep(2 * saveInterval)
 	w.killAll()
 	for n, servers := range []int{len(w.Boxes), len(w.Boxes), len(w.Boxes)} {
-		w.editSavedState(w.Instances[n], func(v *kept.Snapshot) {
+		w.editSavedState(w.Instances[n], func(v *nodestate.Snapshot) {
 			if len(v.Servers) != servers || len(v.ManualCordons) != 1 || v.Frozen != (n == 1) || v.Rev == 0 {
 				t.Errorf("saved state of n%d: %d servers, manual cordons %+v, frozen %v, revision %d", n+1, len(v.Servers), v.ManualCordons, v.Frozen, v.Rev)
 			}
--- a/internal/standin/lab/lab.go
+++ b/internal/standin/lab/lab.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterstep/internal/comeback"
+	"otterstep/internal/clientretry"
 	"otterstep/internal/fleet/group"
 	"otterstep/internal/standin"
 	"otterstep/internal/standin/faults"
@@ -55,7 +55,7 @@
 	OperatorPorts bool
 	// FallMultiple is the load, as a multiple of a cold box's capacity, at which the box falls over; 3 if 0.
 	FallMultiple   float64
-	ClientBehavior comeback.Behavior // how clients retry
+	ClientBehavior clientretry.Behavior // how clients retry
 	// AdjustSettings, if set, changes the settings in the instances' configurations.
 	AdjustSettings func(settings map[string]any)
 	Seed           uint64
--- a/internal/standin/lab/measure.go
+++ b/internal/standin/lab/measure.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"otterstep/internal/fleet/book"
+	"otterstep/internal/fleet/agentstate"
 	"otterstep/internal/fleet/duty"
 	"otterstep/internal/fleet/group"
 	"otterstep/internal/fleet/protocol"
@@ -98,7 +98,7 @@
 func firstEffect(path string, after time.Time) (at time.Time, err error) {
 	raised := false
 	err = record.Read(record.OS{}, path, func(text json.RawMessage) error {
-		var e book.Entry
+		var e agentstate.Entry
 		if err := json.Unmarshal(text, &e); err != nil {
 			return err
 		}
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -5,28 +5,28 @@
 	"sync"
 	"time"
 
-	"otterstep/internal/ledger"
+	"otterstep/internal/rulecheck"
 )
 
 // Effect tells what a repetition of a request would do.
-type Effect = ledger.Effect
+type Effect = rulecheck.Effect
 
 // The effects of a class.
 const (
-	Safe   = ledger.Safe
-	Keyed  = ledger.Keyed
-	Unsafe = ledger.Unsafe
+	Safe   = rulecheck.Safe
+	Keyed  = rulecheck.Keyed
+	Unsafe = rulecheck.Unsafe
 )
 
 // Outcome is how a request ended for its client.
-type Outcome = ledger.Outcome
+type Outcome = rulecheck.Outcome
 
 // The outcomes of a request.
 const (
-	Served  = ledger.Served
-	Refused = ledger.Refused
-	Failed  = ledger.Failed
-	Lost    = ledger.Lost // no complete answer before the client's deadline
+	Served  = rulecheck.Served
+	Refused = rulecheck.Refused
+	Failed  = rulecheck.Failed
+	Lost    = rulecheck.Lost // no complete answer before the client's deadline
 )
 
 const (
@@ -44,29 +44,29 @@
 	maxRequests int
 
 	mu       sync.Mutex
-	rules    *ledger.Checker
+	rules    *rulecheck.Checker
 	epoch    time.Time // origin of the times that rules is given
-	requests map[string]*ledger.Record
+	requests map[string]*rulecheck.Record
 	order    []string // ring buffer of the IDs in requests
 	next     int
-	counts   map[string]*[ledger.Outcomes]int
+	counts   map[string]*[rulecheck.Outcomes]int
 	attempts int // number of attempts that boxes received
 }
 
 // NewLedger returns a ledger that remembers up to most requests.
 func NewLedger(most int) *Ledger {
 	return &Ledger{
-		maxRequests: most, rules: ledger.New(drainGrace, lateAttemptGrace), requests: map[string]*ledger.Record{}, order: make([]string, 0, most),
-		counts: map[string]*[ledger.Outcomes]int{},
+		maxRequests: most, rules: rulecheck.New(drainGrace, lateAttemptGrace), requests: map[string]*rulecheck.Record{}, order: make([]string, 0, most),
+		counts: map[string]*[rulecheck.Outcomes]int{},
 	}
 }
 
 // recordOf returns a request's record, which it creates if need be in place of the oldest. The
 // caller holds l.mu.
-func (l *Ledger) recordOf(id string) *ledger.Record {
+func (l *Ledger) recordOf(id string) *rulecheck.Record {
 	r := l.requests[id]
 	if r == nil {
-		r = &ledger.Record{}
+		r = &rulecheck.Record{}
 		l.requests[id] = r
 		if len(l.order) < l.maxRequests {
 			l.order = append(l.order, id)
@@ -116,7 +116,7 @@
 	r := l.recordOf(id)
 	if !r.Answered() {
 		if l.counts[class] == nil {
-			l.counts[class] = new([ledger.Outcomes]int)
+			l.counts[class] = new([rulecheck.Outcomes]int)
 		}
 		l.counts[class][o]++
 	}
@@ -132,7 +132,7 @@
 
 // Report is the result of a ledger's checks.
 type Report struct {
-	ledger.Report
+	rulecheck.Report
 	Counts  map[string][]int // by class: served, refused, failed, lost
 	Arrived int              // attempts that boxes received
 }
--- a/internal/standin/racing/racing.go
+++ b/internal/standin/racedetector/racedetector.go
@@ -1,6 +1,6 @@
 // Package racing lets single-threaded tests skip runs under the race detector, which finds nothing in them and
 // makes them take five times as long. The README's first command runs them without it.
-package racing
+package racedetector
 
 import "testing"
 
--- a/internal/passing/passing.go
+++ b/internal/streaming/streaming.go
@@ -1,6 +1,6 @@
 // Package passing hands a streamed answer from the attempt that reads it from the server to
 // the goroutine that writes it to the client. All fronts that stream answers share it.
-package passing
+package streaming
 
 import (
 	"context"
--- a/internal/web/config.go
+++ b/internal/web/config.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"otterstep/internal/listed"
+	"otterstep/internal/serverlist"
 	"otterstep/internal/tlsfile"
 	"otterstep/internal/tomlfile"
 	"otterstep/internal/web/classify"
@@ -23,8 +23,8 @@
 	Cert     []Cert `toml:"cert"`      // TLS with one of these, chosen by the name asked for; none: plain
 	ClientCA string `toml:"client_ca"` // clients must show a certificate of it
 
-	Servers   []listed.Server `toml:"server"`
-	Instances int             `toml:"instances"` // that share the servers, this one included
+	Servers   []serverlist.Server `toml:"server"`
+	Instances int                 `toml:"instances"` // that share the servers, this one included
 
 	Upstream struct {
 		TLS         bool              `toml:"tls"`
@@ -147,7 +147,7 @@
 	if len(c.Servers) == 0 {
 		f.Errorf(key, "no servers: list them as [[web.server]]")
 	}
-	listed.Check(f, key+".server", c.Servers)
+	serverlist.Check(f, key+".server", c.Servers)
 	count("instances", &c.Instances, 1, 10_000)
 	count("attempts", &c.Attempts, 3, 16)
 	least("retry_after", &c.RetryAfter, time.Second, time.Millisecond)
--- a/internal/web/exchange.go
+++ b/internal/web/exchange.go
@@ -15,7 +15,7 @@
 	"otterstep/internal/conns"
 	"otterstep/internal/core"
 	"otterstep/internal/h1"
-	"otterstep/internal/passing"
+	"otterstep/internal/streaming"
 	"otterstep/internal/web/fields"
 	"otterstep/internal/web/verdict"
 	"otterstep/policy"
@@ -37,12 +37,12 @@
 	expects bool        // the client waits for 100 before it sends the body
 	taken   atomic.Bool // an attempt reads the rest
 
-	ctx     context.Context  // ends when the client goes or is answered
-	interim chan h1.Head     // 103s on their way to the client; one that finds no room is dropped
-	passed  *passing.Handoff // the one answer that goes to the client as it comes
-	reading sync.WaitGroup   // of the client's body
-	stop    func()           // makes that end
-	stopped atomic.Bool      // it was
+	ctx     context.Context    // ends when the client goes or is answered
+	interim chan h1.Head       // 103s on their way to the client; one that finds no room is dropped
+	passed  *streaming.Handoff // the one answer that goes to the client as it comes
+	reading sync.WaitGroup     // of the client's body
+	stop    func()             // makes that end
+	stopped atomic.Bool        // it was
 
 	mu       sync.Mutex
 	fallback *whole // the last answer that was held back
@@ -232,7 +232,7 @@
 		if !turn.ClaimAnswer() {
 			return policy.Cancelled, false
 		}
-		return x.passed.Send(&passing.Answer{Head: h, Tunnel: c}), false
+		return x.passed.Send(&streaming.Answer{Head: h, Tunnel: c}), false
 	}
 	c.ReadLimit.N = h1.NoReadLimit
 	b, err := h.OpenBody(c.In, x.method)
@@ -253,7 +253,7 @@
 	if !turn.ClaimAnswer() {
 		return policy.Cancelled, false
 	}
-	in := &passing.Answer{Head: h, Body: b}
+	in := &streaming.Answer{Head: h, Body: b}
 	select {
 	case err := <-sent: // nil, for ever, if there is nothing to send
 		sent <- err
--- a/internal/web/front.go
+++ b/internal/web/front.go
@@ -25,8 +25,8 @@
 	"otterstep/internal/conns"
 	"otterstep/internal/core"
 	"otterstep/internal/h1"
-	"otterstep/internal/listed"
-	"otterstep/internal/passing"
+	"otterstep/internal/serverlist"
+	"otterstep/internal/streaming"
 	"otterstep/internal/web/classify"
 	"otterstep/internal/web/fields"
 	"otterstep/policy"
@@ -183,8 +183,8 @@
 }
 
 // Members hands over the pool's servers, or changes to them.
-func (f *Front) Members(kind policy.ListKind, servers []listed.Server) {
-	entries, addrs := listed.Entries(servers)
+func (f *Front) Members(kind policy.ListKind, servers []serverlist.Server) {
+	entries, addrs := serverlist.Entries(servers)
 	f.loop.UpdateServers(kind, entries, addrs)
 }
 
@@ -355,7 +355,7 @@
 	}
 	x := &exchange{ // never another one: what is hooked below reads it on other goroutines
 		front: f, method: r.Method, uri: originForm(r), host: r.Host, length: r.ContentLength,
-		interim: make(chan h1.Head, h1.MaxInterim), passed: passing.New(),
+		interim: make(chan h1.Head, h1.MaxInterim), passed: streaming.New(),
 		trailer: func() http.Header { return r.Trailer },
 	}
 	x.upgrade = fields.Upgrade(r.Header)
--- a/internal/web/multiplexed.go
+++ b/internal/web/multiplexed.go
@@ -19,7 +19,7 @@
 	"otterstep/internal/conns"
 	"otterstep/internal/core"
 	"otterstep/internal/h1"
-	"otterstep/internal/passing"
+	"otterstep/internal/streaming"
 	"otterstep/internal/web/fields"
 	"otterstep/internal/web/verdict"
 	"otterstep/policy"
@@ -231,7 +231,7 @@
 	if !turn.ClaimAnswer() {
 		return policy.Cancelled
 	}
-	if end := x.passed.Send(&passing.Answer{Head: h, Body: b}); end != policy.OK {
+	if end := x.passed.Send(&streaming.Answer{Head: h, Body: b}); end != policy.OK {
 		return end
 	}
 	return v.Status
--- a/internal/web/relay.go
+++ b/internal/web/relay.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"otterstep/internal/h1"
-	"otterstep/internal/passing"
+	"otterstep/internal/streaming"
 	"otterstep/internal/web/fields"
 	"otterstep/policy"
 )
@@ -18,7 +18,7 @@
 // relay passes an answer on while it comes. From its first byte on there is no way back:
 // one that breaks ends the client's connection, or stream, so that it can't be taken for
 // whole.
-func (f *Front) relay(w http.ResponseWriter, r *http.Request, x *exchange, in *passing.Answer) {
+func (f *Front) relay(w http.ResponseWriter, r *http.Request, x *exchange, in *streaming.Answer) {
 	if in.Tunnel != nil {
 		in.Finish(f.tunnel(w, r, x, in))
 		return
@@ -43,7 +43,7 @@
 	b := f.buffers.Get().(*[]byte)
 	defer f.buffers.Put(b)
 	switch err := in.Copy(x.ctx, w, f.opt.Limits.Stall.Duration, *b); {
-	case errors.Is(err, passing.ErrClientGone):
+	case errors.Is(err, streaming.ErrClientGone):
 		f.gone.Add(1)
 		panic(http.ErrAbortHandler)
 	case err != nil:
@@ -65,7 +65,7 @@
 
 // tunnel changes protocols: from then on bytes go both ways until both sides have ended, a
 // side says nothing for too long, the time is up, or the drain ends it.
-func (f *Front) tunnel(w http.ResponseWriter, r *http.Request, x *exchange, in *passing.Answer) policy.Status {
+func (f *Front) tunnel(w http.ResponseWriter, r *http.Request, x *exchange, in *streaming.Answer) policy.Status {
 	f.tunnels.Add(1)
 	defer f.tunnels.Add(-1)
 	up := in.Tunnel
--- a/internal/web/stream_test.go
+++ b/internal/web/stream_test.go
@@ -20,7 +20,7 @@
 	"golang.org/x/net/http2"
 
 	"otterstep/internal/fleet/pki"
-	"otterstep/internal/listed"
+	"otterstep/internal/serverlist"
 	"otterstep/internal/standin/webbox"
 	"otterstep/policy"
 )
@@ -311,7 +311,7 @@
 			c = one
 		}
 	}
-	entries, addrs := listed.Entries(r.front.opt.Servers[:1])
+	entries, addrs := serverlist.Entries(r.front.opt.Servers[:1])
 	entries[0].State = policy.Draining
 	r.front.loop.UpdateServers(policy.ListDelta, entries, addrs)
 	before := len(r.boxes[0].Requests())
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 // Guards against several nodes, each on its own, overloading a cold server: a plain model of one cold server
 // of unknown size, and nodes that send whatever maySend allows. In no window may the work sent exceed the
 // multiple of what the server can do in it, and its capacity must be found within seconds, whatever its size.
 func TestColdServersAreNotOverloaded(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	for _, size := range []float64{0.5, 2, 8, 32} {
 		if over, did := simulateColdServer(t, size, usualLoad, ListFull, func(e *Entry, now time.Duration) { e.Started = now }); over > 0 || did < 0.8 {
 			t.Errorf("size %v: sent %.3f s of work too much in a window; after four seconds it does %.2f of what it can", size, over, did)
@@ -24,7 +24,7 @@
 // unconfirmed it is sent only what a cold one can do, and more as it answers. Nodes that trust the old list
 // overload it.
 func TestUnconfirmedServersAreNotOverloaded(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	for _, size := range []float64{0.5, 2, 8, 32} {
 		if over, did := simulateColdServer(t, size, usualLoad, ListCached, func(e *Entry, _ time.Duration) { e.Unconfirmed = true }); over > 0 || did < 0.5 {
 			t.Errorf("size %v: sent %.3f s of work too much in a window; after four seconds it does %.2f of what it can", size, over, did)
--- a/policy/hand_test.go
+++ b/policy/cordon_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 // Checks cordons against a plain model: whatever the list says, nothing is sent to a server between Cordon and
 // Uncordon, over 50 seeds of lists, requests and outcomes.
 func TestCordonedServersGetNothing(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		h := newHost()
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 // newFleet returns the nodes of a tier, each with its own seed and the same list.
@@ -81,7 +81,7 @@
 // Guards against many nodes that each send a key elsewhere, so that no server keeps it warm, and against a
 // hot key that overloads a single server.
 func TestManyNodesAgreeOnTheServersOfAKey(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	const nodes, servers, hot, rare = 80, 60, 1, 2
 	set := testSettings()
 	set.WarmKeys = true
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"otterstep/internal/standin/racing"
+	"otterstep/internal/standin/racedetector"
 )
 
 // scriptHost runs a random script against one Balancer and checks the rules on each
@@ -206,7 +206,7 @@
 }
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	for servers, seeds := range map[int]uint64{8: 6, maxFullScan + 40: 2} { // below and above the limit for full scans
 		for seed := range seeds {
 			t.Run(fmt.Sprintf("%d servers, seed %d", servers, seed), func(t *testing.T) { runScript(t, seed, servers) })
@@ -215,7 +215,7 @@
 }
 
 func TestSameEventsAndSeedGiveTheSameActions(t *testing.T) {
-	racing.Skip(t)
+	racedetector.Skip(t)
 	first, second := runScript(t, 3, 8), runScript(t, 3, 8)
 	if a, b := strings.Join(first, "\n"), strings.Join(second, "\n"); a != b {
 		t.Fatal("two runs of the same script differ")
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -755,7 +755,7 @@
 // The module is ported by hand, so the decision logic must stay small and readable.
 func TestModuleSize(t *testing.T) {
 	count := 0
-	for _, name := range []string{"policy.go", "pick.go", "hand.go"} {
+	for _, name := range []string{"policy.go", "pick.go", "cordon.go"} {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
