--- a/internal/web/classify/classify.go
+++ b/internal/web/classify/classify.go
@@ -1,5 +1,5 @@
-// Package classify decides what a request of ordinary HTTP is to the decision module: its
-// class, what a repeat of it would do, its tenant and its key. It does no I/O.
+// Package classify derives from an HTTP request what the decision module needs: its class,
+// its effect when repeated, its tenant and its key. It does no I/O.
 package classify
 
 import (
@@ -16,155 +16,156 @@
 	"otterstep/policy"
 )
 
-// Rule gives requests that fit all of it a class. What is empty fits any.
+// Rule assigns a class to requests that match all of its fields. An empty field matches any.
 type Rule struct {
 	Host    string   // "shop.example", or "*.example" for all names below it
-	Path    string   // "/api/" and all below it, or "/users/*/orders" as a whole; "*" is any one segment
+	Path    string   // "/api/" is a prefix, "/users/*/orders" matches exactly; "*" is any one segment
 	Methods []string // upper case
-	Header  string   // a field that must be there,
-	Value   string   // with this value if it is not empty
+	Header  string   // a field that must be present,
+	Value   string   // with this value unless Value is empty
 	Class   int
 }
 
-// Class is a class as the operator has it.
+// Class is a class from the configuration.
 type Class struct {
 	Name string
-	// Dropped tells that servers drop repeats of an Idempotency-Key.
-	Dropped bool
+	// DropsRepeats tells that servers drop repeats of an Idempotency-Key.
+	DropsRepeats bool
 }
 
-// Config says how to classify. Make a Classifier of it.
+// Config configures a Classifier.
 type Config struct {
-	Classes []Class // the first is for what no rule fits
-	Rules   []Rule  // the first that fits counts
-	Tenants []string
-	Tenant  string // "", "host", "certificate", "header:NAME" or "source:BITS" (prefix of IPv4; IPv6 takes 64)
-	Key     string // "", "path" or "header:NAME"
+	Classes  []Class // the first is for requests that match no rule
+	Rules    []Rule  // the first match applies
+	Tenants  []string
+	TenantBy string // "", "host", "certificate", "header:NAME" or "source:BITS" (prefix of IPv4; IPv6 takes 64)
+	KeyBy    string // "", "path" or "header:NAME"
 }
 
-// Request is what is looked at.
+// Request holds the parts of a request that are examined.
 type Request struct {
-	Method string
-	Host   string // with or without a port
-	Path   string // escaped, as it came
-	Header http.Header
-	Source netip.Addr
-	Name   string // of the client's certificate; "" without one
+	Method   string
+	Host     string // with or without a port
+	Path     string // escaped, as received
+	Header   http.Header
+	Source   netip.Addr
+	CertName string // common name of the client's certificate; "" without one
 }
 
-// Result is what a request is.
+// Result is the classification of a request.
 type Result struct {
-	Class  int // of Config.Classes
-	Rule   int // that fitted; -1 for none
+	Class  int // index in Config.Classes
+	Rule   int // index of the matching rule; -1 for none
 	Effect policy.Effect
-	Tenant int // of Config.Tenants; their number for one that is not among them
+	Tenant int // index in Config.Tenants; len(Config.Tenants) for any other
 	Key    uint64
 }
 
-// Classifier classifies. It is safe for concurrent use, and keeps nothing.
+// Classifier classifies requests. It is stateless and safe for concurrent use.
 type Classifier struct {
 	opt    Config
 	rules  []rule
-	tenant func(Request, string) string // by its request and canonical host
+	tenant func(Request, string) string // from the request and its canonical host
 	key    func(Request) string
 }
 
 type rule struct {
 	Rule
-	path  []string
-	whole bool
+	segments []string
+	exact    bool
 }
 
-// New checks a configuration; an error names the place in it, as in "rule[2].path".
+// New validates the configuration; errors name the invalid key, as in "rule[2].path".
 func New(c Config) (*Classifier, error) {
 	k := &Classifier{opt: c}
 	var errs []error
 	bad := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	for i, r := range c.Rules {
-		own := rule{Rule: r}
+		compiled := rule{Rule: r}
 		if r.Path != "" {
 			var err error
-			if own.path, err = Segments(r.Path); err != nil {
+			if compiled.segments, err = Segments(r.Path); err != nil {
 				bad("rule[%d].path: %w", i+1, err)
 			}
-			own.whole = !strings.HasSuffix(r.Path, "/")
+			compiled.exact = !strings.HasSuffix(r.Path, "/")
 		}
-		own.Host = strings.ToLower(r.Host)
-		if strings.ContainsAny(own.Host, "/:") || strings.Contains(strings.TrimPrefix(own.Host, "*."), "*") {
-			bad("rule[%d].host: %q is no name, nor \"*.\" and a name", i+1, r.Host)
+		compiled.Host = strings.ToLower(r.Host)
+		if strings.ContainsAny(compiled.Host, "/:") || strings.Contains(strings.TrimPrefix(compiled.Host, "*."), "*") {
+			bad("rule[%d].host: %q is neither a host name nor \"*.\" followed by one", i+1, r.Host)
 		}
 		if r.Class < 0 || r.Class >= len(c.Classes) {
-			bad("rule[%d].class: there is none of that name", i+1)
+			bad("rule[%d].class: no class of that name", i+1)
 		}
 		if r.Value != "" && r.Header == "" {
-			bad("rule[%d].value: of which header?", i+1)
+			bad("rule[%d].value: set without header", i+1)
 		}
-		k.rules = append(k.rules, own)
+		k.rules = append(k.rules, compiled)
 	}
 	var err error
-	if k.tenant, err = tenantBy(c.Tenant); err != nil {
+	if k.tenant, err = newTenantFunc(c.TenantBy); err != nil {
 		bad("tenant_by: %w", err)
 	}
-	if k.key, err = keyBy(c.Key); err != nil {
+	if k.key, err = newKeyFunc(c.KeyBy); err != nil {
 		bad("key_by: %w", err)
 	}
 	return k, errors.Join(errs...)
 }
 
-func tenantBy(word string) (func(Request, string) string, error) {
-	kind, rest, _ := strings.Cut(word, ":")
+func newTenantFunc(spec string) (func(Request, string) string, error) {
+	kind, rest, _ := strings.Cut(spec, ":")
 	switch {
-	case word == "":
+	case spec == "":
 		return nil, nil
-	case word == "host":
+	case spec == "host":
 		return func(_ Request, host string) string { return host }, nil
-	case word == "certificate":
-		return func(r Request, _ string) string { return r.Name }, nil
+	case spec == "certificate":
+		return func(r Request, _ string) string { return r.CertName }, nil
 	case kind == "header" && rest != "":
 		return func(r Request, _ string) string { return r.Header.Get(rest) }, nil
 	case kind == "source":
 		bits, err := strconv.Atoi(rest)
 		if err != nil || bits < 1 || bits > 32 {
-			return nil, fmt.Errorf("%q: source:BITS takes 1 to 32", word)
+			return nil, fmt.Errorf("%q: BITS in source:BITS must be 1 to 32", spec)
 		}
 		return func(r Request, _ string) string {
-			most := bits
+			prefixBits := bits
 			if !r.Source.Is4() {
-				most = 64
+				prefixBits = 64
 			}
-			p, err := r.Source.Prefix(most)
+			p, err := r.Source.Prefix(prefixBits)
 			if err != nil {
 				return ""
 			}
 			return p.String()
 		}, nil
 	}
-	return nil, fmt.Errorf("%q is none of host, certificate, header:NAME and source:BITS", word)
+	return nil, fmt.Errorf("%q is not one of host, certificate, header:NAME and source:BITS", spec)
 }
 
-func keyBy(word string) (func(Request) string, error) {
-	kind, rest, _ := strings.Cut(word, ":")
+func newKeyFunc(spec string) (func(Request) string, error) {
+	kind, rest, _ := strings.Cut(spec, ":")
 	switch {
-	case word == "":
+	case spec == "":
 		return nil, nil
-	case word == "path":
+	case spec == "path":
 		return func(r Request) string { return r.Path }, nil
 	case kind == "header" && rest != "":
 		return func(r Request) string { return r.Header.Get(rest) }, nil
 	}
-	return nil, fmt.Errorf("%q is none of path and header:NAME", word)
+	return nil, fmt.Errorf("%q is not one of path and header:NAME", spec)
 }
 
-// Host gives a Host as names are compared: without port and last dot, in lower case.
-func Host(host string) string {
+// CanonicalHost returns host in the form used for comparison: without port and trailing
+// dot, in lower case.
+func CanonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	return strings.ToLower(strings.TrimSuffix(strings.Trim(host, "[]"), "."))
 }
 
-// Classify gives what a request is. A path that servers may read in different ways is an
-// error, whatever the rules.
+// Classify classifies a request. A path that servers may interpret differently is an error,
+// whether or not any rule has a path; see Segments.
 func (k *Classifier) Classify(r Request) (Result, error) {
 	var segments []string
 	if r.Path != "*" || r.Method != http.MethodOptions {
@@ -173,31 +174,31 @@
 			return Result{}, err
 		}
 	}
-	host := Host(r.Host)
-	out := Result{Rule: -1, Tenant: len(k.opt.Tenants)}
+	host := CanonicalHost(r.Host)
+	result := Result{Rule: -1, Tenant: len(k.opt.Tenants)}
 	for i := range k.rules {
-		if k.rules[i].fits(r, host, segments) {
-			out.Rule, out.Class = i, k.rules[i].Class
+		if k.rules[i].matches(r, host, segments) {
+			result.Rule, result.Class = i, k.rules[i].Class
 			break
 		}
 	}
-	out.Effect = effect(r, k.opt.Classes[out.Class].Dropped)
+	result.Effect = effectOf(r, k.opt.Classes[result.Class].DropsRepeats)
 	if k.tenant != nil {
 		if i := slices.Index(k.opt.Tenants, k.tenant(r, host)); i >= 0 {
-			out.Tenant = i
+			result.Tenant = i
 		}
 	}
 	if k.key != nil {
 		if key := k.key(r); key != "" {
 			h := fnv.New64a()
-			_, _ = io.WriteString(h, key) // a hash takes all
-			out.Key = max(1, h.Sum64())
+			_, _ = io.WriteString(h, key) // hash.Hash never returns an error
+			result.Key = max(1, h.Sum64())
 		}
 	}
-	return out, nil
+	return result, nil
 }
 
-func (r *rule) fits(q Request, host string, segments []string) bool {
+func (r *rule) matches(q Request, host string, segments []string) bool {
 	switch {
 	case len(r.Methods) > 0 && !slices.Contains(r.Methods, q.Method):
 		return false
@@ -208,7 +209,7 @@
 	case r.Host != "" && r.Host != host:
 		return false
 	}
-	if r.Path != "" && !under(segments, r.path, r.whole) {
+	if r.Path != "" && !matchSegments(segments, r.segments, r.exact) {
 		return false
 	}
 	if r.Header == "" {
@@ -218,9 +219,9 @@
 	return len(values) > 0 && (r.Value == "" || slices.Contains(values, r.Value))
 }
 
-// effect goes by RFC 9110, section 9.2: what is safe or idempotent may be repeated, the
-// rest only where servers drop repeats of its key.
-func effect(r Request, dropped bool) policy.Effect {
+// effectOf follows RFC 9110, section 9.2: safe and idempotent methods may be repeated, others
+// only where servers drop repeats of an idempotency key.
+func effectOf(r Request, dropped bool) policy.Effect {
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		return policy.Safe
--- a/internal/web/classify/classify_test.go
+++ b/internal/web/classify/classify_test.go
@@ -13,10 +13,10 @@
 	"otterstep/policy"
 )
 
-// lax reads a path as the most forgiving servers do: it decodes as long as there is
-// something to decode, takes backslashes for slashes, drops parameters, merges slashes and
-// resolves dots.
-func lax(escaped string) string {
+// lenientPath interprets a path as the most lenient servers do: it decodes repeatedly, treats
+// backslashes as slashes, drops parameters of dot segments, merges slashes and resolves dot
+// segments.
+func lenientPath(escaped string) string {
 	for range 8 {
 		s, err := url.PathUnescape(escaped)
 		if err != nil || s == escaped {
@@ -36,8 +36,8 @@
 	return path.Clean("/" + strings.Join(all, "/"))
 }
 
-// strict reads it as RFC 3986 has it: decoded once, in segments.
-func strict(escaped string) string {
+// strictPath interprets a path by RFC 3986: it decodes once and resolves dot segments.
+func strictPath(escaped string) string {
 	s, err := url.PathUnescape(escaped)
 	if err != nil {
 		return ""
@@ -45,8 +45,8 @@
 	return path.Clean("/" + s)
 }
 
-// FuzzSegments: a path that is taken is the same path to the strict and to the lax reader,
-// so that no rule's prefix can be left by it.
+// FuzzSegments checks that strict and lenient parsers agree on every accepted path, so that
+// no request can evade the prefix of a rule.
 func FuzzSegments(f *testing.F) {
 	for _, p := range []string{
 		"/", "/a/b", "/a//b/", "/a/./b", "/a/../b", "/a%2fb", "/a%5c..%5cb", "/%2e%2e/x", "/%252e%252e/x", "/..;a=b/x", "/a;b/c", "/a\\b",
@@ -60,21 +60,22 @@
 			return
 		}
 		got := path.Clean("/" + strings.Join(segments, "/"))
-		if s := strict(p); s != got {
-			t.Fatalf("%q is taken as %q, a strict reader has %q", p, got, s)
+		if s := strictPath(p); s != got {
+			t.Fatalf("%q is parsed as %q, strictly as %q", p, got, s)
 		}
-		// What remains escaped is a name to us and to the strict reader; the lax one may
-		// decode it further, but finds no other segments in it.
-		if l := lax(p); strings.Count(l, "/") != strings.Count(got, "/") {
-			t.Fatalf("%q is taken as %q, a lax reader has %q", p, got, l)
+		// The lenient parser may decode a segment further than Segments and the strict parser
+		// do, but must find the same number of segments.
+		if l := lenientPath(p); strings.Count(l, "/") != strings.Count(got, "/") {
+			t.Fatalf("%q is parsed as %q, leniently as %q", p, got, l)
 		}
 	})
 }
 
-// plain is a slow model of the rules: all of them, one by one, on whole strings.
-func plain(rules []Rule, r Request) int {
+// referenceMatch is a simple, slow model of the rules: it tries each one in order on
+// unparsed strings.
+func referenceMatch(rules []Rule, r Request) int {
 	for i, rule := range rules {
-		host := Host(r.Host)
+		host := CanonicalHost(r.Host)
 		hostFits := rule.Host == "" || host == rule.Host ||
 			strings.HasPrefix(rule.Host, "*.") && strings.HasSuffix(host, rule.Host[1:]) && host != rule.Host[1:]
 		pathFits := rule.Path == "" || strings.HasPrefix(r.Path+"/", rule.Path) && strings.HasSuffix(rule.Path, "/") || r.Path == rule.Path
@@ -94,8 +95,8 @@
 	return -1
 }
 
-// Rules fit as the model has it, whatever their order.
-func TestRulesAgainstAModel(t *testing.T) {
+// Random rules in random order must match like the reference model.
+func TestRulesMatchReferenceModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	pick := func(all ...string) string { return all[rng.IntN(len(all))] }
 	fitted := 0
@@ -123,7 +124,7 @@
 			r.Header.Set("X-Kind", pick("a", "b"))
 		}
 		got, err := k.Classify(r)
-		if want := plain(rules, r); err != nil || got.Rule != want {
+		if want := referenceMatch(rules, r); err != nil || got.Rule != want {
 			t.Fatalf("%+v by %+v: rule %d, %v; want %d", r, rules, got.Rule, err, want)
 		}
 		if got.Rule >= 0 {
@@ -131,11 +132,11 @@
 		}
 	}
 	if fitted < 5000 {
-		t.Errorf("%d requests fitted a rule", fitted)
+		t.Errorf("only %d requests matched a rule", fitted)
 	}
 }
 
-// Effects go by the method, and by what servers promise of keys.
+// The effect depends on the method, the idempotency key and whether servers drop repeats.
 func TestEffects(t *testing.T) {
 	for _, c := range []struct {
 		method  string
@@ -149,7 +150,7 @@
 		{"PATCH", []string{"k"}, true, policy.Keyed}, {"BREW", []string{"k"}, true, policy.Keyed}, {"BREW", nil, true, policy.Unsafe},
 		{"POST", []string{"k", "l"}, true, policy.Unsafe}, {"get", nil, true, policy.Unsafe},
 	} {
-		k, err := New(Config{Classes: []Class{{Name: "d", Dropped: c.dropped}}})
+		k, err := New(Config{Classes: []Class{{Name: "d", DropsRepeats: c.dropped}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,15 +161,15 @@
 	}
 }
 
-// Tenants and keys come from where the operator says.
+// Tenants and keys are taken from the configured parts of the request.
 func TestTenantsAndKeys(t *testing.T) {
 	r := Request{
 		Method: "GET", Host: "A.example:8080", Path: "/x/y", Header: http.Header{"X-Api-Key": {"t2"}, "X-Key": {"k"}},
-		Source: netip.MustParseAddr("10.1.2.3"), Name: "t1",
+		Source: netip.MustParseAddr("10.1.2.3"), CertName: "t1",
 	}
 	tenants := []string{"t1", "t2", "a.example", "10.1.0.0/16", "fd00::/64"}
 	for by, want := range map[string]int{"": 5, "host": 2, "certificate": 0, "header:X-Api-Key": 1, "header:X-None": 5, "source:16": 3, "source:24": 5} {
-		k, err := New(Config{Classes: []Class{{}}, Tenants: tenants, Tenant: by})
+		k, err := New(Config{Classes: []Class{{}}, Tenants: tenants, TenantBy: by})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -176,7 +177,7 @@
 			t.Errorf("%q: tenant %d, %v; want %d", by, got.Tenant, err, want)
 		}
 	}
-	k, _ := New(Config{Classes: []Class{{}}, Tenants: tenants, Tenant: "source:16"})
+	k, _ := New(Config{Classes: []Class{{}}, Tenants: tenants, TenantBy: "source:16"})
 	six := r
 	six.Source = netip.MustParseAddr("fd00::7")
 	if got, _ := k.Classify(six); got.Tenant != 4 {
@@ -184,7 +185,7 @@
 	}
 	seen := map[uint64]bool{}
 	for _, by := range []string{"", "path", "header:X-Key", "header:X-None"} {
-		k, err := New(Config{Classes: []Class{{}}, Key: by})
+		k, err := New(Config{Classes: []Class{{}}, KeyBy: by})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -196,15 +197,15 @@
 	}
 }
 
-// What is wrong is told with its place, all of it.
-func TestWrongConfigurations(t *testing.T) {
+// An invalid configuration yields one error per invalid key, each naming the key.
+func TestInvalidConfigurations(t *testing.T) {
 	_, err := New(Config{
-		Classes: []Class{{Name: "d"}}, Tenant: "moon", Key: "moon",
+		Classes: []Class{{Name: "d"}}, TenantBy: "moon", KeyBy: "moon",
 		Rules: []Rule{{Path: "x", Class: -1}, {Host: "a:80"}, {Path: "/a/../b", Value: "x"}, {Host: "a*b"}},
 	})
 	for _, want := range []string{"rule[1].path", "rule[1].class", "rule[2].host", "rule[3].path", "rule[3].value", "rule[4].host", "tenant_by", "key_by"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("nothing of %s in %v", want, err)
+			t.Errorf("no error for %s in %v", want, err)
 		}
 	}
 }
--- a/internal/web/classify/path.go
+++ b/internal/web/classify/path.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Segments takes an escaped path apart as all readers agree on it: decoded once, empty
-// segments left out. A path that servers may read in different ways is an error: one with
-// dot segments, also behind escapes or with parameters ("..;x"), or with parameters of nothing, with an escaped slash or
-// backslash, with a plain backslash, with escapes of escapes of these, or with control
-// characters. A rule's prefix could not be trusted with any of them (RFC 3986, section
-// 6.2.2.3; RFC 9110, section 4.2.5).
+// Segments splits an escaped path into segments, decoded once and without empty ones. Paths
+// that servers may interpret differently are rejected, because a request could otherwise
+// evade the prefix of a rule (RFC 3986, section 6.2.2.3; RFC 9110, section 4.2.5). These are
+// paths with dot segments, also escaped or with parameters ("..;x"), with segments that
+// consist of parameters only, with a backslash, an escaped slash or an escaped backslash,
+// with double escapes of any of these, or with control characters.
 func Segments(escaped string) ([]string, error) {
 	if !strings.HasPrefix(escaped, "/") {
 		return nil, fmt.Errorf("path %.60q does not begin with a slash", escaped)
@@ -24,14 +24,14 @@
 		}
 		switch {
 		case Dots(s) || strings.HasPrefix(s, ";"):
-			return nil, fmt.Errorf("path: a segment %.20q, which servers resolve in different ways", raw)
+			return nil, fmt.Errorf("path: servers resolve segment %.20q in different ways", raw)
 		case strings.ContainsAny(s, "/\\"):
-			return nil, fmt.Errorf("path: a slash or backslash inside segment %.20q", raw)
+			return nil, fmt.Errorf("path: segment %.20q contains a slash or backslash", raw)
 		case strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f }):
-			return nil, fmt.Errorf("path: a control character in segment %.20q", raw)
+			return nil, fmt.Errorf("path: segment %.20q contains a control character", raw)
 		}
 		if lower := strings.ToLower(s); strings.Contains(lower, "%2e") || strings.Contains(lower, "%2f") || strings.Contains(lower, "%5c") {
-			return nil, fmt.Errorf("path: segment %.20q is escaped twice", raw)
+			return nil, fmt.Errorf("path: segment %.20q is double-escaped", raw)
 		}
 		if s != "" {
 			all = append(all, s)
@@ -40,15 +40,16 @@
 	return all, nil
 }
 
-// Dots tells whether a decoded segment is a dot segment, also one with parameters ("..;x"),
-// which some servers resolve and others don't (RFC 3986, section 5.2.4).
+// Dots reports whether a decoded segment is a dot segment, with or without parameters
+// ("..;x"), which some servers resolve and others do not (RFC 3986, section 5.2.4).
 func Dots(segment string) bool {
 	name, _, _ := strings.Cut(segment, ";")
 	return name == "." || name == ".."
 }
 
-// under tells whether segments begin with a pattern's; "*" stands for any one.
-func under(segments, pattern []string, whole bool) bool {
+// matchSegments reports whether segments begin with pattern, or equal it if whole is set;
+// "*" matches any one segment.
+func matchSegments(segments, pattern []string, whole bool) bool {
 	if len(segments) < len(pattern) || whole && len(segments) > len(pattern) {
 		return false
 	}
--- a/internal/web/config.go
+++ b/internal/web/config.go
@@ -221,9 +221,9 @@
 }
 
 func (c *Config) classifier() (*classify.Classifier, error) {
-	o := classify.Config{Tenant: c.TenantBy, Key: c.KeyBy}
+	o := classify.Config{TenantBy: c.TenantBy, KeyBy: c.KeyBy}
 	for _, k := range c.Class {
-		o.Classes = append(o.Classes, classify.Class{Name: k.Name, Dropped: k.RepeatsDropped.Duration > 0})
+		o.Classes = append(o.Classes, classify.Class{Name: k.Name, DropsRepeats: k.RepeatsDropped.Duration > 0})
 	}
 	for _, r := range c.Rule {
 		o.Rules = append(o.Rules, classify.Rule{Host: r.Host, Path: r.Path, Methods: r.Methods, Header: r.Header, Value: r.Value, Class: c.class(r.Class)})
--- a/internal/web/exchange.go
+++ b/internal/web/exchange.go
@@ -240,7 +240,7 @@
 		return policy.Reset, false
 	}
 	v := verdict.Of(h.Code, h.Header)
-	if v.Again {
+	if v.Retryable {
 		if held, rest, err := hold(c, b, x.front.opt.Limits.Stall.Duration, ctx); err != nil {
 			return policy.Reset, false
 		} else if rest == nil {
--- a/internal/web/fields/fields.go
+++ b/internal/web/fields/fields.go
@@ -1,6 +1,6 @@
-// Package fields does what an intermediary owes the header of a message (RFC 9110, section
-// 7.6): fields of one hop end, Via and Forwarded grow, and what strangers claim of others
-// is not believed. It does no I/O.
+// Package fields applies the header rules for HTTP intermediaries (RFC 9110, section 7.6):
+// it removes hop-by-hop fields, extends Via and Forwarded, and drops forwarding fields sent
+// by untrusted clients. It does no I/O.
 package fields
 
 import (
@@ -12,34 +12,34 @@
 	"strings"
 )
 
-// hop are the fields of one hop, whether Connection names them or not (RFC 9110, section
-// 7.6.1); Transfer-Encoding and Content-Length are the framing's, which is made anew.
-var hop = []string{
+// hopByHop lists the fields that are removed whether or not Connection names them (RFC 9110,
+// section 7.6.1). Transfer-Encoding is among them because each message is framed anew.
+var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Transfer-Encoding", "Upgrade", "Proxy-Authenticate",
 	"Proxy-Authorization", "Proxy-Authentication-Info", "Http2-Settings",
 }
 
-// kept are fields that no Connection can take away: the framing's own, and those that say
-// for whom a message is, which a client must not hide from the rules.
-var kept = map[string]bool{"Content-Length": true, "Host": true, "Idempotency-Key": true}
+// protected lists the fields that Connection cannot remove: Content-Length for the framing,
+// and the fields that a client must not be able to hide from routing and retry rules.
+var protected = map[string]bool{"Content-Length": true, "Host": true, "Idempotency-Key": true}
 
-// EndHop takes out the fields of one hop, those that Connection names among them.
-func EndHop(h http.Header) {
+// RemoveHopByHop removes the hop-by-hop fields, including those that Connection names.
+func RemoveHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			if name = textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)); !kept[name] {
+			if name = textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)); !protected[name] {
 				delete(h, name)
 			}
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHop {
 		delete(h, name)
 	}
 }
 
-// Upgrade gives the protocol that a message asks to change to; "" for none. HTTP/2 by
-// upgrade is none: the HTTP/2 specification gave it up (RFC 9113, section 3.1).
-func Upgrade(h http.Header) string {
+// UpgradeProtocol returns the protocol that a message asks to upgrade to; "" for none. An
+// upgrade to h2c is ignored: HTTP/2 deprecates it (RFC 9113, section 3.1).
+func UpgradeProtocol(h http.Header) string {
 	for _, line := range h["Connection"] {
 		for word := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(word), "upgrade") {
@@ -52,8 +52,8 @@
 	return ""
 }
 
-// Trailers tells that the other side takes trailer fields (TE: trailers).
-func Trailers(h http.Header) bool {
+// AcceptsTrailers reports whether the sender accepts trailer fields (TE: trailers).
+func AcceptsTrailers(h http.Header) bool {
 	for _, line := range h["Te"] {
 		for word := range strings.SplitSeq(line, ",") {
 			word, _, _ = strings.Cut(word, ";")
@@ -65,9 +65,9 @@
 	return false
 }
 
-// Via notes that a message passed (RFC 9110, section 7.6.3). major and minor are the
-// version that it came in.
-func Via(h http.Header, major, minor int, name string) {
+// AddVia adds name to Via (RFC 9110, section 7.6.3). major and minor are the HTTP version
+// in which the message was received.
+func AddVia(h http.Header, major, minor int, name string) {
 	version := "2"
 	if major < 2 {
 		version = string([]byte{byte('0' + major), '.', byte('0' + minor)})
@@ -75,11 +75,11 @@
 	h["Via"] = append(h["Via"], version+" "+name)
 }
 
-// Looped tells that a message has passed name before.
-func Looped(h http.Header, name string) bool {
+// ViaContains reports whether Via already names this intermediary, which means a loop.
+func ViaContains(h http.Header, name string) bool {
 	for _, line := range h["Via"] {
-		for step := range strings.SplitSeq(line, ",") {
-			if words := strings.Fields(step); len(words) > 1 && words[1] == name {
+		for entry := range strings.SplitSeq(line, ",") {
+			if parts := strings.Fields(entry); len(parts) > 1 && parts[1] == name {
 				return true
 			}
 		}
@@ -87,23 +87,23 @@
 	return false
 }
 
-// Origin is whom a message came from.
+// Origin describes the sender of a message.
 type Origin struct {
 	Source netip.Addr
 	Host   string
 	TLS    bool
-	// Trusted tells that what it says of others is believed.
+	// Trusted reports whether the forwarding fields that it sent are kept.
 	Trusted bool
 }
 
-// forwarded are the fields in which proxies tell of a client.
-var forwarded = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "X-Forwarded-Port", "X-Forwarded-Server", "X-Real-Ip"}
+// forwardedHeaders lists the fields in which proxies describe the original client.
+var forwardedHeaders = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "X-Forwarded-Port", "X-Forwarded-Server", "X-Real-Ip"}
 
-// Forward tells the server whom a message came from, by Forwarded (RFC 7239) and by the
-// older X-Forwarded fields. What an untrusted origin says there goes.
-func Forward(h http.Header, o Origin) {
+// AddForwarded describes the sender in Forwarded (RFC 7239) and in the older X-Forwarded
+// fields. Values sent by an untrusted origin are removed first.
+func AddForwarded(h http.Header, o Origin) {
 	if !o.Trusted {
-		for _, name := range forwarded {
+		for _, name := range forwardedHeaders {
 			delete(h, name)
 		}
 	}
@@ -120,8 +120,8 @@
 	if o.Host != "" {
 		element += `;host="` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(o.Host) + `"`
 	}
-	join(h, "Forwarded", element)
-	join(h, "X-Forwarded-For", source.String())
+	appendElement(h, "Forwarded", element)
+	appendElement(h, "X-Forwarded-For", source.String())
 	if h.Get("X-Forwarded-Proto") == "" {
 		h.Set("X-Forwarded-Proto", proto)
 	}
@@ -130,21 +130,21 @@
 	}
 }
 
-// join adds to a field that is a list, on one line.
-func join(h http.Header, name, value string) {
+// appendElement appends to a list-valued field and joins its lines into one.
+func appendElement(h http.Header, name, value string) {
 	h.Set(name, strings.Join(append(h[name], value), ", "))
 }
 
-// NextSpan gives a traceparent with a span id of its own for one attempt; one that can't be
-// read is passed on as it is (W3C Trace Context, section 2.2).
+// NextSpan returns traceparent with a new span id, for one attempt. A malformed value is
+// returned unchanged (W3C Trace Context, section 2.2).
 func NextSpan(traceparent string) string {
 	parts := strings.Split(traceparent, "-")
 	if len(parts) < 4 || len(parts[0]) != 2 || len(parts[1]) != 32 || len(parts[2]) != 16 || len(parts[3]) != 2 || parts[0] == "ff" {
 		return traceparent
 	}
 	var span [8]byte
-	_, _ = rand.Read(span[:]) // never fails, see crypto/rand
-	span[0] |= 1              // an id of zeros is none
+	_, _ = rand.Read(span[:]) // crypto/rand.Read never returns an error
+	span[0] |= 1              // an all-zero id is invalid
 	parts[2] = hex.EncodeToString(span[:])
 	return strings.Join(parts, "-")
 }
--- a/internal/web/fields/fields_test.go
+++ b/internal/web/fields/fields_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-func TestForwardWritesAddressesAsTheStandardHasThem(t *testing.T) {
+func TestAddForwardedFormatsAddresses(t *testing.T) {
 	for source, want := range map[string]string{
 		"10.0.0.1": "for=10.0.0.1;proto=https", "::ffff:10.0.0.1": "for=10.0.0.1;proto=https", "fd00::1": `for="[fd00::1]";proto=https`,
 	} {
 		h := http.Header{}
-		Forward(h, Origin{Source: netip.MustParseAddr(source), Host: `a"b`, TLS: true})
+		AddForwarded(h, Origin{Source: netip.MustParseAddr(source), Host: `a"b`, TLS: true})
 		if got := h.Get("Forwarded"); got != want+`;host="a\"b"` {
 			t.Errorf("%s: %s", source, got)
 		}
@@ -27,25 +27,25 @@
 	}
 	for _, odd := range []string{"", "00-x", "ff" + good[2:], "00-0af7-b7ad6b7169203331-01"} {
 		if got := NextSpan(odd); got != odd {
-			t.Errorf("%q became %q", odd, got)
+			t.Errorf("malformed traceparent %q became %q", odd, got)
 		}
 	}
 }
 
-// FuzzEndHop: whatever a Connection field says, nothing of one hop is left, and the fields
-// that say for whom a message is stay.
-func FuzzEndHop(f *testing.F) {
+// FuzzRemoveHopByHop checks that for any Connection value the hop-by-hop fields are removed
+// and the protected fields stay.
+func FuzzRemoveHopByHop(f *testing.F) {
 	f.Add("X-Hop, close", "a")
 	f.Add("host, CONTENT-LENGTH,idempotency-key", "")
 	f.Add(", ,;", "\x00")
 	f.Fuzz(func(t *testing.T, connection, value string) {
 		h := http.Header{"Connection": {connection}, "Host": {"a"}, "Content-Length": {"1"}, "Idempotency-Key": {"k"}, "Keep-Alive": {value}, "Te": {value}}
-		EndHop(h)
+		RemoveHopByHop(h)
 		if len(h["Host"])+len(h["Content-Length"])+len(h["Idempotency-Key"]) != 3 {
-			t.Errorf("%q took away %v", connection, h)
+			t.Errorf("Connection %q removed a protected field: %v", connection, h)
 		}
 		if len(h["Connection"])+len(h["Keep-Alive"])+len(h["Te"]) != 0 {
-			t.Errorf("%q left %v", connection, h)
+			t.Errorf("Connection %q left hop-by-hop fields: %v", connection, h)
 		}
 	})
 }
--- a/internal/web/front.go
+++ b/internal/web/front.go
@@ -310,7 +310,7 @@
 	case strings.ContainsFunc(r.RequestURI, func(c rune) bool { return c <= ' ' || c >= 0x7f || c == '#' }):
 		// HTTP/2 brings such targets through, and HTTP/1.1 would read a blank as their end.
 		return q, &problem{Status: http.StatusBadRequest, Title: "bad request", Detail: "a target with a blank, a control character, a fragment or bytes beyond ASCII (RFC 9110, section 7.1)"}
-	case fields.Looped(r.Header, f.via()):
+	case fields.ViaContains(r.Header, f.via()):
 		return q, &problem{Status: http.StatusLoopDetected, Title: "loop", Detail: "the request has passed here before"}
 	case len(r.Header["Idempotency-Key"]) > 1:
 		return q, &problem{Status: http.StatusBadRequest, Title: "bad request", Detail: "Idempotency-Key: given twice"}
@@ -325,7 +325,7 @@
 	}
 	var err error
 	if q.Result, err = f.classify.Classify(classify.Request{
-		Method: r.Method, Host: r.Host, Path: path, Header: r.Header, Source: source(r), Name: name,
+		Method: r.Method, Host: r.Host, Path: path, Header: r.Header, Source: source(r), CertName: name,
 	}); err != nil {
 		return q, &problem{Status: http.StatusBadRequest, Title: "bad request", Detail: err.Error()}
 	}
@@ -358,7 +358,7 @@
 		interim: make(chan h1.Head, h1.InterimMost), passed: passing.New(),
 		trailer: func() http.Header { return r.Trailer },
 	}
-	x.upgrade = fields.Upgrade(r.Header)
+	x.upgrade = fields.UpgradeProtocol(r.Header)
 	if x.upgrade != "" && (r.ProtoMajor != 1 || f.draining.Load() || f.tunnels.Load() >= int64(f.opt.Limits.Tunnels)) {
 		x.upgrade = "" // a server may ignore the wish, and so may we (RFC 9110, section 7.8)
 	}
@@ -368,17 +368,17 @@
 		_ = control.SetReadDeadline(time.Unix(1, 0)) // an error: it has ended
 	}
 	x.header = r.Header.Clone()
-	trailers := fields.Trailers(x.header)
-	fields.EndHop(x.header)
+	trailers := fields.AcceptsTrailers(x.header)
+	fields.RemoveHopByHop(x.header)
 	if trailers {
 		x.header.Set("Te", "trailers")
 	}
 	for _, name := range []string{"Content-Length", "Trailer", "Expect", "Host"} {
 		x.header.Del(name)
 	}
-	fields.Via(x.header, r.ProtoMajor, r.ProtoMinor, f.via())
+	fields.AddVia(x.header, r.ProtoMajor, r.ProtoMinor, f.via())
 	from := source(r)
-	fields.Forward(x.header, fields.Origin{
+	fields.AddForwarded(x.header, fields.Origin{
 		Source: from, Host: r.Host, TLS: r.TLS != nil,
 		Trusted: slices.ContainsFunc(f.trusted, func(t netip.Prefix) bool { return t.Contains(from) }),
 	})
@@ -509,7 +509,7 @@
 func copyHead(w http.ResponseWriter, h h1.Head) {
 	own := w.Header()
 	header := h.Header.Clone()
-	fields.EndHop(header)
+	fields.RemoveHopByHop(header)
 	header.Del("Trailer")
 	for name, values := range header {
 		own[name] = values
@@ -523,7 +523,7 @@
 func hint(w http.ResponseWriter, h h1.Head) {
 	own := w.Header()
 	header := h.Header.Clone()
-	fields.EndHop(header)
+	fields.RemoveHopByHop(header)
 	for name, values := range header {
 		own[name] = values
 	}
--- a/internal/web/multiplexed.go
+++ b/internal/web/multiplexed.go
@@ -217,7 +217,7 @@
 	h := h1.Head{Code: resp.StatusCode, Header: resp.Header, Trails: len(resp.Trailer) > 0}
 	b := h1.Body{Reader: resp.Body, Length: resp.ContentLength, Trailer: func() (http.Header, error) { return resp.Trailer, nil }}
 	v := verdict.Of(h.Code, h.Header)
-	if v.Again {
+	if v.Retryable {
 		text, err := io.ReadAll(io.LimitReader(resp.Body, heldBack+1))
 		if err != nil {
 			return policy.Reset
--- a/internal/web/relay.go
+++ b/internal/web/relay.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	defer context.AfterFunc(f.ending, cancel)()
 	header := in.Header.Clone()
-	fields.EndHop(header)
+	fields.RemoveHopByHop(header)
 	header.Set("Connection", "Upgrade")
 	header["Upgrade"] = in.Header["Upgrade"]
 	_ = conn.SetDeadline(time.Time{})
--- a/internal/web/verdict/verdict.go
+++ b/internal/web/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict decides what a server's answer says of the server, and whether another
-// one may do better. It does no I/O.
+// Package verdict maps a server's answer to the status that counts for the server, and says
+// whether a retry is worthwhile. It does no I/O.
 package verdict
 
 import (
@@ -8,23 +8,23 @@
 	"otterstep/policy"
 )
 
-// Verdict is what an answer means.
+// Verdict is the assessment of an answer.
 type Verdict struct {
 	Status policy.Status
-	// Again tells that the answer is worth holding back while another attempt may be made;
-	// the decision module says whether one is. Else it goes to the client as it comes.
-	Again bool
+	// Retryable tells to buffer the answer while the decision module decides on a further
+	// attempt. Other answers are streamed to the client at once.
+	Retryable bool
 }
 
-// Row is a line of the table, for pages and tests.
+// Row is a row of Table, exported for the documentation and tests.
 type Row struct {
-	From, To int    // statuses
-	Mark     string // a field that the answer has, with its value
+	From, To int    // range of status codes, inclusive
+	Field    string // required header field, as "Name: value"; "" for none
 	Verdict
-	Why string
+	Reason string
 }
 
-// Table is all of it: the first row that fits counts.
+// Table lists all verdicts; the first matching row applies.
 var Table = []Row{
 	{503, 504, "X-Unprocessed: 1", Verdict{policy.Full, true}, "the server says that it has not run"},
 	{200, 200, "Grpc-Status: 14", Verdict{policy.Error, true}, "gRPC's UNAVAILABLE before any message; it may have run"},
@@ -33,17 +33,17 @@
 	{200, 999, "", Verdict{policy.OK, false}, "the server's answer, 429 too: it is about the client"},
 }
 
-// Of gives the verdict on an answer's head.
+// Of returns the verdict on an answer with this status and header.
 func Of(status int, h http.Header) Verdict {
 	for _, r := range Table {
-		if status >= r.From && status <= r.To && (r.Mark == "" || marked(h, r.Mark)) {
+		if status >= r.From && status <= r.To && (r.Field == "" || hasField(h, r.Field)) {
 			return r.Verdict
 		}
 	}
-	return Verdict{Status: policy.Reset} // an interim answer is none
+	return Verdict{Status: policy.Reset} // an interim response is not an answer
 }
 
-func marked(h http.Header, mark string) bool {
+func hasField(h http.Header, mark string) bool {
 	for i := range mark {
 		if mark[i] == ':' {
 			return h.Get(mark[:i]) == mark[i+2:]
