--- a/internal/web/bench_test.go
+++ b/internal/web/bench_test.go
@@ -18,12 +18,12 @@
 	"otterstep/internal/load"
 )
 
-// benchServers opens nine servers of net/http that answer after a few milliseconds with so
-// many bytes; trouble spoils the first: "hang" or "fail".
-func benchServers(b *testing.B, size int, wait time.Duration) (addrs []string, trouble *atomic.Value) {
+// benchServers starts nine net/http servers that answer with size bytes after wait. Storing
+// "hang" or "fail" in fault makes the first one hang or answer 500.
+func benchServers(b *testing.B, size int, wait time.Duration) (addrs []string, fault *atomic.Value) {
 	b.Helper()
-	trouble = &atomic.Value{}
-	trouble.Store("")
+	fault = &atomic.Value{}
+	fault.Store("")
 	text := bytes.Repeat([]byte("x"), size)
 	for i := range 9 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,10 +32,10 @@
 		}
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			switch {
-			case i == 0 && trouble.Load() == "hang":
+			case i == 0 && fault.Load() == "hang":
 				<-r.Context().Done()
 				return
-			case i == 0 && trouble.Load() == "fail":
+			case i == 0 && fault.Load() == "fail":
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
@@ -48,18 +48,18 @@
 		b.Cleanup(func() { s.Close() })
 		addrs = append(addrs, l.Addr().String())
 	}
-	return addrs, trouble
+	return addrs, fault
 }
 
-// benchProxies gives the addresses of the front and of net/http's ReverseProxy with a
-// server at random.
+// benchProxies starts the front, and net/http's ReverseProxy with random selection of
+// servers, and returns their addresses.
 func benchProxies(b *testing.B, addrs []string) map[string]string {
 	b.Helper()
 	text := "[[web]]\nlisten = \"127.0.0.1:0\"\n[[web.class]]\nname = \"d\"\naim = \"500ms\"\ndeadline = \"5s\"\n"
 	for i, a := range addrs {
 		text += fmt.Sprintf("[[web.server]]\nname = \"s%d\"\naddress = %q\n", i, a)
 	}
-	r := &rig{t: b}
+	r := &fixture{t: b}
 	r.start(text)
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,9 +74,10 @@
 	return map[string]string{"otterstep": r.front.Addr(), "reverseproxy": l.Addr().String()}
 }
 
-// BenchmarkWeb gives requests a second and latencies through the front and through
-// net/http's ReverseProxy, in turn in one process: 32 clients in a closed loop; and the share
-// in 500 ms of 200 requests a second while one of nine servers hangs, or fails fast.
+// BenchmarkWeb compares the front with net/http's ReverseProxy, one after the other in one
+// process. It measures throughput and latency with 32 clients in a closed loop, and the share
+// of requests answered within 500 ms, at 200 requests per second, while one of nine servers
+// hangs or fails fast.
 func BenchmarkWeb(b *testing.B) {
 	const span = 4 * time.Second
 	for _, c := range []struct {
@@ -96,22 +97,22 @@
 			})
 		}
 	}
-	for _, what := range []string{"hang", "fail"} {
-		addrs, trouble := benchServers(b, 200, 5*time.Millisecond)
+	for _, mode := range []string{"hang", "fail"} {
+		addrs, fault := benchServers(b, 200, 5*time.Millisecond)
 		for name, at := range benchProxies(b, addrs) {
-			b.Run(what+"/"+name, func(b *testing.B) {
+			b.Run(mode+"/"+name, func(b *testing.B) {
 				for range b.N {
-					trouble.Store("")
+					fault.Store("")
 					rate := load.Options{For: span, Open: 4000, TimeOut: 5 * time.Second, Aim: 500 * time.Millisecond, Rate: func(time.Duration) float64 { return 200 }}
 					benchLoad(b, at, rate)
-					trouble.Store(what)
+					fault.Store(mode)
 					rate.For = 2 * span
 					r := benchLoad(b, at, rate)
 					b.ReportMetric(100*float64(r.Within)/float64(r.Sent), "%-in-500ms")
 				}
 			})
 		}
-		trouble.Store("")
+		fault.Store("")
 	}
 }
 
@@ -132,8 +133,8 @@
 	return r
 }
 
-// BenchmarkOpenStream gives the heap and stacks that an open stream of events holds, the
-// servers' and clients' sides included, as all share a process.
+// BenchmarkOpenStream measures heap and stack memory per open event stream. It includes the
+// client's and the server's side, which run in the same process.
 func BenchmarkOpenStream(b *testing.B) {
 	const many = 1000
 	addr := func() string {
@@ -150,34 +151,34 @@
 		b.Cleanup(func() { s.Close() })
 		return l.Addr().String()
 	}()
-	held := func() uint64 {
+	memoryInUse := func() uint64 {
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc + m.StackInuse
 	}
-	for name, through := range map[string]bool{"through": true, "direct": false} {
+	for name, proxied := range map[string]bool{"through": true, "direct": false} {
 		b.Run(name, func(b *testing.B) {
 			at := addr
-			if through {
+			if proxied {
 				at = benchProxies(b, []string{addr})["otterstep"]
 			}
 			for range b.N {
-				before := held()
+				before := memoryInUse()
 				var all []net.Conn
 				for range many {
 					c, err := net.Dial("tcp", at)
 					if err != nil {
 						b.Fatal(err)
 					}
-					_, _ = io.WriteString(c, get("/x"))
+					_, _ = io.WriteString(c, getRequest("/x"))
 					if _, err := io.ReadFull(c, make([]byte, 60)); err != nil {
 						b.Fatal(err)
 					}
 					all = append(all, c)
 				}
-				b.ReportMetric(float64(held()-before)/many, "B/stream")
+				b.ReportMetric(float64(memoryInUse()-before)/many, "B/stream")
 				for _, c := range all {
 					c.Close()
 				}
--- a/internal/web/certs.go
+++ b/internal/web/certs.go
@@ -12,32 +12,33 @@
 	"otterstep/internal/tlsfile"
 )
 
-// certsEvery is how often files are looked at, when connections come.
-const certsEvery = time.Second
+// certCheckInterval is the minimum time between two checks of the files; a check is made
+// only when a connection arrives.
+const certCheckInterval = time.Second
 
-// certs are a listener's certificates. They are read again when a file has changed; files
-// that can't be used leave the old ones in place.
+// certs holds the certificates of a listener. They are reloaded when a file has changed; if
+// the new files are invalid, the previous certificates stay in use.
 type certs struct {
 	opt *Config
 
-	mu      sync.Mutex
-	looked  time.Time
-	changed time.Time // the latest change of a file that was read
-	current *tls.Config
+	mu        sync.Mutex
+	lastCheck time.Time
+	modified  time.Time // latest modification time among the loaded files
+	current   *tls.Config
 }
 
 func loadCerts(c *Config) (*certs, error) {
 	s := &certs{opt: c}
-	at, err := s.latest()
+	at, err := s.lastModified()
 	if err == nil {
-		s.current, err = s.read()
+		s.current, err = s.load()
 	}
-	s.changed, s.looked = at, time.Now()
+	s.modified, s.lastCheck = at, time.Now()
 	return s, err
 }
 
-// latest gives when a file last changed.
-func (s *certs) latest() (at time.Time, err error) {
+// lastModified returns the latest modification time of the files.
+func (s *certs) lastModified() (at time.Time, err error) {
 	paths := []string{s.opt.ClientCA}
 	for _, c := range s.opt.Cert {
 		paths = append(paths, c.Cert, c.Key)
@@ -57,16 +58,16 @@
 	return at, nil
 }
 
-func (s *certs) read() (*tls.Config, error) {
+func (s *certs) load() (*tls.Config, error) {
 	t := &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"h2", "http/1.1"}}
 	var errs []error
 	for i, c := range s.opt.Cert {
-		one, err := tls.LoadX509KeyPair(c.Cert, c.Key)
+		pair, err := tls.LoadX509KeyPair(c.Cert, c.Key)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("cert[%d]: %w", i+1, err))
 			continue
 		}
-		t.Certificates = append(t.Certificates, one)
+		t.Certificates = append(t.Certificates, pair)
 	}
 	if s.opt.ClientCA != "" {
 		var err error
@@ -79,25 +80,25 @@
 	return t, errors.Join(errs...)
 }
 
-// config gives the configuration of the listener: each connection takes the certificates
-// that are good when it comes, by the name that it asks for.
-func (s *certs) config() *tls.Config {
+// listenerConfig returns the TLS configuration of the listener. Each connection uses the
+// certificates that are current when it arrives, selected by its server name.
+func (s *certs) listenerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12, NextProtos: []string{"h2", "http/1.1"},
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.now(), nil },
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.currentConfig(), nil },
 	}
 }
 
-func (s *certs) now() *tls.Config {
+func (s *certs) currentConfig() *tls.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.looked) < certsEvery {
+	if time.Since(s.lastCheck) < certCheckInterval {
 		return s.current
 	}
-	s.looked = time.Now()
-	if at, err := s.latest(); err == nil && at.After(s.changed) {
-		if t, err := s.read(); err == nil {
-			s.current, s.changed = t, at
+	s.lastCheck = time.Now()
+	if at, err := s.lastModified(); err == nil && at.After(s.modified) {
+		if t, err := s.load(); err == nil {
+			s.current, s.modified = t, at
 		}
 	}
 	return s.current
--- a/internal/web/exchange.go
+++ b/internal/web/exchange.go
@@ -21,46 +21,48 @@
 	"otterstep/policy"
 )
 
-// exchange is a client's request on its way: what all attempts send, and what comes back.
+// exchange is a client's request in progress: what each attempt sends, and the answer.
 type exchange struct {
 	front   *Front
 	method  string
 	uri     string // origin-form
 	host    string
-	header  http.Header // as it goes on, but for what is an attempt's own
-	upgrade string      // protocol that the client asks to change to
+	header  http.Header // to be sent, without the fields that differ per attempt
+	upgrade string      // protocol that the client asks to upgrade to; "" for none
 
-	kept    []byte    // the body's first part, or all of it
-	rest    io.Reader // what follows it, read once; nil if kept is all
-	length  int64     // of the whole body; -1: not known
-	trailer func() http.Header
-	expects bool        // the client waits for 100 before it sends the body
-	taken   atomic.Bool // an attempt reads the rest
+	buffered        []byte    // first part of the body, or all of it
+	rest            io.Reader // remainder of the body, readable once; nil if all is buffered
+	length          int64     // of the complete body; -1: unknown
+	trailer         func() http.Header
+	expectsContinue bool        // the client waits for 100 (Continue) before it sends the body
+	restClaimed     atomic.Bool // an attempt has begun to read rest
 
-	ctx     context.Context // ends when the client goes or is answered
-	interim chan h1.Head    // 103s on their way to the client; one that finds no room is dropped
-	passed  *passing.Hand   // the one answer that goes to the client as it comes
-	reading sync.WaitGroup  // of the client's body
-	stop    func()          // makes that end
-	stopped atomic.Bool     // it was
+	ctx         context.Context // done when the client has disconnected, the answer is complete or the drain has ended
+	earlyHints  chan h1.Head    // 103 responses for the client; dropped if the channel is full
+	handoff     *passing.Hand   // the one answer that is streamed to the client
+	bodyReads   sync.WaitGroup  // goroutines that read the client's body
+	stopBody    func()          // ends reads of the client's body
+	bodyStopped atomic.Bool     // stopBody was called
 
 	mu       sync.Mutex
-	fallback *whole // the last answer that was held back
+	fallback *bufferedAnswer // the latest answer that was buffered
 }
 
-// whole is an answer that was read to its end, because another attempt might do better.
-type whole struct {
+// bufferedAnswer is a failed answer that was read completely, since a retry may succeed. It
+// goes to the client if no retry does.
+type bufferedAnswer struct {
 	h1.Head
 	body []byte
 }
 
-// heldBack bounds the body of such an answer; a longer one goes to the client at once.
-const heldBack = 64 << 10
+// maxBufferedAnswer is the largest body of such an answer; longer ones are streamed to the
+// client at once.
+const maxBufferedAnswer = 64 << 10
 
 // Attempt implements core.Message.
 func (x *exchange) Attempt(ctx context.Context, to core.Server, _ time.Time, turn core.Turn) core.Reply {
 	r := x.attempt(ctx, to, turn)
-	if x.ctx.Err() != nil { // the client's leaving broke it off: nothing to hold against the server
+	if x.ctx.Err() != nil { // ended by the client: it must not count against the server
 		switch r.Status {
 		case policy.ConnectFailed:
 			r.Status = policy.Moot
@@ -75,8 +77,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(x.ctx, cancel)()
-	if x.rest != nil && x.taken.Load() {
-		return core.Reply{Status: policy.Moot, Rejected: true} // its body is gone: no attempt can be made
+	if x.rest != nil && x.restClaimed.Load() {
+		return core.Reply{Status: policy.Moot, Rejected: true} // the body is consumed, so no further attempt is possible
 	}
 	if x.front.h2 != nil && x.upgrade == "" {
 		return x.front.h2.attempt(ctx, x, to, turn)
@@ -88,39 +90,39 @@
 	case err != nil:
 		return core.Reply{Status: policy.ConnectFailed}
 	}
-	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes reads and writes
+	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // unblocks reads and writes
 	if !turn.Begin() {
 		x.front.pool.Put(c, release())
 		return core.Reply{Status: policy.Moot}
 	}
-	if x.rest != nil && x.taken.Swap(true) {
+	if x.rest != nil && x.restClaimed.Swap(true) {
 		x.front.pool.Put(c, release())
 		return core.Reply{Status: policy.Moot, Rejected: true}
 	}
-	first := x.encode()
-	text := first
+	head := x.encode()
+	text := head
 	if x.length >= 0 {
-		text = append(text[:len(text):len(text)], x.kept...)
+		text = append(text[:len(text):len(text)], x.buffered...)
 	}
 	if n, err := c.Write(text); err != nil {
 		release()
 		x.front.pool.Put(c, false)
-		if n < len(first) { // no server begins with half a head
+		if n < len(head) { // a server does not run a request with an incomplete head
 			return core.Reply{Status: policy.ConnectFailed}
 		}
 		return core.Reply{Status: policy.Reset}
 	}
-	sent, goOn := x.sendRest(ctx, c)
-	status, reusable := x.receive(ctx, c, turn, sent, goOn)
+	sent, continueBody := x.sendRest(ctx, c)
+	status, reusable := x.receive(ctx, c, turn, sent, continueBody)
 	if sent != nil {
 		select {
 		case err := <-sent:
 			reusable = reusable && err == nil
-		default: // the answer came early: the rest is of no use
+		default: // the answer came before the end of the body: stop sending
 			reusable = false
 			cancel()
 			c.SetDeadline(time.Unix(1, 0))
-			x.stop()
+			x.stopBody()
 			<-sent
 		}
 	}
@@ -128,59 +130,59 @@
 	return core.Reply{Status: status}
 }
 
-// encode writes the request's head. All in it has passed net/http's checks on the way in,
-// so no value holds a line's end.
+// encode serializes the request's head. net/http has validated all values when it read the
+// request, so none contains a line break.
 func (x *exchange) encode() []byte {
 	var b bytes.Buffer
 	b.WriteString(x.method + " " + x.uri + " HTTP/1.1\r\nHost: " + x.host + "\r\n")
-	own := http.Header{}
+	extra := http.Header{}
 	if t := x.header.Get("Traceparent"); t != "" {
-		own.Set("Traceparent", fields.NextSpan(t))
+		extra.Set("Traceparent", fields.NextSpan(t))
 	}
 	switch {
 	case x.upgrade != "":
-		own.Set("Connection", "Upgrade")
-		own.Set("Upgrade", x.upgrade)
+		extra.Set("Connection", "Upgrade")
+		extra.Set("Upgrade", x.upgrade)
 	case x.header.Get("Te") != "":
-		own.Set("Connection", "TE")
+		extra.Set("Connection", "TE")
 	}
 	switch {
 	case x.length > 0, x.length == 0 && x.method != http.MethodGet && x.method != http.MethodHead && x.method != http.MethodOptions:
-		own.Set("Content-Length", strconv.FormatInt(x.length, 10))
+		extra.Set("Content-Length", strconv.FormatInt(x.length, 10))
 	case x.length < 0:
-		own.Set("Transfer-Encoding", "chunked")
+		extra.Set("Transfer-Encoding", "chunked")
 	}
-	if x.expects {
-		own.Set("Expect", "100-continue")
+	if x.expectsContinue {
+		extra.Set("Expect", "100-continue")
 	}
-	// Writing into a buffer does not fail.
+	// Writing to a bytes.Buffer never fails.
 	_ = x.header.WriteSubset(&b, map[string]bool{"Traceparent": true})
-	_ = own.Write(&b)
+	_ = extra.Write(&b)
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
-// continueWait is how long a body waits for a server's 100 before it goes out all the same
+// continueWait is how long to wait for a server's 100 (Continue) before the body is sent anyway
 // (RFC 9110, section 10.1.1).
 const continueWait = time.Second
 
-// sendRest sends what of the body is not kept, on a goroutine of its own; nil if there is
-// nothing to send. sent tells the end, once; goOn, of a client that waits for it, is to be
-// closed when the server wants the body.
-func (x *exchange) sendRest(ctx context.Context, c *conns.Conn) (sent chan error, goOn chan struct{}) {
+// sendRest sends the part of the body that is not buffered, on a new goroutine. sent delivers
+// the result once; it is nil if there is nothing to send. If the client expects 100
+// (Continue), the caller closes continueBody when the server asks for the body.
+func (x *exchange) sendRest(ctx context.Context, c *conns.Conn) (sent chan error, continueBody chan struct{}) {
 	if x.rest == nil {
 		return nil, nil
 	}
 	sent = make(chan error, 1)
-	if x.expects {
-		goOn = make(chan struct{})
+	if x.expectsContinue {
+		continueBody = make(chan struct{})
 	}
-	x.reading.Go(func() {
-		if goOn != nil {
+	x.bodyReads.Go(func() {
+		if continueBody != nil {
 			wait := time.NewTimer(continueWait)
 			defer wait.Stop()
 			select {
-			case <-goOn:
+			case <-continueBody:
 			case <-wait.C:
 			case <-ctx.Done():
 				sent <- ctx.Err()
@@ -189,24 +191,24 @@
 		}
 		sent <- x.copyRest(c)
 	})
-	return sent, goOn
+	return sent, continueBody
 }
 
 func (x *exchange) copyRest(c *conns.Conn) error {
 	if x.length >= 0 {
-		n, err := x.front.copy(c, x.rest)
-		if err == nil && n != x.length-int64(len(x.kept)) {
+		n, err := x.front.copyBuffered(c, x.rest)
+		if err == nil && n != x.length-int64(len(x.buffered)) {
 			err = io.ErrUnexpectedEOF
 		}
 		return err
 	}
 	w := httputil.NewChunkedWriter(c)
-	if len(x.kept) > 0 { // Attempt sent none of a body without a length
-		if _, err := w.Write(x.kept); err != nil {
+	if len(x.buffered) > 0 { // attempt sends the buffered part only if the length is known
+		if _, err := w.Write(x.buffered); err != nil {
 			return err
 		}
 	}
-	if _, err := x.front.copy(w, x.rest); err != nil {
+	if _, err := x.front.copyBuffered(w, x.rest); err != nil {
 		return err
 	}
 	if err := w.Close(); err != nil {
@@ -219,20 +221,20 @@
 	return err
 }
 
-// receive takes in the answer to what was written on c.
-func (x *exchange) receive(ctx context.Context, c *conns.Conn, turn core.Turn, sent chan error, goOn chan struct{}) (status policy.Status, reusable bool) {
-	h, err := x.awaitHead(c, goOn)
+// receive reads the answer from c and buffers it or streams it to the client.
+func (x *exchange) receive(ctx context.Context, c *conns.Conn, turn core.Turn, sent chan error, continueBody chan struct{}) (status policy.Status, reusable bool) {
+	h, err := x.readFinalHead(c, continueBody)
 	if err != nil {
 		return policy.Reset, false
 	}
 	if h.Code == http.StatusSwitchingProtocols {
 		if x.upgrade == "" {
-			return policy.Reset, false // nobody asked for it
+			return policy.Reset, false // the client did not ask for an upgrade
 		}
 		if !turn.Pass() {
 			return policy.Cancelled, false
 		}
-		return x.passed.Pass(&passing.Answer{Head: h, Tunnel: c}), false
+		return x.handoff.Pass(&passing.Answer{Head: h, Tunnel: c}), false
 	}
 	c.Budget.N = h1.Unbounded
 	b, err := h.Framed(c.In, x.method)
@@ -241,81 +243,81 @@
 	}
 	v := verdict.Of(h.Code, h.Header)
 	if v.Retryable {
-		if held, rest, err := hold(c, b, x.front.opt.Limits.Stall.Duration, ctx); err != nil {
+		if held, rest, err := bufferBody(c, b, x.front.opt.Limits.Stall.Duration, ctx); err != nil {
 			return policy.Reset, false
 		} else if rest == nil {
-			x.keep(&whole{h, held})
+			x.setFallback(&bufferedAnswer{h, held})
 			return v.Status, !h.Closes && c.In.Buffered() == 0
-		} else { // too long to be held back
+		} else { // too long to buffer
 			b.Reader = rest
 		}
 	}
 	if !turn.Pass() {
 		return policy.Cancelled, false
 	}
-	in := &passing.Answer{Head: h, Body: b}
+	answer := &passing.Answer{Head: h, Body: b}
 	select {
-	case err := <-sent: // nil, for ever, if there is nothing to send
+	case err := <-sent: // a nil channel never receives: there is nothing to send
 		sent <- err
 	default:
-		in.Half = sent != nil
+		answer.Half = sent != nil
 	}
-	end := x.passed.Pass(in)
+	end := x.handoff.Pass(answer)
 	if end == policy.OK {
 		end = v.Status
 	}
 	return end, end != policy.Reset && end != policy.Cancelled && !h.Closes && c.In.Buffered() == 0
 }
 
-// awaitHead reads heads up to the one that counts.
-func (x *exchange) awaitHead(c *conns.Conn, goOn chan struct{}) (h1.Head, error) {
+// readFinalHead reads heads up to the final one and handles interim responses.
+func (x *exchange) readFinalHead(c *conns.Conn, continueBody chan struct{}) (h1.Head, error) {
 	for range h1.InterimMost + 1 {
 		c.Budget.N = int64(x.front.opt.Limits.Header.Bytes)
 		h, err := h1.ReadHead(c.In)
 		switch {
 		case err != nil || h.Code >= 200 || h.Code == http.StatusSwitchingProtocols:
 			return h, err
-		case h.Code == http.StatusContinue && goOn != nil:
-			close(goOn)
-			goOn = nil
+		case h.Code == http.StatusContinue && continueBody != nil:
+			close(continueBody)
+			continueBody = nil
 		case h.Code == http.StatusEarlyHints:
 			select {
-			case x.interim <- h:
+			case x.earlyHints <- h:
 			default:
 			}
 		}
 	}
-	return h1.Head{}, h1.Spoilt("over %d interim answers", h1.InterimMost)
+	return h1.Head{}, h1.Spoilt("more than %d interim responses", h1.InterimMost)
 }
 
-// hold reads a body that may be kept whole. If it is too long it gives a reader of all of
-// it instead.
-func hold(c *conns.Conn, b h1.Body, stall time.Duration, ctx context.Context) ([]byte, io.Reader, error) {
+// bufferBody reads a complete body of up to maxBufferedAnswer bytes. For a longer one it
+// returns a reader of the complete body instead.
+func bufferBody(c *conns.Conn, b h1.Body, stall time.Duration, ctx context.Context) ([]byte, io.Reader, error) {
 	c.SetReadDeadline(time.Now().Add(stall))
 	if ctx.Err() != nil {
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
-	text, err := io.ReadAll(io.LimitReader(b, heldBack+1))
-	if err == nil && len(text) <= heldBack {
+	text, err := io.ReadAll(io.LimitReader(b, maxBufferedAnswer+1))
+	if err == nil && len(text) <= maxBufferedAnswer {
 		_, err = b.Trailer()
 	}
 	c.SetReadDeadline(time.Time{})
 	switch {
 	case err != nil:
 		return nil, nil, err
-	case len(text) > heldBack:
+	case len(text) > maxBufferedAnswer:
 		return nil, io.MultiReader(bytes.NewReader(text), b), nil
 	}
 	return text, nil, nil
 }
 
-func (x *exchange) keep(w *whole) {
+func (x *exchange) setFallback(answer *bufferedAnswer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.fallback = w
+	x.fallback = answer
 }
 
-func (x *exchange) held() *whole {
+func (x *exchange) getFallback() *bufferedAnswer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.fallback
--- a/internal/web/fronts.go
+++ b/internal/web/fronts.go
@@ -11,15 +11,15 @@
 	"otterstep/policy"
 )
 
-// Fronts are those of one process.
+// Fronts holds all fronts of the process.
 type Fronts struct {
 	all     []*Front
 	running sync.WaitGroup
 	failed  chan error
 }
 
-// Start opens all listeners, or none, and carries traffic until ctx ends; Wait then. The
-// configuration has been checked.
+// Start opens all listeners, or none on error, and serves until ctx ends; call Wait after
+// that. The configuration must have passed CheckAll.
 func Start(ctx context.Context, all []Config, seed uint64, clock core.Clock, log *slog.Logger) (*Fronts, error) {
 	s := &Fronts{failed: make(chan error, len(all))}
 	for i, c := range all {
@@ -42,7 +42,7 @@
 	return s, nil
 }
 
-// Drain drains all at once, and returns when all have ended.
+// Drain drains all fronts in parallel and returns when each is drained.
 func (s *Fronts) Drain(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, f := range s.all {
@@ -51,13 +51,13 @@
 	all.Wait()
 }
 
-// Wait waits until all have ended.
+// Wait blocks until all fronts have stopped.
 func (s *Fronts) Wait() { s.running.Wait() }
 
-// Failed gives an error of a front that has ended by itself.
+// Failed delivers the errors of fronts that stopped on their own.
 func (s *Fronts) Failed() <-chan error { return s.failed }
 
-// View is a front's state for those who look on.
+// View is a snapshot of a front's state for inspection.
 type View struct {
 	Name, Listen          string
 	Streams, Tunnels      int64
@@ -66,10 +66,10 @@
 	Connections, Idle     int
 	Kept                  int64
 	Pool                  core.View
-	Class                 func(int) string // names a class of Pool.Counts
+	Class                 func(int) string // returns the name of a class in Pool.Counts
 }
 
-// Inspect copies the state of all.
+// Inspect returns a snapshot of each front.
 func (s *Fronts) Inspect(ctx context.Context) (all []View, err error) {
 	var errs []error
 	for _, f := range s.all {
@@ -79,11 +79,11 @@
 			continue
 		}
 		v := View{
-			Name: f.opt.Name, Listen: f.Addr(), Streams: f.streams.Load(), Tunnels: f.tunnels.Load(), Cut: f.cut.Load(),
-			Gone: f.gone.Load(), TurnedDown: f.turned.Load(), Kept: f.kept.Load(), Pool: pool, Class: f.className,
+			Name: f.opt.Name, Listen: f.Addr(), Streams: f.streams.Load(), Tunnels: f.tunnels.Load(), Cut: f.truncated.Load(),
+			Gone: f.disconnects.Load(), TurnedDown: f.rejected.Load(), Kept: f.bufferedBytes.Load(), Pool: pool, Class: f.className,
 		}
-		for i := range f.hits {
-			v.Rules = append(v.Rules, f.hits[i].Load())
+		for i := range f.ruleHits {
+			v.Rules = append(v.Rules, f.ruleHits[i].Load())
 		}
 		v.Connections, v.Idle = f.pool.Count()
 		all = append(all, v)
@@ -92,5 +92,5 @@
 }
 
 func (f *Front) className(class int) string {
-	return f.opt.Class[class/effects].Name + "/" + [effects]string{policy.Safe: "safe", policy.Keyed: "keyed", policy.Unsafe: "unsafe"}[class%effects]
+	return f.opt.Class[class/effectCount].Name + "/" + [effectCount]string{policy.Safe: "safe", policy.Keyed: "keyed", policy.Unsafe: "unsafe"}[class%effectCount]
 }
--- a/internal/web/hostile_test.go
+++ b/internal/web/hostile_test.go
@@ -23,10 +23,10 @@
 	"otterstep/internal/standin/webbox"
 )
 
-// laxRead takes requests off bytes as forgiving servers do: lines end with any LF, blanks
-// round names are nothing, folded lines go on, "chunked" anywhere in a coding counts, and
-// the last length counts. It gives the request lines with their bodies.
-func laxRead(text []byte) (all []string) {
+// parseLeniently parses requests as lenient servers do: a line ends at any LF, whitespace
+// around names is ignored, folded lines are accepted, "chunked" anywhere in a transfer coding
+// counts, and the last Content-Length applies. It returns the request lines with the bodies.
+func parseLeniently(text []byte) (all []string) {
 	in := bufio.NewReader(bytes.NewReader(text))
 	for {
 		line, err := in.ReadString('\n')
@@ -77,8 +77,8 @@
 	}
 }
 
-// strictRead takes them as net/http does.
-func strictRead(text []byte) (all []string) {
+// parseStrictly parses requests as net/http does.
+func parseStrictly(text []byte) (all []string) {
 	in := bufio.NewReader(bytes.NewReader(text))
 	for {
 		q, err := http.ReadRequest(in)
@@ -90,19 +90,19 @@
 	}
 }
 
-// wiretap is a server that keeps all bytes that it was sent, and answers each request that a
-// strict reader sees.
-type wiretap struct {
+// recordingServer records all bytes that it receives, and answers the first request of each
+// connection if net/http can parse it.
+type recordingServer struct {
 	listener net.Listener
-	got      chan []byte // of each connection, once it has ended
+	received chan []byte // all bytes of each connection, sent when it has ended
 }
 
-func newWiretap(t testing.TB) *wiretap {
+func newRecordingServer(t testing.TB) *recordingServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &wiretap{l, make(chan []byte, 1000)}
+	w := &recordingServer{l, make(chan []byte, 1000)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -119,9 +119,9 @@
 					_, _ = io.Copy(io.Discard, q.Body)
 					_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 					_ = c.(*net.TCPConn).CloseWrite()
-					_, _ = io.Copy(io.Discard, in) // all further bytes are in the tap too
+					_, _ = io.Copy(io.Discard, in) // record all further bytes
 				}
-				w.got <- all.Bytes()
+				w.received <- all.Bytes()
 			}()
 		}
 	}()
@@ -129,11 +129,11 @@
 	return w
 }
 
-// FuzzSmuggling: whatever bytes a client sends, a strict and a lax server behind the node
-// see the same requests.
+// FuzzSmuggling checks that for any bytes a client sends, a strict and a lenient server
+// behind the node parse the same requests.
 func FuzzSmuggling(f *testing.F) {
-	for _, d := range duties {
-		f.Add([]byte(d.sent))
+	for _, d := range requirements {
+		f.Add([]byte(d.request))
 	}
 	for _, s := range []string{
 		"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -145,8 +145,8 @@
 	} {
 		f.Add([]byte(s))
 	}
-	w := newWiretap(f)
-	r := &rig{t: f}
+	w := newRecordingServer(f)
+	r := &fixture{t: f}
 	r.start(fmt.Sprintf("[[web]]\nlisten = \"127.0.0.1:0\"\nattempts = 1\n[web.limits]\nread = \"100ms\"\n[[web.class]]\nname = \"d\"\naim = \"1s\"\ndeadline = \"2s\"\n[[web.server]]\nname = \"s\"\naddress = %q\n", w.listener.Addr()))
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		c, err := net.Dial("tcp", r.front.Addr())
@@ -160,10 +160,10 @@
 		_, _ = io.Copy(io.Discard, c)
 		for {
 			select {
-			case got := <-w.got:
-				strict, lax := strictRead(got), laxRead(got)
+			case got := <-w.received:
+				strict, lax := parseStrictly(got), parseLeniently(got)
 				if !slices.Equal(strict, lax) {
-					t.Fatalf("sent %q; a strict server sees %q, a lax one %q", sent, strict, lax)
+					t.Fatalf("sent %q; a strict server parses %q, a lenient one %q", sent, strict, lax)
 				}
 				continue
 			case <-time.After(time.Millisecond):
@@ -173,17 +173,17 @@
 	})
 }
 
-// h2 is a client of HTTP/2 on the level of frames.
-type h2 struct {
+// http2Client is a client that writes and reads HTTP/2 frames.
+type http2Client struct {
 	net.Conn
 	*http2.Framer
 	fields bytes.Buffer
 	encode *hpack.Encoder
 }
 
-func (r *rig) h2() *h2 {
+func (r *fixture) dialHTTP2() *http2Client {
 	r.t.Helper()
-	c := &h2{Conn: r.dial()}
+	c := &http2Client{Conn: r.dial()}
 	c.Framer = http2.NewFramer(c.Conn, c.Conn)
 	c.AllowIllegalWrites = true
 	c.encode = hpack.NewEncoder(&c.fields)
@@ -192,7 +192,7 @@
 	return c
 }
 
-func (c *h2) block(fields ...[2]string) []byte {
+func (c *http2Client) headerBlock(fields ...[2]string) []byte {
 	c.fields.Reset()
 	for _, f := range fields {
 		_ = c.encode.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
@@ -200,8 +200,9 @@
 	return bytes.Clone(c.fields.Bytes())
 }
 
-// end reads until stream's answer has its status, or the stream or the connection is ended.
-func (c *h2) end(stream uint32) string {
+// outcome returns the status of the answer on stream, "reset" if the stream was reset, or
+// "away" if the connection has ended.
+func (c *http2Client) outcome(stream uint32) string {
 	decode := hpack.NewDecoder(4096, nil)
 	for {
 		f, err := c.ReadFrame()
@@ -226,14 +227,14 @@
 	}
 }
 
-// Fields of HTTP/2 that would be something else in HTTP/1.1 never reach a server (RFC 9113,
-// sections 8.2 and 8.3).
-func TestSmugglingByHTTP2(t *testing.T) {
-	r := open(t, "", echo)
-	usual := [][2]string{{":method", "GET"}, {":scheme", "http"}, {":path", "/x"}, {":authority", "a.example"}}
-	with := func(more ...[2]string) [][2]string { return append(slices.Clone(usual), more...) }
+// HTTP/2 fields that would have another meaning in HTTP/1.1 must not reach a server (RFC
+// 9113, sections 8.2 and 8.3).
+func TestHTTP2Smuggling(t *testing.T) {
+	r := newFixture(t, "", echo)
+	valid := [][2]string{{":method", "GET"}, {":scheme", "http"}, {":path", "/x"}, {":authority", "a.example"}}
+	withField := func(more ...[2]string) [][2]string { return append(slices.Clone(valid), more...) }
 	path := func(p string) [][2]string {
-		all := slices.Clone(usual)
+		all := slices.Clone(valid)
 		all[2][1] = p
 		return all
 	}
@@ -242,80 +243,80 @@
 		body   string
 		passes bool
 	}{
-		"usual":                {usual, "", true},
-		"CR in a value":        {with([2]string{"x-a", "1\r\nx-b: 2"}), "", false},
-		"NUL in a value":       {with([2]string{"x-a", "1\x00"}), "", false},
-		"LF in a name":         {with([2]string{"x-a\nx-b", "1"}), "", false},
-		"upper case":           {with([2]string{"X-A", "1"}), "", false},
-		"a colon in a name":    {with([2]string{"x-a: 1", "1"}), "", false},
-		"transfer-encoding":    {with([2]string{"transfer-encoding", "chunked"}), "", false},
-		"connection":           {with([2]string{"connection", "x"}), "", false},
-		"a blank in the path":  {path("/x HTTP/1.1"), "", false},
+		"valid":                {valid, "", true},
+		"CR in a value":        {withField([2]string{"x-a", "1\r\nx-b: 2"}), "", false},
+		"NUL in a value":       {withField([2]string{"x-a", "1\x00"}), "", false},
+		"LF in a name":         {withField([2]string{"x-a\nx-b", "1"}), "", false},
+		"upper case":           {withField([2]string{"X-A", "1"}), "", false},
+		"a colon in a name":    {withField([2]string{"x-a: 1", "1"}), "", false},
+		"transfer-encoding":    {withField([2]string{"transfer-encoding", "chunked"}), "", false},
+		"connection":           {withField([2]string{"connection", "x"}), "", false},
+		"a space in the path":  {path("/x HTTP/1.1"), "", false},
 		"no slash in the path": {path("x"), "", false},
-		"two paths":            {with([2]string{":path", "/y"}), "", false},
-		"a lying length":       {with([2]string{"content-length", "99"}), "abc", false},
+		"two paths":            {withField([2]string{":path", "/y"}), "", false},
+		"a wrong length":       {withField([2]string{"content-length", "99"}), "abc", false},
 		"dots in the path":     {path("/a/../x"), "", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r.t = t
-			before := r.requests()
-			h := r.h2()
-			_ = h.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: h.block(c.fields...), EndHeaders: true, EndStream: c.body == ""})
+			before := r.requestCount()
+			h := r.dialHTTP2()
+			_ = h.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: h.headerBlock(c.fields...), EndHeaders: true, EndStream: c.body == ""})
 			if c.body != "" {
 				_ = h.WriteData(1, true, []byte(c.body))
 			}
-			end := h.end(1)
-			if (end == "200") != c.passes || r.requests()-before != map[bool]int{true: 1}[c.passes] {
-				t.Errorf("ended with %s, %d requests passed", end, r.requests()-before)
+			end := h.outcome(1)
+			if (end == "200") != c.passes || r.requestCount()-before != map[bool]int{true: 1}[c.passes] {
+				t.Errorf("ended with %s; %d requests were forwarded", end, r.requestCount()-before)
 			}
 		})
 	}
 }
 
-// Floods of HTTP/2 end their own connection or cost it alone: others are served meanwhile,
-// and memory is bounded.
-func TestFloodsOfHTTP2(t *testing.T) {
-	r := open(t, "", echo)
-	for name, flood := range map[string]func(h *h2, n uint32) error{
-		"rapid reset": func(h *h2, n uint32) error {
+// A flood of HTTP/2 frames must not affect other clients, and the memory that it uses must
+// stay bounded.
+func TestHTTP2Floods(t *testing.T) {
+	r := newFixture(t, "", echo)
+	for name, flood := range map[string]func(h *http2Client, n uint32) error{
+		"rapid reset": func(h *http2Client, n uint32) error {
 			id := 2*n + 1
 			err := h.WriteHeaders(http2.HeadersFrameParam{
 				StreamID: id, EndHeaders: true, EndStream: true,
-				BlockFragment: h.block([2]string{":method", "GET"}, [2]string{":scheme", "http"}, [2]string{":path", "/x"}, [2]string{":authority", "a"}),
+				BlockFragment: h.headerBlock([2]string{":method", "GET"}, [2]string{":scheme", "http"}, [2]string{":path", "/x"}, [2]string{":authority", "a"}),
 			})
 			if err == nil {
 				err = h.WriteRSTStream(id, http2.ErrCodeCancel)
 			}
 			return err
 		},
-		"continuation": func(h *h2, n uint32) error {
+		"continuation": func(h *http2Client, n uint32) error {
 			if n == 0 {
-				return h.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: h.block([2]string{":method", "GET"})})
+				return h.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: h.headerBlock([2]string{":method", "GET"})})
 			}
-			return h.WriteContinuation(1, false, h.block([2]string{fmt.Sprint("x-", n), strings.Repeat("a", 100)}))
+			return h.WriteContinuation(1, false, h.headerBlock([2]string{fmt.Sprint("x-", n), strings.Repeat("a", 100)}))
 		},
-		"settings": func(h *h2, _ uint32) error {
+		"settings": func(h *http2Client, _ uint32) error {
 			return h.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1})
 		},
-		"ping": func(h *h2, n uint32) error { return h.WritePing(false, [8]byte{byte(n)}) },
-		"empty data": func(h *h2, n uint32) error {
+		"ping": func(h *http2Client, n uint32) error { return h.WritePing(false, [8]byte{byte(n)}) },
+		"empty data": func(h *http2Client, n uint32) error {
 			if n == 0 {
 				return h.WriteHeaders(http2.HeadersFrameParam{
 					StreamID: 1, EndHeaders: true,
-					BlockFragment: h.block([2]string{":method", "POST"}, [2]string{":scheme", "http"}, [2]string{":path", "/x"}, [2]string{":authority", "a"}),
+					BlockFragment: h.headerBlock([2]string{":method", "POST"}, [2]string{":scheme", "http"}, [2]string{":path", "/x"}, [2]string{":authority", "a"}),
 				})
 			}
 			return h.WriteData(1, false, nil)
 		},
-		"table bomb": func(h *h2, n uint32) error {
-			many := make([][2]string, 0, 400)
-			many = append(many, [][2]string{{":method", "GET"}, {":scheme", "http"}, {":path", "/x"}, {":authority", "a"}}...)
+		"header table bomb": func(h *http2Client, n uint32) error {
+			fields := make([][2]string, 0, 400)
+			fields = append(fields, [][2]string{{":method", "GET"}, {":scheme", "http"}, {":path", "/x"}, {":authority", "a"}}...)
 			for range 390 {
-				many = append(many, [2]string{"x-bomb", strings.Repeat("b", 2000)})
+				fields = append(fields, [2]string{"x-bomb", strings.Repeat("b", 2000)})
 			}
-			return h.WriteHeaders(http2.HeadersFrameParam{StreamID: 2*n + 1, BlockFragment: h.block(many...), EndHeaders: true, EndStream: true})
+			return h.WriteHeaders(http2.HeadersFrameParam{StreamID: 2*n + 1, BlockFragment: h.headerBlock(fields...), EndHeaders: true, EndStream: true})
 		},
-		"windows never opened": func(h *h2, n uint32) error {
+		"windows never opened": func(h *http2Client, n uint32) error {
 			if n == 0 {
 				if err := h.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0}); err != nil {
 					return err
@@ -323,7 +324,7 @@
 			}
 			return h.WriteHeaders(http2.HeadersFrameParam{
 				StreamID: 2*n + 1, EndHeaders: true, EndStream: true,
-				BlockFragment: h.block([2]string{":method", "GET"}, [2]string{":scheme", "http"}, [2]string{":path", "/x"}, [2]string{":authority", "a"}),
+				BlockFragment: h.headerBlock([2]string{":method", "GET"}, [2]string{":scheme", "http"}, [2]string{":path", "/x"}, [2]string{":authority", "a"}),
 			})
 		},
 	} {
@@ -332,7 +333,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			h := r.h2()
+			h := r.dialHTTP2()
 			go func() { _, _ = io.Copy(io.Discard, h.Conn) }()
 			flooded := make(chan struct{})
 			go func() {
@@ -346,7 +347,7 @@
 			slowest := time.Duration(0)
 			for range 50 {
 				began := time.Now()
-				if a := r.ask("GET", get("/other")); a.code != 200 {
+				if a := r.roundTrip("GET", getRequest("/other")); a.code != 200 {
 					t.Errorf("another client: %+v", a)
 				}
 				slowest = max(slowest, time.Since(began))
@@ -356,17 +357,18 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 32<<20 || slowest > 5*time.Second {
-				t.Errorf("%d bytes of heap more; another client's slowest answer took %v", grown, slowest)
+				t.Errorf("the heap grew by %d bytes; the slowest answer to another client took %v", grown, slowest)
 			}
 		})
 	}
 }
 
-// added are the fields that the page lists as the node's, or as made anew.
-var added = []string{"Date", "Content-Length", "Connection", "Transfer-Encoding", "Trailer"}
+// proxyFields are the response fields that the node adds or regenerates, as documented for
+// operators.
+var proxyFields = []string{"Date", "Content-Length", "Connection", "Transfer-Encoding", "Trailer"}
 
-// Whatever is asked, a client gets through the node what a direct connection gives, but for
-// the fields that the page lists.
+// For random requests a client receives through the node the same answer as on a direct
+// connection, except for proxyFields.
 func TestSameAsDirect(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		seed, _ := strconv.ParseUint(q.URL.Query().Get("seed"), 10, 64)
@@ -396,7 +398,7 @@
 		}
 	}))
 	defer s.Close()
-	r := &rig{t: t}
+	r := &fixture{t: t}
 	r.start(fmt.Sprintf("[[web]]\nlisten = \"127.0.0.1:0\"\n[[web.server]]\nname = \"s\"\naddress = %q\n", s.Listener.Addr()))
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -407,7 +409,7 @@
 		if method != "GET" && method != "HEAD" && rng.IntN(2) == 0 {
 			body = strings.NewReader(strings.Repeat("b", rng.IntN(150_000)))
 			if rng.IntN(2) == 0 {
-				body = io.MultiReader(body) // its length is not known
+				body = io.MultiReader(body) // hides the length from net/http
 			}
 		}
 		q, err := http.NewRequest(method, fmt.Sprintf("http://%s/a%%2C/%d?seed=%d", addr, rng.IntN(9), seed), body)
@@ -428,7 +430,7 @@
 		if got != want {
 			t.Fatalf("seed %d: %s, direct %s", seed, got, want)
 		}
-		for _, name := range added {
+		for _, name := range proxyFields {
 			delete(wantHeader, name)
 			delete(gotHeader, name)
 		}
@@ -445,11 +447,11 @@
 	return sum
 }
 
-// A slow client holds its own stream and no more: the server's sending stops, and it is told
-// when the client takes nothing for too long.
+// If a client does not read, the node stops reading from the server, and closes the server's
+// connection after the stall timeout.
 func TestSlowClient(t *testing.T) {
 	ended := make(chan int64, 1)
-	r := open(t, "[web.limits]\nstall = \"300ms\"\n", func(_ webbox.Seen, c net.Conn) bool {
+	r := newFixture(t, "[web.limits]\nstall = \"300ms\"\n", func(_ webbox.Seen, c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n")
 		block, sent := make([]byte, 1<<16), int64(0)
 		for {
@@ -461,14 +463,14 @@
 		}
 	})
 	c := r.dial()
-	_, _ = io.WriteString(c, get("/x"))
+	_, _ = io.WriteString(c, getRequest("/x"))
 	select {
 	case sent := <-ended:
 		if sent > 64<<20 {
-			t.Errorf("%d bytes were taken from the server for a client that takes none", sent)
+			t.Errorf("%d bytes were read from the server for a client that reads none", sent)
 		}
-	case <-time.After(limit):
-		t.Fatal("the server was not told")
+	case <-time.After(testTimeout):
+		t.Fatal("the server's connection was not closed")
 	}
-	r.await("end of the stream", func() bool { return r.front.streams.Load() == 0 })
+	r.waitFor("end of the stream", func() bool { return r.front.streams.Load() == 0 })
 }
--- a/internal/web/multiplexed.go
+++ b/internal/web/multiplexed.go
@@ -25,77 +25,77 @@
 	"otterstep/policy"
 )
 
-// multiplexed carries attempts to servers that speak HTTP/2, many on a connection. It asks
-// for streams of x/net's ClientConn one by one, because its Transport sends again by itself
-// what a server has not begun.
-type multiplexed struct {
-	transport *http2.Transport
-	secure    *tls.Config
-	connect   time.Duration
-	most      int
-
-	mu   sync.Mutex
-	open map[core.Server][]*http2.ClientConn
-	all  int
+// http2Pool sends attempts to servers that speak HTTP/2, with many streams per connection. It
+// reserves streams on x/net's ClientConn itself, because Transport retries requests on its
+// own if a server has not begun them.
+type http2Pool struct {
+	transport      *http2.Transport
+	tlsConfig      *tls.Config
+	connectTimeout time.Duration
+	maxConns       int
+
+	mu    sync.Mutex
+	conns map[core.Server][]*http2.ClientConn
+	count int
 }
 
-func newMultiplexed(c Config, secure *tls.Config) *multiplexed {
-	return &multiplexed{
+func newHTTP2Pool(c Config, tlsConfig *tls.Config) *http2Pool {
+	return &http2Pool{
 		transport: &http2.Transport{
 			AllowHTTP: true, DisableCompression: true, MaxHeaderListSize: uint32(c.Limits.Header.Bytes), StrictMaxConcurrentStreams: true,
 			ReadIdleTimeout: c.Upstream.Idle.Duration, PingTimeout: c.Upstream.Connect.Duration, WriteByteTimeout: c.Limits.Stall.Duration,
 		},
-		secure: secure, connect: c.Upstream.Connect.Duration, most: c.Upstream.Connections, open: map[core.Server][]*http2.ClientConn{},
+		tlsConfig: tlsConfig, connectTimeout: c.Upstream.Connect.Duration, maxConns: c.Upstream.Connections, conns: map[core.Server][]*http2.ClientConn{},
 	}
 }
 
-// get reserves a stream at a server.
-func (m *multiplexed) get(ctx context.Context, to core.Server) (*http2.ClientConn, error) {
+// reserveStream reserves a stream on a connection to a server, opening one if needed.
+func (m *http2Pool) reserveStream(ctx context.Context, to core.Server) (*http2.ClientConn, error) {
 	m.mu.Lock()
-	m.open[to] = slices.DeleteFunc(m.open[to], func(c *http2.ClientConn) bool {
-		gone := c.State().Closed
-		if gone {
-			m.all--
+	m.conns[to] = slices.DeleteFunc(m.conns[to], func(c *http2.ClientConn) bool {
+		closed := c.State().Closed
+		if closed {
+			m.count--
 		}
-		return gone
+		return closed
 	})
-	for _, c := range m.open[to] {
+	for _, c := range m.conns[to] {
 		if c.ReserveNewRequest() {
 			m.mu.Unlock()
 			return c, nil
 		}
 	}
-	if m.all >= m.most {
+	if m.count >= m.maxConns {
 		m.mu.Unlock()
 		return nil, conns.ErrNone
 	}
-	m.all++
+	m.count++
 	m.mu.Unlock()
 	c, err := m.dial(ctx, to)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
-		m.all--
+		m.count--
 		return nil, err
 	}
-	m.open[to] = append(m.open[to], c)
+	m.conns[to] = append(m.conns[to], c)
 	return c, nil
 }
 
-func (m *multiplexed) dial(ctx context.Context, to core.Server) (*http2.ClientConn, error) {
-	ctx, cancel := context.WithTimeout(ctx, m.connect)
+func (m *http2Pool) dial(ctx context.Context, to core.Server) (*http2.ClientConn, error) {
+	ctx, cancel := context.WithTimeout(ctx, m.connectTimeout)
 	defer cancel()
 	nc, err := new(net.Dialer).DialContext(ctx, "tcp", to.Addr)
 	if err != nil {
 		return nil, err
 	}
-	if m.secure != nil {
-		secure := tls.Client(nc, m.secure)
-		if err := secure.HandshakeContext(ctx); err != nil {
+	if m.tlsConfig != nil {
+		tlsConn := tls.Client(nc, m.tlsConfig)
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			nc.Close()
 			return nil, err
 		}
-		nc = secure
+		nc = tlsConn
 	}
 	c, err := m.transport.NewClientConn(nc)
 	if err == nil && !c.ReserveNewRequest() {
@@ -107,53 +107,52 @@
 	return c, err
 }
 
-// drop closes the connections to a server that is gone, once their streams have ended.
-func (m *multiplexed) drop(to core.Server) {
+// drop closes the connections to a removed server, once their streams have ended.
+func (m *http2Pool) drop(to core.Server) {
 	m.mu.Lock()
-	all := m.open[to]
-	delete(m.open, to)
-	m.all -= len(all)
+	all := m.conns[to]
+	delete(m.conns, to)
+	m.count -= len(all)
 	m.mu.Unlock()
 	for _, c := range all {
-		go c.Shutdown(context.Background()) // it waits for the streams
+		go c.Shutdown(context.Background()) // waits for the streams to end
 	}
 }
 
-func (m *multiplexed) close() {
+func (m *http2Pool) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, all := range m.open {
+	for _, all := range m.conns {
 		for _, c := range all {
 			c.Close()
 		}
 	}
-	clear(m.open)
+	clear(m.conns)
 }
 
-// attempt makes one attempt.
-func (m *multiplexed) attempt(ctx context.Context, x *exchange, to core.Server, turn core.Turn) core.Reply {
-	c, err := m.get(ctx, to)
+func (m *http2Pool) attempt(ctx context.Context, x *exchange, to core.Server, turn core.Turn) core.Reply {
+	c, err := m.reserveStream(ctx, to)
 	switch {
 	case errors.Is(err, conns.ErrNone):
 		return core.Reply{Status: policy.Moot}
 	case err != nil:
 		return core.Reply{Status: policy.ConnectFailed}
 	}
-	taken := x.rest != nil && x.taken.Swap(true)
+	taken := x.rest != nil && x.restClaimed.Swap(true)
 	if taken || !turn.Begin() {
-		// The stream that was reserved goes with a request that is over before it begins.
-		over, cancel := context.WithCancel(ctx)
+		// A request that is already canceled releases the reserved stream.
+		canceled, cancel := context.WithCancel(ctx)
 		cancel()
-		r, _ := http.NewRequestWithContext(over, http.MethodGet, "http://"+to.Addr+"/", nil)
+		r, _ := http.NewRequestWithContext(canceled, http.MethodGet, "http://"+to.Addr+"/", nil)
 		_, _ = c.RoundTrip(r)
 		return core.Reply{Status: policy.Moot, Rejected: taken}
 	}
 	resp, err := c.RoundTrip(x.outgoing(ctx))
 	if err != nil {
-		var stream http2.StreamError
-		var away http2.GoAwayError
-		if errors.As(err, &stream) && stream.Code == http2.ErrCodeRefusedStream || errors.As(err, &away) {
-			return core.Reply{Status: policy.Full} // RFC 9113, section 8.7: it has not run
+		var streamErr http2.StreamError
+		var goAway http2.GoAwayError
+		if errors.As(err, &streamErr) && streamErr.Code == http2.ErrCodeRefusedStream || errors.As(err, &goAway) {
+			return core.Reply{Status: policy.Full} // the request has not run (RFC 9113, section 8.7)
 		}
 		return core.Reply{Status: policy.Reset}
 	}
@@ -161,7 +160,7 @@
 	return core.Reply{Status: x.receiveStream(resp, turn)}
 }
 
-// outgoing gives the request as x/net sends it.
+// outgoing returns the request for x/net to send.
 func (x *exchange) outgoing(ctx context.Context) *http.Request {
 	header := x.header.Clone()
 	if t := header.Get("Traceparent"); t != "" {
@@ -173,21 +172,21 @@
 	if x.front.opt.Upstream.TLS {
 		scheme = "https"
 	}
-	// Opaque keeps the path as the client wrote it.
+	// Opaque sends the path as the client encoded it.
 	r.URL = &url.URL{Scheme: scheme, Host: x.host, Opaque: x.uri}
 	switch {
 	case x.rest != nil:
 		r.Trailer = x.trailer()
-		x.reading.Add(1)
-		r.Body = &streamedBody{Reader: io.MultiReader(bytes.NewReader(x.kept), x.rest), stop: x.stop, done: sync.OnceFunc(x.reading.Done)}
-	case len(x.kept) > 0:
-		r.Body = io.NopCloser(bytes.NewReader(x.kept))
+		x.bodyReads.Add(1)
+		r.Body = &streamedBody{Reader: io.MultiReader(bytes.NewReader(x.buffered), x.rest), stop: x.stopBody, done: sync.OnceFunc(x.bodyReads.Done)}
+	case len(x.buffered) > 0:
+		r.Body = io.NopCloser(bytes.NewReader(x.buffered))
 	}
 	return r.WithContext(ctx)
 }
 
-// streamedBody is a client's body on its way to a stream. x/net closes it once it has ended,
-// or when the stream is over before; then a Read that waits for the client must end.
+// streamedBody is a client's body that is sent on a stream. x/net closes it at its end, or
+// earlier if the stream has ended; then a Read that waits for the client must be unblocked.
 type streamedBody struct {
 	io.Reader
 	ended      atomic.Bool
@@ -212,18 +211,18 @@
 	return nil
 }
 
-// receiveStream takes in an answer that came on a stream.
+// receiveStream buffers the answer from a stream or streams it to the client.
 func (x *exchange) receiveStream(resp *http.Response, turn core.Turn) policy.Status {
 	h := h1.Head{Code: resp.StatusCode, Header: resp.Header, Trails: len(resp.Trailer) > 0}
 	b := h1.Body{Reader: resp.Body, Length: resp.ContentLength, Trailer: func() (http.Header, error) { return resp.Trailer, nil }}
 	v := verdict.Of(h.Code, h.Header)
 	if v.Retryable {
-		text, err := io.ReadAll(io.LimitReader(resp.Body, heldBack+1))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
 		if err != nil {
 			return policy.Reset
 		}
-		if len(text) <= heldBack {
-			x.keep(&whole{h, text})
+		if len(text) <= maxBufferedAnswer {
+			x.setFallback(&bufferedAnswer{h, text})
 			return v.Status
 		}
 		b.Reader = io.MultiReader(bytes.NewReader(text), resp.Body)
@@ -231,7 +230,7 @@
 	if !turn.Pass() {
 		return policy.Cancelled
 	}
-	if end := x.passed.Pass(&passing.Answer{Head: h, Body: b}); end != policy.OK {
+	if end := x.handoff.Pass(&passing.Answer{Head: h, Body: b}); end != policy.OK {
 		return end
 	}
 	return v.Status
--- a/internal/web/problem.go
+++ b/internal/web/problem.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// problem is an answer of the node's own (RFC 9457).
+// problem is an error response by the node itself, in problem details format (RFC 9457).
 type problem struct {
 	Type     string `json:"type,omitempty"`
 	Title    string `json:"title"`
 	Status   int    `json:"status"`
 	Detail   string `json:"detail,omitempty"`
-	Instance string `json:"instance,omitempty"` // the request's id
+	Instance string `json:"instance,omitempty"` // the request id
 
 	retryAfter time.Duration
-	close      bool // what follows on the connection can't be trusted
+	closeConn  bool // unread body data may follow, so the connection cannot be reused
 }
 
-var stopping = &problem{Status: http.StatusBadGateway, Title: "shutting down", Type: "stopping"}
+var shuttingDown = &problem{Status: http.StatusBadGateway, Title: "shutting down", Type: "stopping"}
 
 func (p problem) write(w http.ResponseWriter, id string) {
 	h := w.Header()
-	if p.close {
+	if p.closeConn {
 		h.Set("Connection", "close")
 	}
-	if p.retryAfter > 0 { // delta-seconds are whole (RFC 9110, section 10.2.3)
+	if p.retryAfter > 0 { // delta-seconds is an integer (RFC 9110, section 10.2.3)
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(p.retryAfter.Seconds()))))
 	}
 	if p.Status == http.StatusNoContent {
@@ -43,16 +43,16 @@
 		p.Type = "urn:otterstep:" + p.Type
 	}
 	p.Instance = id
-	text, _ := json.Marshal(p) // strings and a number
+	text, _ := json.Marshal(p) // cannot fail for strings and an integer
 	h.Set("Content-Type", "application/problem+json")
 	h.Set("Content-Length", strconv.Itoa(len(text)+1))
 	w.WriteHeader(p.Status)
-	_, _ = w.Write(append(text, '\n')) // an error is the client's leaving
+	_, _ = w.Write(append(text, '\n')) // an error means that the client has disconnected
 }
 
-// newID gives an id of the node's own for a request.
-func newID() string {
+// newRequestID returns a random request id.
+func newRequestID() string {
 	var b [16]byte
-	_, _ = rand.Read(b[:]) // never fails, see crypto/rand
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
 	return hex.EncodeToString(b[:])
 }
--- a/internal/web/relay.go
+++ b/internal/web/relay.go
@@ -15,46 +15,46 @@
 	"otterstep/policy"
 )
 
-// relay passes an answer on while it comes. From its first byte on there is no way back:
-// one that breaks ends the client's connection, or stream, so that it can't be taken for
-// whole.
-func (f *Front) relay(w http.ResponseWriter, r *http.Request, x *exchange, in *passing.Answer) {
-	if in.Tunnel != nil {
-		in.End(f.tunnel(w, r, x, in))
+// relay streams an answer to the client. Once it has begun it cannot be replaced: if it fails,
+// the client's connection or HTTP/2 stream is aborted, so that the client does not take it
+// for complete.
+func (f *Front) relay(w http.ResponseWriter, r *http.Request, x *exchange, answer *passing.Answer) {
+	if answer.Tunnel != nil {
+		answer.End(f.tunnel(w, r, x, answer))
 		return
 	}
 	f.streams.Add(1)
 	defer f.streams.Add(-1)
 	status := policy.Cancelled
-	defer func() { in.End(status) }() // also if the client's connection panics
-	copyHead(w, in.Head)
-	if in.Trails && r.ProtoMajor < 2 {
+	defer func() { answer.End(status) }() // also when this function panics with ErrAbortHandler
+	copyHeader(w, answer.Head)
+	if answer.Trails && r.ProtoMajor < 2 {
 		w.Header().Del("Content-Length")
-		in.Length = -1
+		answer.Length = -1
 	}
-	if in.Half {
-		w.Header().Set("Connection", "close") // what is left of the body follows on it
+	if answer.Half {
+		w.Header().Set("Connection", "close") // the unread rest of the body follows on the connection
 	}
 	control := http.NewResponseController(w)
-	w.WriteHeader(in.Code)
-	if in.Length < 0 { // the head is news already; and net/http gives short answers a length, and no trailers, else
-		_ = control.Flush() // the first write tells if it failed
+	w.WriteHeader(answer.Code)
+	if answer.Length < 0 { // clients may wait for the head alone; and without it net/http gives short answers a length and no trailers
+		_ = control.Flush() // a failure shows at the first write
 	}
 	b := f.buffers.Get().(*[]byte)
 	defer f.buffers.Put(b)
-	switch err := in.Copy(x.ctx, w, f.opt.Limits.Stall.Duration, *b); {
+	switch err := answer.Copy(x.ctx, w, f.opt.Limits.Stall.Duration, *b); {
 	case errors.Is(err, passing.ErrGone):
-		f.gone.Add(1)
+		f.disconnects.Add(1)
 		panic(http.ErrAbortHandler)
 	case err != nil:
 		status = policy.Reset
-		f.cut.Add(1)
+		f.truncated.Add(1)
 		panic(http.ErrAbortHandler)
 	}
-	trailer, err := in.Trailer()
+	trailer, err := answer.Trailer()
 	if err != nil {
 		status = policy.Reset
-		f.cut.Add(1)
+		f.truncated.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	for name, values := range trailer {
@@ -63,13 +63,13 @@
 	status = policy.OK
 }
 
-// tunnel changes protocols: from then on bytes go both ways until both sides have ended, a
-// side says nothing for too long, the time is up, or the drain ends it.
-func (f *Front) tunnel(w http.ResponseWriter, r *http.Request, x *exchange, in *passing.Answer) policy.Status {
+// tunnel switches protocols and copies bytes in both directions until both sides have closed,
+// the maximum lifetime has passed, or the drain ends it.
+func (f *Front) tunnel(w http.ResponseWriter, r *http.Request, x *exchange, answer *passing.Answer) policy.Status {
 	f.tunnels.Add(1)
 	defer f.tunnels.Add(-1)
-	up := in.Tunnel
-	up.Budget.N = h1.Unbounded
+	upstream := answer.Tunnel
+	upstream.Budget.N = h1.Unbounded
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return policy.Cancelled
@@ -77,45 +77,45 @@
 	defer conn.Close()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), f.opt.Limits.Tunnel.Duration)
 	defer cancel()
-	defer context.AfterFunc(f.ending, cancel)()
-	header := in.Header.Clone()
+	defer context.AfterFunc(f.streamCtx, cancel)()
+	header := answer.Header.Clone()
 	fields.RemoveHopByHop(header)
 	header.Set("Connection", "Upgrade")
-	header["Upgrade"] = in.Header["Upgrade"]
+	header["Upgrade"] = answer.Header["Upgrade"]
 	_ = conn.SetDeadline(time.Time{})
 	if _, err := buffered.WriteString("HTTP/1.1 101 Switching Protocols\r\n"); err == nil {
 		_ = header.Write(buffered)
 	}
 	_, _ = buffered.WriteString("\r\n")
 	if buffered.Flush() != nil {
-		f.gone.Add(1)
+		f.disconnects.Add(1)
 		return policy.Cancelled
 	}
 	defer context.AfterFunc(ctx, func() {
 		conn.SetDeadline(time.Unix(1, 0))
-		up.SetDeadline(time.Unix(1, 0))
+		upstream.SetDeadline(time.Unix(1, 0))
 	})()
 	var both sync.WaitGroup
 	both.Go(func() {
-		// What net/http has read ahead, then the connection itself: through net/http's reader
-		// a client's end of sending would count as its leaving, and cut what still comes.
-		ahead := io.LimitReader(buffered, int64(buffered.Reader.Buffered()))
-		_, _ = f.copy(up, io.MultiReader(ahead, conn)) // how a side ends is the other's to see
-		halfClose(up.Conn)
+		// Read what net/http has buffered, then the connection itself: net/http's reader would
+		// treat the client's half-close as a disconnect and truncate the other direction.
+		readAhead := io.LimitReader(buffered, int64(buffered.Reader.Buffered()))
+		_, _ = f.copyBuffered(upstream, io.MultiReader(readAhead, conn)) // errors show as the end of the stream to the other side
+		halfClose(upstream.Conn)
 	})
 	both.Go(func() {
-		_, _ = f.copy(conn, up.In)
+		_, _ = f.copyBuffered(conn, upstream.In)
 		halfClose(conn)
 	})
 	both.Wait()
 	return policy.OK
 }
 
-// halfClose ends one direction, so that what still comes the other way is not lost; where
-// that can't be, all of it.
+// halfClose closes the write side, so that data in the other direction is not lost. It closes
+// the connection if that is not supported.
 func halfClose(c net.Conn) {
 	if half, ok := c.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // it may have ended already
+		_ = half.CloseWrite() // it may be closed already
 		return
 	}
 	c.Close()
--- a/internal/web/stream_test.go
+++ b/internal/web/stream_test.go
@@ -25,12 +25,12 @@
 	"otterstep/policy"
 )
 
-const events = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+const eventStreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// ticking answers with events until its connection ends, and tells of that.
-func ticking(ended chan<- struct{}) webbox.Script {
+// streamEvents answers with events until its connection ends, and then sends to ended.
+func streamEvents(ended chan<- struct{}) webbox.Script {
 	return func(_ webbox.Seen, c net.Conn) bool {
-		_, err := io.WriteString(c, events)
+		_, err := io.WriteString(c, eventStreamHead)
 		for err == nil {
 			_, err = io.WriteString(c, "8\r\ndata: x\n\r\n")
 			time.Sleep(5 * time.Millisecond)
@@ -40,13 +40,13 @@
 	}
 }
 
-// Events arrive while the answer lasts, beyond any deadline; a client that goes is told to
-// the server.
-func TestEventsArriveAsTheyCome(t *testing.T) {
+// Events arrive one by one, also after the class's deadline. When the client disconnects,
+// the server's connection is closed.
+func TestEventsAreStreamed(t *testing.T) {
 	ended := make(chan struct{}, 10)
-	r := open(t, "[[web.class]]\nname = \"d\"\naim = \"50ms\"\ndeadline = \"100ms\"\n", ticking(ended))
+	r := newFixture(t, "[[web.class]]\nname = \"d\"\naim = \"50ms\"\ndeadline = \"100ms\"\n", streamEvents(ended))
 	c := r.dial()
-	_, _ = io.WriteString(c, get("/events"))
+	_, _ = io.WriteString(c, getRequest("/events"))
 	in := bufio.NewReader(c)
 	a, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -56,26 +56,26 @@
 	began := time.Now()
 	for n := 0; time.Since(began) < 300*time.Millisecond; n++ {
 		if !lines.Scan() {
-			t.Fatalf("ended after %d events and %v: %v", n, time.Since(began), lines.Err())
+			t.Fatalf("the stream ended after %d events and %v: %v", n, time.Since(began), lines.Err())
 		}
 	}
-	if n := r.view().Requests; r.front.streams.Load() != 1 || n != 1 {
+	if n := r.inspect().Requests; r.front.streams.Load() != 1 || n != 1 {
 		t.Errorf("%d streams, %d requests", r.front.streams.Load(), n)
 	}
 	c.Close()
 	select {
 	case <-ended:
-	case <-time.After(limit):
-		t.Fatal("the server was not told")
+	case <-time.After(testTimeout):
+		t.Fatal("the server's connection was not closed")
 	}
-	r.await("end of the stream", func() bool { return r.front.streams.Load() == 0 && r.view().Requests == 0 })
+	r.waitFor("end of the stream", func() bool { return r.front.streams.Load() == 0 && r.inspect().Requests == 0 })
 }
 
-// A body that is longer than what is kept goes through as it comes, both ways, and holds no
-// more memory than buffers; it is sent once.
+// Bodies above the buffer limit are streamed in both directions, with memory for the copy
+// buffers only.
 func TestLongBodiesAreStreamed(t *testing.T) {
 	const size = 64 << 20
-	r := open(t, "# early\n", func(s webbox.Seen, c net.Conn) bool {
+	r := newFixture(t, "# early\n", func(s webbox.Seen, c net.Conn) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
 		_, err := io.CopyN(c, c, size)
 		return err == nil
@@ -100,7 +100,7 @@
 	var first runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&first)
-	var most uint64
+	var peak uint64
 	got := 0
 	block := make([]byte, 1<<20)
 	for err == nil {
@@ -108,55 +108,55 @@
 		n, err = io.ReadFull(a.Body, block)
 		for i := range n {
 			if block[i] != byte(i*i) {
-				t.Fatalf("byte %d is another", got+i)
+				t.Fatalf("byte %d differs", got+i)
 			}
 		}
 		if got += n; got%(16<<20) == 0 {
 			var m runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&m)
-			most = max(most, m.HeapAlloc)
+			peak = max(peak, m.HeapAlloc)
 		}
 	}
-	if got != size || most > first.HeapAlloc+16<<20 {
-		t.Errorf("%d bytes of %d came, %v; %d bytes of heap at most, %d at first", got, size, err, most, first.HeapAlloc)
+	if got != size || peak > first.HeapAlloc+16<<20 {
+		t.Errorf("received %d of %d bytes, %v; peak heap %d bytes, initially %d", got, size, err, peak, first.HeapAlloc)
 	}
 }
 
-// A body that can't be sent again ends its request when its server fails: sent once.
+// A request whose body is not buffered is sent only once, even if the server fails.
 func TestStreamedBodyIsSentOnce(t *testing.T) {
-	r := open(t, "[web.limits]\nkept = \"1KiB\"\n", webbox.Says("", false), webbox.Says("", false))
-	a := r.ask("PUT", "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n"+strings.Repeat("x", 5000))
-	if a.code != 502 || r.requests() > 1 {
-		t.Errorf("%+v after %d requests", a, r.requests())
+	r := newFixture(t, "[web.limits]\nkept = \"1KiB\"\n", webbox.Says("", false), webbox.Says("", false))
+	a := r.roundTrip("PUT", "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n"+strings.Repeat("x", 5000))
+	if a.code != 502 || r.requestCount() > 1 {
+		t.Errorf("%+v after %d requests", a, r.requestCount())
 	}
 }
 
-// An answer that comes before the body's end goes to the client at once, and the rest of
-// the body is read as nothing else.
+// An answer that arrives before the end of the body goes to the client at once, and the rest
+// of the body is not parsed as a request.
 func TestEarlyAnswer(t *testing.T) {
-	r := open(t, "# early\n", webbox.Says("HTTP/1.1 403 No\r\nContent-Length: 2\r\nConnection: close\r\n\r\nno", false))
+	r := newFixture(t, "# early\n", webbox.Says("HTTP/1.1 403 No\r\nContent-Length: 2\r\nConnection: close\r\n\r\nno", false))
 	c := r.dial()
 	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("x", 100_000))
 	in := bufio.NewReader(c)
-	if a := read(in, "POST"); a.err != nil || a.code != 403 || a.body != "no" {
+	if a := readResponse(in, "POST"); a.err != nil || a.code != 403 || a.body != "no" {
 		t.Fatalf("%+v", a)
 	}
-	_, _ = io.WriteString(c, get("/hidden"))
-	if a := read(in, "GET"); a.err == nil || r.requests() != 1 {
-		t.Errorf("%+v, %d requests", a, r.requests())
+	_, _ = io.WriteString(c, getRequest("/hidden"))
+	if a := readResponse(in, "GET"); a.err == nil || r.requestCount() != 1 {
+		t.Errorf("%+v, %d requests", a, r.requestCount())
 	}
 }
 
-// A client that asks first sends its body when the server wants it, and not otherwise.
-func TestExpectations(t *testing.T) {
-	for _, wants := range []bool{true, false} {
-		r := open(t, "# early\n", func(s webbox.Seen, c net.Conn) bool {
+// With Expect: 100-continue the client is asked for the body only if the server asks for it.
+func TestExpectContinue(t *testing.T) {
+	for _, wantsBody := range []bool{true, false} {
+		r := newFixture(t, "# early\n", func(s webbox.Seen, c net.Conn) bool {
 			if s.Header.Get("Expect") != "100-continue" {
 				_, _ = io.WriteString(c, webbox.OK("no expectation"))
 				return false
 			}
-			if !wants {
+			if !wantsBody {
 				_, _ = io.WriteString(c, "HTTP/1.1 413 Long\r\nContent-Length: 0\r\n\r\n")
 				return false
 			}
@@ -173,11 +173,11 @@
 		switch {
 		case err != nil:
 			t.Fatal(err)
-		case wants && a.StatusCode != 100, !wants && a.StatusCode != 413:
-			t.Errorf("wants %v: %s", wants, a.Status)
-		case wants:
+		case wantsBody && a.StatusCode != 100, !wantsBody && a.StatusCode != 413:
+			t.Errorf("wants %v: %s", wantsBody, a.Status)
+		case wantsBody:
 			_, _ = io.WriteString(c, "body")
-			if a := read(in, "PUT"); a.body != "body" {
+			if a := readResponse(in, "PUT"); a.body != "body" {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -185,16 +185,16 @@
 	}
 }
 
-const switches = "HTTP/1.1 101 Switching\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n"
+const switchingResponse = "HTTP/1.1 101 Switching\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n"
 
-// echoing changes protocols and gives back what comes.
-func echoing(_ webbox.Seen, c net.Conn) bool {
-	_, _ = io.WriteString(c, switches)
+// echoTunnel switches protocols and then echoes all bytes.
+func echoTunnel(_ webbox.Seen, c net.Conn) bool {
+	_, _ = io.WriteString(c, switchingResponse)
 	_, _ = io.Copy(c, c)
 	return false
 }
 
-func (r *rig) upgrade() (net.Conn, *bufio.Reader) {
+func (r *fixture) upgrade() (net.Conn, *bufio.Reader) {
 	r.t.Helper()
 	c := r.dial()
 	_, _ = io.WriteString(c, "GET /x HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n")
@@ -206,10 +206,10 @@
 	return c, in
 }
 
-// An upgrade is one pick, then a tunnel: bytes go both ways, each side's end is told to the
-// other, and it is counted. A change that nobody asked for is no answer.
+// An upgraded connection is counted and forwards bytes and half-closes in both directions. A
+// 101 to a request without Upgrade is not forwarded.
 func TestTunnels(t *testing.T) {
-	r := open(t, "", echoing)
+	r := newFixture(t, "", echoTunnel)
 	c, in := r.upgrade()
 	for _, word := range []string{"one", "two"} {
 		_, _ = io.WriteString(c, word)
@@ -226,46 +226,46 @@
 	if rest, err := io.ReadAll(in); err != nil || string(rest) != "end" {
 		t.Errorf("%q, %v", rest, err)
 	}
-	r.await("end of the tunnel", func() bool { return r.front.tunnels.Load() == 0 })
-	if a := r.ask("GET", get("/x")); a.code == 101 {
-		t.Errorf("a change that was not asked for: %+v", a)
+	r.waitFor("end of the tunnel", func() bool { return r.front.tunnels.Load() == 0 })
+	if a := r.roundTrip("GET", getRequest("/x")); a.code == 101 {
+		t.Errorf("unrequested 101: %+v", a)
 	}
 }
 
-// While a node drains nothing new is taken, what is open may end, and what does not is
-// ended at the stated time; all of it is counted.
+// A draining node accepts no connections. Open requests may finish; streams and tunnels that
+// do not end are closed at the end of the drain time.
 func TestDrainOfStreamsAndTunnels(t *testing.T) {
 	const many = 60
 	ended := make(chan struct{}, many)
-	r := open(t, "drain = \"600ms\"\n[web.limits]\nstreams = 200\n", func(s webbox.Seen, c net.Conn) bool {
+	r := newFixture(t, "drain = \"600ms\"\n[web.limits]\nstreams = 200\n", func(s webbox.Seen, c net.Conn) bool {
 		if s.Header.Get("Upgrade") != "" {
-			return echoing(s, c)
+			return echoTunnel(s, c)
 		}
 		if strings.Contains(s.Line, "/poll") {
 			time.Sleep(300 * time.Millisecond)
 			_, err := io.WriteString(c, webbox.OK("polled"))
 			return err == nil
 		}
-		return ticking(ended)(s, c)
+		return streamEvents(ended)(s, c)
 	})
 	var polls, streams sync.WaitGroup
-	polled := make(chan got, many)
+	polled := make(chan response, many)
 	for range many {
 		c, _ := r.upgrade()
 		streams.Go(func() { _, _ = io.Copy(io.Discard, c) })
 		s := r.dial()
-		_, _ = io.WriteString(s, get("/events"))
+		_, _ = io.WriteString(s, getRequest("/events"))
 		streams.Go(func() {
-			if a := read(bufio.NewReader(s), "GET"); a.err == nil {
-				t.Error("a stream that was cut looks whole")
+			if a := readResponse(bufio.NewReader(s), "GET"); a.err == nil {
+				t.Error("a truncated stream looks complete")
 			}
 		})
 		p := r.dial()
-		_, _ = io.WriteString(p, get("/poll"))
-		polls.Go(func() { polled <- read(bufio.NewReader(p), "GET") })
+		_, _ = io.WriteString(p, getRequest("/poll"))
+		polls.Go(func() { polled <- readResponse(bufio.NewReader(p), "GET") })
 	}
-	r.await("streams and tunnels", func() bool {
-		return r.front.tunnels.Load() == many && r.front.streams.Load() >= many && r.requests() == 3*many
+	r.waitFor("streams and tunnels", func() bool {
+		return r.front.tunnels.Load() == many && r.front.streams.Load() >= many && r.requestCount() == 3*many
 	})
 	drained := make(chan time.Duration)
 	began := time.Now()
@@ -273,7 +273,7 @@
 		r.front.Drain(context.Background())
 		drained <- time.Since(began)
 	}()
-	r.await("a closed listener", func() bool {
+	r.waitFor("a closed listener", func() bool {
 		c, err := net.Dial("tcp", r.front.Addr())
 		if err == nil {
 			c.Close()
@@ -288,39 +288,39 @@
 	streams.Wait()
 	for range many {
 		if a := <-polled; a.err != nil || a.body != "polled" {
-			t.Errorf("a poll that was open when the drain began: %+v", a)
+			t.Errorf("a poll that was in progress when the drain began: %+v", a)
 		}
 	}
-	r.await("end of all", func() bool { return r.front.tunnels.Load()+r.front.streams.Load() == 0 })
-	if n := r.requests(); n != 3*many {
+	r.waitFor("end of all", func() bool { return r.front.tunnels.Load()+r.front.streams.Load() == 0 })
+	if n := r.requestCount(); n != 3*many {
 		t.Errorf("%d requests", n)
 	}
 }
 
-// A server that the list calls draining gets nothing new, its open streams go on.
-func TestDrainingServerGetsNothingNew(t *testing.T) {
+// A server that the list marks as draining gets no new requests; its open streams continue.
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	ended := make(chan struct{}, 1)
-	r := open(t, "", ticking(ended), echo)
+	r := newFixture(t, "", streamEvents(ended), echo)
 	var c net.Conn
 	for c == nil {
-		one := r.dial()
-		_, _ = io.WriteString(one, get("/x"))
-		if a, err := http.ReadResponse(bufio.NewReader(one), nil); err != nil {
+		conn := r.dial()
+		_, _ = io.WriteString(conn, getRequest("/x"))
+		if a, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
 			t.Fatal(err)
 		} else if a.Header.Get("Content-Type") == "text/event-stream" {
-			c = one
+			c = conn
 		}
 	}
 	entries, addrs := listed.Entries(r.front.opt.Servers[:1])
 	entries[0].State = policy.Draining
 	r.front.loop.Members(policy.ListDelta, entries, addrs)
-	before := len(r.boxes[0].Seen())
+	before := len(r.servers[0].Seen())
 	for range 20 {
-		if a := r.ask("GET", get("/x")); a.code != 200 {
+		if a := r.roundTrip("GET", getRequest("/x")); a.code != 200 {
 			t.Errorf("%+v", a)
 		}
 	}
-	if n := len(r.boxes[0].Seen()); n != before {
+	if n := len(r.servers[0].Seen()); n != before {
 		t.Errorf("%d new requests", n-before)
 	}
 	if _, err := io.ReadFull(c, make([]byte, 100)); err != nil {
@@ -330,13 +330,13 @@
 	<-ended
 }
 
-// HTTP/2 clients by prior knowledge: many streams on a connection, trailers, and a cut
-// answer ends its stream alone.
+// HTTP/2 clients with prior knowledge: many streams per connection, trailers, and a truncated
+// answer that resets only its own stream.
 func TestHTTP2Clients(t *testing.T) {
-	r := open(t, "", func(s webbox.Seen, c net.Conn) bool {
+	r := newFixture(t, "", func(s webbox.Seen, c net.Conn) bool {
 		switch {
 		case strings.Contains(s.Line, "/cut"):
-			_, _ = io.WriteString(c, events+"5\r\nhel")
+			_, _ = io.WriteString(c, eventStreamHead+"5\r\nhel")
 			return false
 		case s.Header.Get("Te") == "trailers":
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nGrpc-Status: 0\r\n\r\n")
@@ -380,15 +380,16 @@
 	}
 	var reset http2.StreamError
 	if !errors.As(err, &reset) {
-		t.Errorf("a cut answer: %v", err)
+		t.Errorf("truncated answer: %v", err)
 	}
 	if a, err := client.Get("http://" + r.front.Addr() + "/x"); err != nil || a.StatusCode != 200 {
-		t.Errorf("the connection behind a cut answer: %v", err)
+		t.Errorf("the connection after a truncated answer: %v", err)
 	}
 }
 
-// h2box is a server of HTTP/2 by prior knowledge, on net/http.
-func h2box(t *testing.T, h http.HandlerFunc) string {
+// startHTTP2Server starts a net/http server for HTTP/2 with prior knowledge, and returns its
+// address.
+func startHTTP2Server(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -402,10 +403,10 @@
 	return l.Addr().String()
 }
 
-// Servers of HTTP/2 get many requests on a connection, long bodies as they come, and their
-// trailers reach the client; what they refuse unseen goes to another one.
+// HTTP/2 servers receive concurrent requests with short and long bodies, and their answers
+// and trailers reach the clients.
 func TestHTTP2Servers(t *testing.T) {
-	addr := h2box(t, func(w http.ResponseWriter, q *http.Request) {
+	addr := startHTTP2Server(t, func(w http.ResponseWriter, q *http.Request) {
 		if q.ProtoMajor != 2 || q.Header.Get("Via") == "" {
 			t.Errorf("%s %v", q.Proto, q.Header)
 		}
@@ -413,13 +414,13 @@
 		n, _ := io.Copy(w, q.Body)
 		w.Header().Set("Grpc-Status", fmt.Sprint(n%7))
 	})
-	r := &rig{t: t}
+	r := &fixture{t: t}
 	r.start(fmt.Sprintf("[[web]]\nlisten = \"127.0.0.1:0\"\n[web.upstream]\nhttp2 = true\n[[web.server]]\nname = \"a\"\naddress = %q\n", addr))
 	var all sync.WaitGroup
 	for n := range 20 {
 		all.Go(func() {
 			text := strings.Repeat("x", 1+n*20_000)
-			a := r.ask("PUT", fmt.Sprintf("PUT /a%%2Cb?q HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(text), text))
+			a := r.roundTrip("PUT", fmt.Sprintf("PUT /a%%2Cb?q HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(text), text))
 			if a.err != nil || a.code != 200 || a.body != text || a.trailer.Get("Grpc-Status") != fmt.Sprint(len(text)%7) {
 				t.Errorf("%d: %d, %d bytes, %v, %v", n, a.code, len(a.body), a.trailer, a.err)
 			}
@@ -428,8 +429,8 @@
 	all.Wait()
 }
 
-// TLS: the certificate goes by the name that is asked for, and follows its file while the
-// node runs; HTTP/2 by ALPN; a file that can't be read leaves the old one.
+// With TLS the certificate is selected by server name and ALPN offers HTTP/2. A changed file
+// is reloaded while the node runs, and an invalid file leaves the previous certificate in use.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
 	if err := pki.Init(dir, "test", time.Now()); err != nil {
@@ -443,8 +444,8 @@
 	}
 	certA, keyA := issue("a.example")
 	certB, keyB := issue("b.example")
-	r := open(t, fmt.Sprintf("[[web.cert]]\ncert = %q\nkey = %q\n[[web.cert]]\ncert = %q\nkey = %q\n", certA, keyA, certB, keyB), echo)
-	shown := func(name string) (string, string) {
+	r := newFixture(t, fmt.Sprintf("[[web.cert]]\ncert = %q\nkey = %q\n[[web.cert]]\ncert = %q\nkey = %q\n", certA, keyA, certB, keyB), echo)
+	handshake := func(name string) (string, string) {
 		c, err := tls.Dial("tcp", r.front.Addr(), &tls.Config{ServerName: name, InsecureSkipVerify: true, NextProtos: []string{"h2"}})
 		if err != nil {
 			t.Fatal(err)
@@ -454,8 +455,8 @@
 		return s.PeerCertificates[0].Subject.CommonName, s.NegotiatedProtocol
 	}
 	for _, name := range []string{"a.example", "b.example"} {
-		if got, proto := shown(name); got != name || proto != "h2" {
-			t.Errorf("asked for %s: %s, %s", name, got, proto)
+		if got, proto := handshake(name); got != name || proto != "h2" {
+			t.Errorf("server name %s: %s, %s", name, got, proto)
 		}
 	}
 	newer, newKey := issue("c.example")
@@ -467,12 +468,12 @@
 			t.Fatal(err)
 		}
 	}
-	r.await("the new certificate", func() bool { got, _ := shown("c.example"); return got == "c.example" })
+	r.waitFor("the new certificate", func() bool { got, _ := handshake("c.example"); return got == "c.example" })
 	if err := os.WriteFile(certA, []byte("no certificate"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := shown("a.example"); got != "a.example" {
-		t.Errorf("with a broken file: %s", got)
+	if got, _ := handshake("a.example"); got != "a.example" {
+		t.Errorf("with an invalid file: %s", got)
 	}
 }
 
@@ -487,28 +488,28 @@
 	}
 }
 
-// Beyond the bound on tunnels a wish to change protocols is not passed on, and the request
-// is answered as any other; beyond the room for kept bodies one is sent once, as it comes.
-func TestBounds(t *testing.T) {
-	r := open(t, "[web.limits]\ntunnels = 1\nkept = \"1KiB\"\nkept_all = \"1KiB\"\n", func(s webbox.Seen, c net.Conn) bool {
+// Above the limit of tunnels Upgrade is not forwarded, and the request is answered like any
+// other. When the space for buffered bodies is used up, a body is streamed instead.
+func TestTunnelAndBufferLimits(t *testing.T) {
+	r := newFixture(t, "[web.limits]\ntunnels = 1\nkept = \"1KiB\"\nkept_all = \"1KiB\"\n", func(s webbox.Seen, c net.Conn) bool {
 		if s.Header.Get("Upgrade") != "" {
-			return echoing(s, c)
+			return echoTunnel(s, c)
 		}
 		return echo(s, c)
 	})
 	r.upgrade()
-	if a := r.ask("GET", "GET /x HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n"); a.code != 200 {
+	if a := r.roundTrip("GET", "GET /x HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n"); a.code != 200 {
 		t.Errorf("a second tunnel: %+v", a)
 	}
-	slow := r.dial() // holds all the room while its body comes
+	slow := r.dial() // reserves all buffer space while its body arrives
 	_, _ = io.WriteString(slow, "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 1024\r\n\r\n")
-	r.await("a full room", func() bool { return r.front.kept.Load() == 1024 })
-	if a := r.ask("PUT", "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody"); a.body != "body" || r.front.kept.Load() != 1024 {
-		t.Errorf("with no room left: %+v, %d kept", a, r.front.kept.Load())
+	r.waitFor("a full buffer", func() bool { return r.front.bufferedBytes.Load() == 1024 })
+	if a := r.roundTrip("PUT", "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody"); a.body != "body" || r.front.bufferedBytes.Load() != 1024 {
+		t.Errorf("with no buffer space left: %+v, %d bytes buffered", a, r.front.bufferedBytes.Load())
 	}
 	_, _ = io.WriteString(slow, strings.Repeat("x", 1024))
-	if a := read(bufio.NewReader(slow), "PUT"); len(a.body) != 1024 {
+	if a := readResponse(bufio.NewReader(slow), "PUT"); len(a.body) != 1024 {
 		t.Errorf("%+v", a)
 	}
-	r.await("room again", func() bool { return r.front.kept.Load() == 0 })
+	r.waitFor("released buffer space", func() bool { return r.front.bufferedBytes.Load() == 0 })
 }
