--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -239,7 +239,7 @@
 	}
 	if strings.Contains(rest, ".") { // covers escaped dots too: the path is decoded
 		for segment := range strings.SplitSeq(rest, "/") {
-			if classify.Dots(segment) {
+			if classify.IsDotSegment(segment) {
 				// A server that resolves dot segments would assign the request to another class.
 				return q, nil, badRequest("path %.60q: a segment %.20q, which leads out of its class", r.URL.Path, segment)
 			}
--- a/internal/node/inspect.go
+++ b/internal/node/inspect.go
@@ -100,9 +100,9 @@
 	}
 	for _, v := range views {
 		a.Web = append(a.Web, control.Web{
-			Name: v.Name, Listen: v.Listen, Streams: v.Streams, Tunnels: v.Tunnels, Cut: v.Cut, Gone: v.Gone, TurnedDown: v.TurnedDown,
-			Rules: v.Rules, Connections: v.Connections, Idle: v.Idle, Kept: v.Kept, Open: v.Pool.Open, Held: v.Pool.Queued,
-			Servers: serversOf(v.Pool, i.loop.Clock()), Counts: countsOf(v.Pool, v.Class),
+			Name: v.Name, Listen: v.Listen, Streams: v.Streams, Tunnels: v.Tunnels, Cut: v.Truncated, Gone: v.Disconnects, TurnedDown: v.Rejected,
+			Rules: v.RuleHits, Connections: v.Connections, Idle: v.Idle, Kept: v.BufferedBytes, Open: v.Pool.Open, Held: v.Pool.Queued,
+			Servers: serversOf(v.Pool, i.loop.Clock()), Counts: countsOf(v.Pool, v.ClassName),
 		})
 	}
 	i.mu.Lock()
--- a/internal/web/classify/path.go
+++ b/internal/web/classify/path.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Segments takes an escaped path apart as all readers agree on it: decoded once, empty
-// segments left out. A path that servers may read in different ways is an error: one with
-// dot segments, also behind escapes or with parameters ("..;x"), or with parameters of nothing, with an escaped slash or
-// backslash, with a plain backslash, with escapes of escapes of these, or with control
-// characters. A rule's prefix could not be trusted with any of them (RFC 3986, section
-// 6.2.2.3; RFC 9110, section 4.2.5).
+// Segments splits an escaped path into segments, decoded once and without empty ones. Paths
+// that servers may interpret differently are rejected, because a request could otherwise
+// evade the prefix of a rule (RFC 3986, section 6.2.2.3; RFC 9110, section 4.2.5). These are
+// paths with dot segments, also escaped or with parameters ("..;x"), with segments that
+// consist of parameters only, with a backslash, an escaped slash or an escaped backslash,
+// with double escapes of any of these, or with control characters.
 func Segments(escaped string) ([]string, error) {
 	if !strings.HasPrefix(escaped, "/") {
 		return nil, fmt.Errorf("path %.60q does not begin with a slash", escaped)
@@ -23,7 +23,7 @@
 			return nil, fmt.Errorf("path: %w", err)
 		}
 		switch {
-		case Dots(s) || strings.HasPrefix(s, ";"):
+		case IsDotSegment(s) || strings.HasPrefix(s, ";"):
 			return nil, fmt.Errorf("path: a segment %.20q, which servers resolve in different ways", raw)
 		case strings.ContainsAny(s, "/\\"):
 			return nil, fmt.Errorf("path: a slash or backslash inside segment %.20q", raw)
@@ -40,15 +40,16 @@
 	return all, nil
 }
 
-// Dots tells whether a decoded segment is a dot segment, also one with parameters ("..;x"),
-// which some servers resolve and others don't (RFC 3986, section 5.2.4).
-func Dots(segment string) bool {
+// IsDotSegment reports whether a decoded segment is a dot segment, with or without parameters
+// ("..;x"), which some servers resolve and others do not (RFC 3986, section 5.2.4).
+func IsDotSegment(segment string) bool {
 	name, _, _ := strings.Cut(segment, ";")
 	return name == "." || name == ".."
 }
 
-// under tells whether segments begin with a pattern's; "*" stands for any one.
-func under(segments, pattern []string, whole bool) bool {
+// matchSegments reports whether segments begin with pattern, or equal it if whole is set;
+// "*" matches any one segment.
+func matchSegments(segments, pattern []string, whole bool) bool {
 	if len(segments) < len(pattern) || whole && len(segments) > len(pattern) {
 		return false
 	}
