--- a/cmd/otterlab/load.go
+++ b/cmd/otterlab/load.go
@@ -55,9 +55,9 @@
 	f.DurationVar(&o.load.Aim, "aim", 0, "within which answers are wanted, to be counted")
 	f.BoolVar(&o.http.Fresh, "fresh", false, "a new connection for each request")
 	f.BoolVar(&o.find, "knee", false, "find the greatest rate that holds, from --rate on")
-	f.DurationVar(&o.knee.P99, "knee-p99", 100*time.Millisecond, "what holds: p99 of no more than")
-	f.Float64Var(&o.knee.Share, "knee-share", 0.999, "and so much served")
-	f.IntVar(&o.knee.Steps, "knee-steps", 20, "steps at most")
+	f.DurationVar(&o.knee.MaxP99, "knee-p99", 100*time.Millisecond, "what holds: p99 of no more than")
+	f.Float64Var(&o.knee.MinServed, "knee-share", 0.999, "and so much served")
+	f.IntVar(&o.knee.MaxSteps, "knee-steps", 20, "steps at most")
 	f.StringVarP(&o.output, "output", "o", "text", "text or json")
 	return c
 }
@@ -91,7 +91,7 @@
 	}
 	defer target.Close()
 	if o.find {
-		o.knee.From = o.rate
+		o.knee.StartRate = o.rate
 		k, err := load.FindKnee(c.Context(), target, o.load, o.knee)
 		if err != nil {
 			return wrong(err)
@@ -102,7 +102,7 @@
 		t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "RATE\tHELD\tP50\tP99\tWHY NOT")
 		for _, s := range k.Steps {
-			fmt.Fprintf(t, "%.0f\t%v\t%v\t%v\t%s\n", s.Rate, s.Held, s.Report.P50, s.Report.P99, s.Why)
+			fmt.Fprintf(t, "%.0f\t%v\t%v\t%v\t%s\n", s.Rate, s.Sustained, s.Report.P50, s.Report.P99, s.Reason)
 		}
 		fmt.Fprintf(t, "the knee: %.0f requests a second\n", k.Best)
 		return t.Flush()
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const benchFor, benchClients = 3 * time.Second, 32
+const benchDuration, benchClients = 3 * time.Second, 32
 
 func benchServer(b *testing.B) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") }))
@@ -18,8 +18,8 @@
 	return s.URL
 }
 
-// BenchmarkGenerator asks a server that answers at once from a closed loop, in the same
-// process: requests a second, against BenchmarkPlainClient's.
+// BenchmarkGenerator measures the closed loop's requests per second against a server in the
+// same process that answers immediately, for comparison with BenchmarkPlainClient.
 func BenchmarkGenerator(b *testing.B) {
 	h, err := NewHTTP(HTTPOptions{URL: benchServer(b), Method: http.MethodGet, Kept: benchClients})
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	defer h.Close()
 	for range b.N {
-		r, err := Run(b.Context(), h, Options{Closed: benchClients, For: benchFor, Open: benchClients, TimeOut: time.Second})
+		r, err := Run(b.Context(), h, Options{Closed: benchClients, For: benchDuration, Open: benchClients, TimeOut: time.Second})
 		if err != nil || r.Void != "" {
 			b.Fatalf("%v, %s", err, r.Void)
 		}
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkPlainClient does the same with net/http's client and nothing else.
+// BenchmarkPlainClient measures the same with only net/http's client.
 func BenchmarkPlainClient(b *testing.B) {
 	url := benchServer(b)
 	t := &http.Transport{MaxIdleConnsPerHost: benchClients}
@@ -47,7 +47,7 @@
 		began := time.Now()
 		for range benchClients {
 			clients.Go(func() {
-				for time.Since(began) < benchFor {
+				for time.Since(began) < benchDuration {
 					resp, err := client.Get(url)
 					if err != nil {
 						b.Error(err)
@@ -64,8 +64,8 @@
 	}
 }
 
-// BenchmarkOpenLoop finds the greatest rate that the generator keeps to, at a server that
-// answers at once.
+// BenchmarkOpenLoop finds the highest rate that the generator sustains against a server
+// that answers immediately.
 func BenchmarkOpenLoop(b *testing.B) {
 	h, err := NewHTTP(HTTPOptions{URL: benchServer(b), Method: http.MethodGet, Kept: 256})
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	defer h.Close()
 	for range b.N {
-		k, err := FindKnee(b.Context(), h, Options{For: benchFor, Open: 1024, TimeOut: time.Second}, KneeOptions{From: 2000, P99: 20 * time.Millisecond, Share: 0.999, Steps: 12})
+		k, err := FindKnee(b.Context(), h, Options{For: benchDuration, Open: 1024, TimeOut: time.Second}, KneeOptions{StartRate: 2000, MaxP99: 20 * time.Millisecond, MinServed: 0.999, MaxSteps: 12})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/load/http.go
+++ b/internal/load/http.go
@@ -14,43 +14,43 @@
 	"time"
 )
 
-// mostBody bounds an answer that is read, and one that is sent.
-const mostBody = 64 << 20
+// maxBody limits request and response bodies, in bytes.
+const maxBody = 64 << 20
 
-// HTTPOptions describe requests to one address.
+// HTTPOptions describe the requests to one URL.
 type HTTPOptions struct {
 	URL     string
 	Method  string
-	Header  http.Header // "%n" in a value is the request's number
+	Header  http.Header // "%n" in a value is replaced by the request's number
 	Body    []byte
-	Sources int  // source addresses 127.0.0.2 and on; 0: whatever the system gives
-	Kept    int  // idle connections kept for each source
+	Sources int  // number of source addresses, from 127.0.0.2; 0: chosen by the system
+	Kept    int  // maximum of idle connections per source
 	Fresh   bool // a new connection for each request
 }
 
-// HTTP is a target that speaks HTTP/1.1.
+// HTTP is a Target that sends requests over HTTP/1.1.
 type HTTP struct {
 	opt     HTTPOptions
 	clients []*http.Transport
 }
 
-// NewHTTP makes one; Close it in the end.
+// NewHTTP returns a target that the caller has to Close.
 func NewHTTP(o HTTPOptions) (*HTTP, error) {
 	u, err := url.Parse(o.URL)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("load: %w", err)
 	case u.Scheme != "http" || u.Host == "":
-		return nil, fmt.Errorf("load: %q is no http://host:port/path", o.URL)
-	case len(o.Body) > mostBody:
-		return nil, fmt.Errorf("load: a body of %d bytes, at most %d", len(o.Body), mostBody)
+		return nil, fmt.Errorf("load: %q is not of the form http://host:port/path", o.URL)
+	case len(o.Body) > maxBody:
+		return nil, fmt.Errorf("load: body of %d bytes exceeds the limit of %d", len(o.Body), maxBody)
 	case o.Sources < 0 || o.Sources > 250:
-		return nil, fmt.Errorf("load: %d source addresses: 0 to 250", o.Sources)
+		return nil, fmt.Errorf("load: %d source addresses, must be from 0 to 250", o.Sources)
 	}
-	if o.Sources > 0 { // addresses of the loopback network reach nothing else
+	if o.Sources > 0 { // a loopback source address can only reach loopback targets
 		host, err := netip.ParseAddr(u.Hostname())
 		if err != nil || !host.IsLoopback() || !host.Is4() {
-			return nil, fmt.Errorf("load: source addresses are for targets on 127.0.0.0/8, %q is none", u.Hostname())
+			return nil, fmt.Errorf("load: source addresses need a target in 127.0.0.0/8, not %q", u.Hostname())
 		}
 	}
 	h := &HTTP{opt: o}
@@ -67,15 +67,15 @@
 	return h, nil
 }
 
-// Close ends the connections that are kept.
+// Close closes the idle connections.
 func (h *HTTP) Close() {
 	for _, c := range h.clients {
 		c.CloseIdleConnections()
 	}
 }
 
-// Ask implements Target. net/http sends a request without effect once more if a kept
-// connection turns out dead; others end as Broken.
+// Ask implements Target. If a reused connection turns out to be closed, net/http resends
+// an idempotent request; any other ends as Broken.
 func (h *HTTP) Ask(ctx context.Context, n uint64, _ time.Time) Outcome {
 	r, err := http.NewRequestWithContext(ctx, h.opt.Method, h.opt.URL, bytes.NewReader(h.opt.Body))
 	if err != nil {
@@ -91,7 +91,7 @@
 		return Broken
 	}
 	defer resp.Body.Close()
-	if got, err := io.Copy(io.Discard, io.LimitReader(resp.Body, mostBody)); err != nil || got == mostBody {
+	if got, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)); err != nil || got == maxBody {
 		return Broken
 	}
 	switch {
@@ -103,11 +103,11 @@
 	return Failed
 }
 
-// ParseHeader reads "Name: value".
+// ParseHeader adds a header written as "Name: value" to into.
 func ParseHeader(into http.Header, text string) error {
 	name, value, ok := strings.Cut(text, ":")
 	if name = strings.TrimSpace(name); !ok || name == "" {
-		return errors.New("load: a header is written \"Name: value\"")
+		return errors.New("load: a header must have the form \"Name: value\"")
 	}
 	into.Add(name, strings.TrimSpace(value))
 	return nil
--- a/internal/load/knee.go
+++ b/internal/load/knee.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Knee is what a target keeps up with.
+// Knee is the result of a search for the highest rate that a target sustains.
 type Knee struct {
-	Best  float64 `json:"best"`  // the greatest rate that held
-	Steps []Step  `json:"steps"` // as they were played
+	Best  float64 `json:"best"`  // the highest sustained rate
+	Steps []Step  `json:"steps"` // in the order in which they ran
 }
 
 // Step is one rate of a search.
 type Step struct {
-	Rate   float64 `json:"rate"`
-	Held   bool    `json:"held"`
-	Why    string  `json:"why,omitempty"` // it did not
-	Report Report  `json:"report"`
+	Rate      float64 `json:"rate"`
+	Sustained bool    `json:"held"`
+	Reason    string  `json:"why,omitempty"` // why the rate was not sustained
+	Report    Report  `json:"report"`
 }
 
-// KneeOptions describe a search: each step plays o.For.
+// KneeOptions describe a search, each step of which lasts Options.For.
 type KneeOptions struct {
-	From  float64       // rate that it begins at
-	P99   time.Duration // most, of the served
-	Share float64       // least share served
-	Steps int           // at most
+	StartRate float64       // rate of the first step
+	MaxP99    time.Duration // limit on the p99 latency of the served requests
+	MinServed float64       // least share of the requests that must be served
+	MaxSteps  int
 }
 
-// FindKnee doubles the rate until it does not hold, and then halves the rest until the
-// step is 5% of it. A void step does not hold: the figure is then the generator's limit,
-// and Why says so.
+// FindKnee doubles the rate until the target no longer sustains it, and then bisects until
+// the interval is below 5% of its upper end. A void step counts as not sustained: the
+// result is then the generator's limit, and Reason says so.
 func FindKnee(ctx context.Context, target Target, o Options, k KneeOptions) (Knee, error) {
-	if k.From <= 0 || k.P99 <= 0 || k.Steps < 1 || k.Share < 0 || k.Share > 1 {
-		return Knee{}, fmt.Errorf("load: a knee needs a rate and a p99 above 0, a share from 0 to 1 and a step or more")
+	if k.StartRate <= 0 || k.MaxP99 <= 0 || k.MaxSteps < 1 || k.MinServed < 0 || k.MinServed > 1 {
+		return Knee{}, fmt.Errorf("load: a knee search needs a rate and a p99 above 0, a share from 0 to 1 and at least one step")
 	}
 	var found Knee
 	low, high := 0.0, 0.0
-	for rate := k.From; len(found.Steps) < k.Steps && ctx.Err() == nil; {
+	for rate := k.StartRate; len(found.Steps) < k.MaxSteps && ctx.Err() == nil; {
 		o.Rate = func(time.Duration) float64 { return rate }
 		r, err := Run(ctx, target, o)
 		if err != nil {
@@ -47,16 +47,16 @@
 		served := float64(r.Ends[Served.String()]) / float64(max(1, r.Sent))
 		switch {
 		case r.Void != "":
-			s.Why = r.Void
-		case served < k.Share:
-			s.Why = fmt.Sprintf("%.4f served", served)
-		case r.P99 > k.P99:
-			s.Why = fmt.Sprintf("p99 %v", r.P99)
+			s.Reason = r.Void
+		case served < k.MinServed:
+			s.Reason = fmt.Sprintf("%.4f served", served)
+		case r.P99 > k.MaxP99:
+			s.Reason = fmt.Sprintf("p99 %v", r.P99)
 		default:
-			s.Held = true
+			s.Sustained = true
 		}
 		found.Steps = append(found.Steps, s)
-		if s.Held {
+		if s.Sustained {
 			low = rate
 		} else {
 			high = rate
