--- a/cmd/otterlab/experiment.go
+++ b/cmd/otterlab/experiment.go
@@ -35,7 +35,7 @@
 // play plays one file, in virtual time or on sockets.
 func (o *playing) play(ctx context.Context, x *experiment.Experiment, policy, node string, p progress) ([]experiment.Run, error) {
 	if o.mode == simulated {
-		return x.With(policy).Told(p.played).Play(ctx, o.seed, o.runs)
+		return x.WithPolicy(policy).OnRunDone(p.played).Play(ctx, o.seed, o.runs)
 	}
 	return o.onSockets(ctx, x, node, p)
 }
@@ -136,7 +136,7 @@
 		Use: "run FILE...", Short: "Play files; exit 1 if something did not hold", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			held := true
-			var parts []report.Part
+			var parts []report.Section
 			p := newProgress(c, len(files)*o.runs)
 			defer p.close()
 			for _, file := range files {
@@ -148,12 +148,12 @@
 				if err != nil {
 					return err
 				}
-				held = held && experiment.Held(all)
-				parts = append(parts, report.Part{Title: title(file), Experiment: x, Runs: all})
+				held = held && experiment.AllPassed(all)
+				parts = append(parts, report.Section{Title: title(file), Experiment: x, Runs: all})
 				if o.output == "json" {
-					err = json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"file": file, "mode": o.mode, "held": experiment.Held(all), "runs": all})
+					err = json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"file": file, "mode": o.mode, "held": experiment.AllPassed(all), "runs": all})
 				} else {
-					err = experiment.Print(c.OutOrStdout(), x, all)
+					err = experiment.PrintRuns(c.OutOrStdout(), x, all)
 				}
 				if err != nil {
 					return err
@@ -171,7 +171,7 @@
 }
 
 // write writes the report, if one is wanted.
-func (o *playing) write(heading string, parts []report.Part) error {
+func (o *playing) write(heading string, parts []report.Section) error {
 	if o.report == "" {
 		return nil
 	}
@@ -186,7 +186,7 @@
 		Use: "compare A B", Short: "Play two files with the same seeds, and say how their shares within the aim differ", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
 			var both [2][]experiment.Run
-			var parts []report.Part
+			var parts []report.Section
 			p := newProgress(c, 2*o.runs)
 			defer p.close()
 			for i, file := range files {
@@ -197,7 +197,7 @@
 				if both[i], err = o.play(c.Context(), x, []string{o.policy, o.other}[i], []string{o.node, o.otherNode}[i], p); err != nil {
 					return err
 				}
-				parts = append(parts, report.Part{Title: []string{"A: ", "B: "}[i] + title(file), Experiment: x, Runs: both[i]})
+				parts = append(parts, report.Section{Title: []string{"A: ", "B: "}[i] + title(file), Experiment: x, Runs: both[i]})
 			}
 			if err := o.write("Comparison", parts); err != nil {
 				return err
@@ -227,9 +227,9 @@
 				if err != nil {
 					return err
 				}
-				names, all = append(names, title(file)), append(all, x.Told(p.played))
+				names, all = append(names, title(file)), append(all, x.OnRunDone(p.played))
 			}
-			return experiment.Table(c.Context(), c.OutOrStdout(), names, all, o.seed, o.runs)
+			return experiment.RunPolicyTable(c.Context(), c.OutOrStdout(), names, all, o.seed, o.runs)
 		},
 	}, 5)
 }
@@ -249,7 +249,7 @@
 				if err != nil {
 					return err
 				}
-				virtual, err := x.Told(p.played).Play(c.Context(), o.seed, o.runs)
+				virtual, err := x.OnRunDone(p.played).Play(c.Context(), o.seed, o.runs)
 				if err != nil {
 					return err
 				}
@@ -305,11 +305,11 @@
 				return err
 			}
 			say := func(text string) { fmt.Fprintln(c.ErrOrStderr(), text) }
-			found, run, err := x.With(o.policy).Hunt(c.Context(), o.seed, tries, say)
+			found, run, err := x.WithPolicy(o.policy).Hunt(c.Context(), o.seed, tries, say)
 			if err != nil {
 				return err
 			}
-			text, err := found.Text()
+			text, err := found.Marshal()
 			if err != nil {
 				return err
 			}
--- a/internal/experiment/bench_test.go
+++ b/internal/experiment/bench_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// BenchmarkSize gives the simulated requests a second of one thread, and the greatest heap,
-// for fleets of 10, 100 and 1,000 nodes at 500 requests a second each but where 1,000
-// nodes share 1,000 servers, which bear no more.
-func BenchmarkSize(b *testing.B) {
+// BenchmarkFleetSize measures the simulated requests per second of one thread and the peak
+// heap for fleets of 10, 100 and 1,000 nodes. Each node gets 500 requests per second, except
+// where 1,000 nodes share 1,000 servers, which can serve no more than 50,000.
+func BenchmarkFleetSize(b *testing.B) {
 	large, err := os.ReadFile(filepath.Join("..", "..", "experiments", "large.toml"))
 	if err != nil {
 		b.Fatal(err)
@@ -24,7 +24,7 @@
 		long                 string
 	}{{10, 100, 5000, "10s"}, {100, 1000, 50_000, "5s"}, {1000, 1000, 50_000, "5s"}} {
 		b.Run(fmt.Sprintf("%d-nodes-%d-servers", size.nodes, size.servers), func(b *testing.B) {
-			x, err := parse("large", []byte(strings.NewReplacer(
+			x, err := parseText("large", []byte(strings.NewReplacer(
 				"nodes = 100", fmt.Sprint("nodes = ", size.nodes), "servers = 1000", fmt.Sprint("servers = ", size.servers),
 				"rate = 1500.0", fmt.Sprint("rate = ", size.rate, ".0"), `for = "6s"`, fmt.Sprintf("for = %q", size.long),
 			).Replace(text)))
@@ -49,7 +49,7 @@
 						}
 					}
 				}()
-				r, err := x.play(1)
+				r, err := x.runSeed(1)
 				close(ended)
 				<-sampled
 				if err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -12,9 +12,9 @@
 	"otterstep/internal/standin/racing"
 )
 
-// The experiments that are handed out hold what they say, in virtual time. The two with
-// the most events are left to .ci/run, which plays all of them without the race detector.
-func TestExperimentsHold(t *testing.T) {
+// The shipped experiments meet their expectations in simulation. The two with the most
+// events are left to .ci/run, which runs all of them without the race detector.
+func TestExperimentsPass(t *testing.T) {
 	racing.Skip(t)
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) < 12 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// All that is wrong with a file is told, each with its line and key.
-func TestWrongFiles(t *testing.T) {
+// The error for an invalid file lists every fault in it, each with line and key.
+func TestInvalidFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.toml")
 	text := `about = "wrong"
 for = "1s"
@@ -73,7 +73,7 @@
 	}
 	_, err := Load(path)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid file is accepted")
 	}
 	for _, want := range []string{
 		":4: speed: unknown key", ":3: warm:", ":6: fleet.nodes:", ":8: load.rate:", ":9: load.heed:", ":12: class[1].effect:",
@@ -84,13 +84,13 @@
 		}
 	}
 	if _, err := Load(path + "x"); err == nil {
-		t.Error("a file that is not there is taken")
+		t.Error("a missing file is accepted")
 	}
 }
 
-// The bootstrap's intervals cover the true mean about as often as they say; for twenty
-// seeds of a skewed distribution somewhat less, as its authors have it.
-func TestIntervalsCover(t *testing.T) {
+// The bootstrap's 95% intervals cover the true mean nearly as often as stated; for twenty
+// samples of a skewed distribution somewhat less often, as its authors describe.
+func TestIntervalCoverage(t *testing.T) {
 	racing.Skip(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	const trials = 600
@@ -100,16 +100,16 @@
 		for i := range each {
 			each[i] = rng.ExpFloat64() // mean 1
 		}
-		if _, low, high := Interval(each, uint64(n)); low <= 1 && 1 <= high {
+		if _, low, high := ConfidenceInterval(each, uint64(n)); low <= 1 && 1 <= high {
 			covered++
 		}
 	}
 	if rate := float64(covered) / trials; math.Abs(rate-0.91) > 0.04 {
-		t.Errorf("they cover at a rate of %.3f", rate)
+		t.Errorf("the intervals cover the mean at a rate of %.3f, want 0.87 to 0.95", rate)
 	}
 }
 
-// Paired runs: a setting against itself makes no difference, a slower server does.
+// Compared with itself, an experiment shows no difference; without its hang it is better.
 func TestCompare(t *testing.T) {
 	racing.Skip(t)
 	x, err := Load("../../experiments/hang.toml")
@@ -134,6 +134,6 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := x.Play(ctx, 1, 1000); err == nil {
-		t.Error("it goes on after its context's end")
+		t.Error("the run continues after its context is cancelled")
 	}
 }
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -1,5 +1,6 @@
-// Package experiment plays one experiment from one file: a fleet, its load, what goes
-// wrong when, and what must hold. It says whether that held, and how two differ.
+// Package experiment runs experiments, each described by one file: a fleet, its load, the
+// faults with their times, and the expectations. It evaluates runs against the
+// expectations and compares experiments.
 package experiment
 
 import (
@@ -14,40 +15,40 @@
 	"otterstep/policy"
 )
 
-// Bounds of a file: what one process plays in a time that people wait for.
+// Limits of a file, so that one process completes the experiment in acceptable time.
 const (
-	mostNodes   = 2000
-	mostServers = 10_000
-	mostClasses = 32
-	mostFaults  = 256
-	mostLoads   = 1_000_000 // a second
+	maxNodes   = 2000
+	maxServers = 10_000
+	maxClasses = 32
+	maxFaults  = 256
+	maxRate    = 1_000_000 // requests per second
 )
 
-// File is an experiment as it is written. Times have units; all but about, class and
-// load.rate has a default.
+// File is the file format of an experiment. Durations have units; every key but about,
+// class and load.rate has a default.
 type File struct {
 	About string            `toml:"about"`
 	For   tomlfile.Duration `toml:"for"`
-	Warm  tomlfile.Duration `toml:"warm"` // at the start that does not count
+	Warm  tomlfile.Duration `toml:"warm"` // warm-up at the start, left out of the results
 	Found *Found            `toml:"found,omitempty"`
 	Fleet struct {
 		Nodes    int  `toml:"nodes"`
 		Servers  int  `toml:"servers"`
 		Zones    int  `toml:"zones"`
-		Parallel int  `toml:"parallel"` // requests that a server works on at once
-		Queue    int  `toml:"queue"`    // and that wait there
-		Cold     bool `toml:"cold"`     // all servers have just started
+		Parallel int  `toml:"parallel"` // concurrent requests per server
+		Queue    int  `toml:"queue"`    // length of a server's queue
+		Cold     bool `toml:"cold"`     // all servers have just started when the run begins
 	} `toml:"fleet"`
 	Network struct {
-		Latency tomlfile.Duration `toml:"latency"` // mean, one way, node to server
-		Clients tomlfile.Duration `toml:"clients"` // clients to node
+		Latency tomlfile.Duration `toml:"latency"` // mean one-way latency between node and server
+		Clients tomlfile.Duration `toml:"clients"` // one-way latency between clients and node
 		Loss    float64           `toml:"loss"`
-		Told    tomlfile.Duration `toml:"told"` // mean time until a node hears of a change
+		Told    tomlfile.Duration `toml:"told"` // mean delay until a node learns of a change
 	} `toml:"network"`
 	Discovery struct {
-		Asked bool              `toml:"asked"` // one service that nodes ask, in place of lists that are pushed
-		Call  tomlfile.Duration `toml:"call"`  // it works on a call for so long,
-		Wait  tomlfile.Duration `toml:"wait"`  // and turns away what would wait longer
+		Asked bool              `toml:"asked"` // nodes query one service, instead of having lists pushed to them
+		Call  tomlfile.Duration `toml:"call"`  // processing time of a call
+		Wait  tomlfile.Duration `toml:"wait"`  // calls that would wait longer are rejected
 	} `toml:"discovery"`
 	Node struct {
 		Attempts   int               `toml:"attempts"`
@@ -61,23 +62,23 @@
 		Skew    float64   `toml:"skew"`
 		Keys    int       `toml:"keys"`
 		Bursts  bool      `toml:"bursts"`
-		Curve   []float64 `toml:"curve,omitempty"` // parts of the rate, over the run
-		Ramp    bool      `toml:"ramp"`            // from one of them to the next evenly, not at once
+		Curve   []float64 `toml:"curve,omitempty"` // factors of the rate, for equal parts of the run
+		Ramp    bool      `toml:"ramp"`            // interpolate between the factors instead of stepping
 		Heed    *float64  `toml:"heed"`
 		Rash    float64   `toml:"rash"`
 		Tries   int       `toml:"tries"`
-		// Impatient is the share of clients that leave after Patience, their mean.
+		// Impatient is the share of clients that give up, after Patience on average.
 		Impatient float64           `toml:"impatient"`
 		Patience  tomlfile.Duration `toml:"patience"`
-		Trace     string            `toml:"trace,omitempty"` // a file to play, beside this one; see ReadTrace
+		Trace     string            `toml:"trace,omitempty"` // trace file, relative to this file's directory; see ReadTrace
 	} `toml:"load"`
 	Fault []Fault `toml:"fault,omitempty"`
 	Hold  struct {
-		Within    float64           `toml:"within"`    // least share served within the aim
-		P99       tomlfile.Duration `toml:"p99"`       // most, of those served
-		Attempts  float64           `toml:"attempts"`  // most, a request
-		From      tomlfile.Duration `toml:"from"`      // since then
-		Recovered float64           `toml:"recovered"` // the least share within the aim
+		Within    float64           `toml:"within"`    // minimum share served within the aim
+		P99       tomlfile.Duration `toml:"p99"`       // maximum p99 of the served requests
+		Attempts  float64           `toml:"attempts"`  // maximum attempts per request
+		From      tomlfile.Duration `toml:"from"`      // start of the recovery
+		Recovered float64           `toml:"recovered"` // minimum share served within the aim after From
 	} `toml:"hold"`
 }
 
@@ -89,57 +90,57 @@
 	Aim      tomlfile.Duration `toml:"aim"`
 	Deadline tomlfile.Duration `toml:"deadline"`
 	Worth    float64           `toml:"worth"`
-	Window   tomlfile.Duration `toml:"window"`  // keyed: repeats are dropped for so long
-	Service  tomlfile.Duration `toml:"service"` // mean time of work
-	Spread   float64           `toml:"spread"`  // of its logarithm; 0: constant
+	Window   tomlfile.Duration `toml:"window"`  // keyed: how long repeats are dropped
+	Service  tomlfile.Duration `toml:"service"` // mean service time
+	Spread   float64           `toml:"spread"`  // standard deviation of its logarithm; 0: constant
 }
 
-// Fault is what goes wrong at a time.
+// Fault is a fault that is injected at a given time.
 type Fault struct {
 	At      tomlfile.Duration `toml:"at"`
 	For     tomlfile.Duration `toml:"for"`
 	What    string            `toml:"what"`
-	Servers []int             `toml:"servers,omitempty"` // counted from 0
+	Servers []int             `toml:"servers,omitempty"` // indexes from 0
 	Nodes   []int             `toml:"nodes,omitempty"`
-	Zone    *int              `toml:"zone,omitempty"` // in place of servers: all of a zone
+	Zone    *int              `toml:"zone,omitempty"` // all servers of the zone, instead of Servers
 	All     bool              `toml:"all"`
 	Amount  float64           `toml:"amount"`
 }
 
-// Found tells how a hunt's find came about.
+// Found records how a hunt found a failing run.
 type Found struct {
 	Seed   uint64 `toml:"seed"`
 	Digest string `toml:"digest"`
-	Failed string `toml:"failed"` // what did not hold
+	Failed string `toml:"failed"` // description of the failure
 }
 
-// Experiment is a file that was checked.
+// Experiment is a validated file.
 type Experiment struct {
 	File    File
 	Options sim.Options
 	path    string
-	played  func() // told of each run's end, if set
+	runDone func() // called after each run, if set
 }
 
-// Load reads and checks a file, and says all that is wrong with it.
+// Load reads and validates a file; its error lists everything that is wrong with the file.
 func Load(path string) (*Experiment, error) {
 	var file File
 	f, err := tomlfile.Load(path, &file)
 	if err != nil {
 		return nil, err
 	}
-	return build(f, path, file)
+	return newExperiment(f, path, file)
 }
 
-// parse is Load for a text that stands in no file; path names it in errors.
-func parse(path string, text []byte) (*Experiment, error) {
+// parseText is Load for a text that was not read from a file; path names it in errors.
+func parseText(path string, text []byte) (*Experiment, error) {
 	var file File
-	return build(tomlfile.Parse(path, text, &file), path, file)
+	return newExperiment(tomlfile.Parse(path, text, &file), path, file)
 }
 
 var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 
-func build(f *tomlfile.File, path string, file File) (*Experiment, error) {
+func newExperiment(f *tomlfile.File, path string, file File) (*Experiment, error) {
 	x := &Experiment{path: path}
 	o := &x.Options
 	duration := func(key string, d *tomlfile.Duration, or, least time.Duration) time.Duration {
@@ -147,7 +148,7 @@
 			d.Duration = or
 		}
 		if d.Duration < least {
-			f.Bad(key, "%v, at least %v is needed", d.Duration, least)
+			f.Bad(key, "%v, must be at least %v", d.Duration, least)
 		}
 		return d.Duration
 	}
@@ -156,23 +157,23 @@
 			*n = or
 		}
 		if *n < 1 || *n > most {
-			f.Bad(key, "%d is not 1 to %d", *n, most)
+			f.Bad(key, "%d is not from 1 to %d", *n, most)
 		}
 		return min(max(*n, 1), most)
 	}
 	share := func(key string, v float64) float64 {
 		if !(v >= 0 && v <= 1) {
-			f.Bad(key, "%v is no share from 0 to 1", v)
+			f.Bad(key, "%v is not a share from 0 to 1", v)
 		}
 		return v
 	}
 	o.For = duration("for", &file.For, 20*time.Second, time.Second)
 	o.Warm = duration("warm", &file.Warm, 2*time.Second, 0)
 	if o.Warm >= o.For {
-		f.Bad("warm", "%v leaves nothing of the %v", o.Warm, o.For)
+		f.Bad("warm", "%v is not shorter than the whole run of %v", o.Warm, o.For)
 	}
-	o.Nodes = number("fleet.nodes", &file.Fleet.Nodes, 2, mostNodes)
-	servers := number("fleet.servers", &file.Fleet.Servers, 8, mostServers)
+	o.Nodes = number("fleet.nodes", &file.Fleet.Nodes, 2, maxNodes)
+	servers := number("fleet.servers", &file.Fleet.Servers, 8, maxServers)
 	zones := number("fleet.zones", &file.Fleet.Zones, 1, servers)
 	parallel := number("fleet.parallel", &file.Fleet.Parallel, 4, 10_000)
 	queue := number("fleet.queue", &file.Fleet.Queue, 32, 1_000_000)
@@ -192,8 +193,8 @@
 		MaxAttempts: number("node.attempts", &file.Node.Attempts, 3, 16), SecondCopies: file.Node.Copies, Cancel: true,
 		MaxRetryAfter: duration("node.retry_after", &file.Node.RetryAfter, time.Second, 0),
 	}
-	if len(file.Class) == 0 || len(file.Class) > mostClasses {
-		f.Bad("class", "%d are given, 1 to %d are needed", len(file.Class), mostClasses)
+	if len(file.Class) == 0 || len(file.Class) > maxClasses {
+		f.Bad("class", "%d classes given, must be from 1 to %d", len(file.Class), maxClasses)
 	}
 	service := map[int]sim.Times{}
 	for i := range file.Class {
@@ -201,10 +202,10 @@
 		key := func(name string) string { return fmt.Sprintf("class[%d].%s", i+1, name) }
 		effect, ok := effects[c.Effect]
 		if !ok {
-			f.Bad(key("effect"), "%q is none of safe, keyed and unsafe", c.Effect)
+			f.Bad(key("effect"), "%q is not one of safe, keyed and unsafe", c.Effect)
 		}
 		if c.Name == "" {
-			f.Bad(key("name"), "none given")
+			f.Bad(key("name"), "missing")
 		}
 		p := policy.Class{
 			Aim: duration(key("aim"), &c.Aim, 300*time.Millisecond, time.Millisecond), Worth: max(c.Worth, 1),
@@ -226,14 +227,14 @@
 	for i := range servers {
 		e := policy.Entry{Server: policy.ServerID(i + 1), Zone: i % zones, State: policy.Ready, Weight: 1}
 		if file.Fleet.Cold {
-			e.Started = time.Hour // the simulation's start
+			e.Started = time.Hour // when the simulation starts
 		}
 		o.Servers = append(o.Servers, sim.ServerOptions{
 			Entry: e, Addr: fmt.Sprint("s", i), Parallel: parallel, Queue: queue, Service: service, Rules: s.Rules,
 		})
 	}
-	if !(file.Load.Rate > 0 && file.Load.Rate <= mostLoads) && file.Load.Trace == "" {
-		f.Bad("load.rate", "%v requests a second: above 0 and at most %d", file.Load.Rate, mostLoads)
+	if !(file.Load.Rate > 0 && file.Load.Rate <= maxRate) && file.Load.Trace == "" {
+		f.Bad("load.rate", "%v requests per second, must be above 0 and at most %d", file.Load.Rate, maxRate)
 	}
 	heed := 1.0
 	if file.Load.Heed != nil {
@@ -259,7 +260,7 @@
 		o.Load.Curve = func(at time.Duration) float64 {
 			return curve[min(len(curve)-1, int(at.Seconds()/part))]
 		}
-		if file.Load.Ramp { // the parts' values hold at their middles
+		if file.Load.Ramp { // each part's factor applies at its middle
 			o.Load.Curve = func(at time.Duration) float64 {
 				x := min(max(at.Seconds()/part-0.5, 0), float64(len(curve)-1))
 				n := min(int(x), len(curve)-2)
@@ -270,20 +271,20 @@
 			}
 		}
 	}
-	if len(file.Fault) > mostFaults {
-		f.Bad("fault", "%d are given, at most %d are taken", len(file.Fault), mostFaults)
+	if len(file.Fault) > maxFaults {
+		f.Bad("fault", "%d faults given, the limit is %d", len(file.Fault), maxFaults)
 	}
 	for i, g := range file.Fault {
 		key := func(name string) string { return fmt.Sprintf("fault[%d].%s", i+1, name) }
 		if !slices.Contains(sim.Faults, g.What) {
-			f.Bad(key("what"), "%q is none of %v", g.What, sim.Faults)
+			f.Bad(key("what"), "%q is not one of %v", g.What, sim.Faults)
 		}
 		fault := sim.Fault{At: g.At.Duration, For: g.For.Duration, What: g.What, Servers: g.Servers, Amount: g.Amount}
 		most := servers
 		if g.What == "node-crash" {
 			fault.Servers, most = g.Nodes, o.Nodes
 		} else if len(g.Nodes) > 0 {
-			f.Bad(key("nodes"), "only node-crash has nodes")
+			f.Bad(key("nodes"), "only node-crash takes nodes")
 		}
 		for n := range most {
 			if g.All || g.Zone != nil && n%zones == *g.Zone && g.What != "node-crash" {
@@ -291,14 +292,14 @@
 			}
 		}
 		if g.What == "flap" && g.Amount < 0.05 {
-			f.Bad(key("amount"), "%v s from one turn to the next, at least 0.05 are needed", g.Amount)
+			f.Bad(key("amount"), "%v s between state changes, must be at least 0.05", g.Amount)
 		}
 		if len(fault.Servers) == 0 && !sim.Broad(g.What) {
-			f.Bad(key("servers"), "none: name servers, nodes, a zone, or all")
+			f.Bad(key("servers"), "none given: set servers, nodes, zone or all")
 		}
 		for _, n := range fault.Servers {
 			if n < 0 || n >= most {
-				f.Bad(key("servers"), "%d is not 0 to %d", n, most-1)
+				f.Bad(key("servers"), "%d is not from 0 to %d", n, most-1)
 				break
 			}
 		}
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -16,20 +16,21 @@
 	"otterstep/internal/tomlfile"
 )
 
-// Bounds of a hunt.
+// Limits of a hunt.
 const (
-	huntFaults  = 5   // drawn for a candidate at most, beside the file's
-	shrinkTries = 400 // runs that shrinking takes at most
-	lossKept    = 0.8 // of what the worst run did not serve
+	maxAddedFaults = 5   // random faults added to a candidate, beside the file's
+	maxShrinkRuns  = 400 // runs used for shrinking
+	minLossShare   = 0.8 // share of the worst run's loss that a shrunk file has to reproduce
 )
 
-// Hunt looks for a run in which a rule breaks, or else for the one that serves least:
-// tries candidates, each with a seed of its own, with the file's faults in other orders
-// and further ones. What it finds it shrinks to a file as small as still shows it (after
-// Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002): fewer
-// and shorter faults, fewer servers and nodes, less load. It tells of its progress.
+// Hunt searches for a run that violates a rule, or else for the one with the smallest share
+// served within the aim. It runs candidates, each with its own seed, in which the file's
+// faults are dropped or moved at random and random faults are added. The run that it finds
+// is shrunk to a minimal file that still reproduces it (after Zeller and Hildebrandt,
+// Simplifying and Isolating Failure-Inducing Input, 2002): fewer and shorter faults, fewer
+// servers and nodes, less load. progress is called with messages.
 func (x *Experiment) Hunt(ctx context.Context, seed uint64, tries int, progress func(string)) (*Experiment, Run, error) {
-	h := hunt{base: x, rng: sim.Stream(seed, "hunt")}
+	h := hunter{base: x, rng: sim.Stream(seed, "hunt")}
 	worst, found := Run{Share: math.Inf(1)}, (*Experiment)(nil)
 	for n := range tries {
 		if err := ctx.Err(); err != nil {
@@ -39,40 +40,40 @@
 		if err != nil {
 			return nil, Run{}, err
 		}
-		r, err := c.play(seed + uint64(n))
+		r, err := c.runSeed(seed + uint64(n))
 		if err != nil {
 			return nil, Run{}, err
 		}
 		broke := len(r.Results.Broken) > 0
 		if broke || r.Share < worst.Share {
 			worst, found = r, c
-			progress(fmt.Sprintf("try %d: %s", n+1, describe(r)))
+			progress(fmt.Sprintf("try %d: %s", n+1, describeRun(r)))
 		}
 		if broke {
 			break
 		}
 	}
 	if found == nil {
-		return nil, Run{}, errors.New("hunt: no run came to an end")
+		return nil, Run{}, errors.New("hunt: no run completed")
 	}
 	return h.shrink(ctx, found, worst, progress)
 }
 
-// describe says what is the matter with a run.
-func describe(r Run) string {
+// describeRun describes the failure of a run.
+func describeRun(r Run) string {
 	if len(r.Results.Broken) > 0 {
 		return "a rule broke: " + r.Results.First
 	}
 	return fmt.Sprintf("%.4f served within the aim", r.Share)
 }
 
-type hunt struct {
+type hunter struct {
 	base *Experiment
 	rng  *rand.Rand
 }
 
-// candidate draws one.
-func (h *hunt) candidate() (*Experiment, error) {
+// candidate returns a random variation of the base experiment.
+func (h *hunter) candidate() (*Experiment, error) {
 	file := h.base.File
 	file.Fault = nil
 	for _, f := range h.base.File.Fault {
@@ -80,24 +81,24 @@
 		case 0:
 			continue
 		case 1:
-			f.At = h.when(f.For.Duration)
+			f.At = h.randomStart(f.For.Duration)
 		}
 		file.Fault = append(file.Fault, f)
 	}
-	for range 1 + h.rng.IntN(huntFaults) {
-		file.Fault = append(file.Fault, h.fault())
+	for range 1 + h.rng.IntN(maxAddedFaults) {
+		file.Fault = append(file.Fault, h.randomFault())
 	}
 	slices.SortStableFunc(file.Fault, func(a, b Fault) int { return int(a.At.Duration - b.At.Duration) })
-	return h.base.with(file)
+	return h.base.withFile(file)
 }
 
-// with gives the experiment with another file.
-func (x *Experiment) with(file File) (*Experiment, error) {
+// withFile returns the experiment with another file, but the same policy and defects.
+func (x *Experiment) withFile(file File) (*Experiment, error) {
 	text, err := toml.Marshal(file)
 	if err != nil {
 		return nil, fmt.Errorf("hunt: %w", err)
 	}
-	got, err := parse(x.path, text)
+	got, err := parseText(x.path, text)
 	if err != nil {
 		return nil, err
 	}
@@ -105,17 +106,18 @@
 	return got, nil
 }
 
-// when draws a time at which something of a length begins, in whole milliseconds.
-func (h *hunt) when(length time.Duration) tomlfile.Duration {
+// randomStart returns a random start time for a fault of the given length, in whole
+// milliseconds.
+func (h *hunter) randomStart(length time.Duration) tomlfile.Duration {
 	warm, end := h.base.File.Warm.Duration, h.base.File.For.Duration
 	room := max(time.Second, end-warm-length)
 	return tomlfile.Duration{Duration: (warm + time.Duration(h.rng.Float64()*float64(room))).Round(time.Millisecond)}
 }
 
-func (h *hunt) fault() Fault {
+func (h *hunter) randomFault() Fault {
 	f := Fault{What: sim.Faults[h.rng.IntN(len(sim.Faults))]}
 	f.For.Duration = time.Duration(h.rng.Float64() * float64(h.base.File.For.Duration) / 3).Round(time.Millisecond)
-	f.At = h.when(f.For.Duration)
+	f.At = h.randomStart(f.For.Duration)
 	switch f.What {
 	case "slow":
 		f.Amount = 2 + 10*h.rng.Float64()
@@ -124,7 +126,7 @@
 	case "flap":
 		f.Amount = 0.1 + h.rng.Float64()
 	}
-	some := func(most int) []int { // up to a third, at least one
+	some := func(most int) []int { // up to a third of them, at least one
 		all := h.rng.Perm(most)[:1+h.rng.IntN((most+2)/3)]
 		slices.Sort(all)
 		return all
@@ -138,9 +140,9 @@
 	return f
 }
 
-// shrink tries smaller files for as long as one of them shows the same: the same rule
-// broken, or nearly as little served.
-func (h *hunt) shrink(ctx context.Context, x *Experiment, r Run, progress func(string)) (*Experiment, Run, error) {
+// shrink tries smaller files for as long as one of them reproduces the failure: the same
+// rule violated, or nearly as small a share served.
+func (h *hunter) shrink(ctx context.Context, x *Experiment, r Run, progress func(string)) (*Experiment, Run, error) {
 	first := r
 	same := func(got Run) bool {
 		if len(first.Results.Broken) > 0 {
@@ -151,41 +153,41 @@
 			}
 			return false
 		}
-		return got.Results.Counted > 0 && 1-got.Share >= lossKept*(1-first.Share)
+		return got.Results.Counted > 0 && 1-got.Share >= minLossShare*(1-first.Share)
 	}
 	seed := r.Seed
 	for tries, smaller := 0, true; smaller; {
 		smaller = false
-		for _, file := range reductions(x.File, len(first.Results.Broken) > 0) {
-			if tries++; tries > shrinkTries {
-				progress(fmt.Sprintf("shrinking ends after %d runs", shrinkTries))
+		for _, file := range smallerFiles(x.File, len(first.Results.Broken) > 0) {
+			if tries++; tries > maxShrinkRuns {
+				progress(fmt.Sprintf("shrinking stopped after %d runs", maxShrinkRuns))
 				smaller = false
 				break
 			}
 			if err := ctx.Err(); err != nil {
 				return nil, Run{}, err
 			}
-			c, err := x.with(file)
+			c, err := x.withFile(file)
 			if err != nil {
-				continue // a fault names what is no longer there
+				continue // a fault refers to a server or node that was removed
 			}
-			if got, err := c.play(seed); err == nil && same(got) {
+			if got, err := c.runSeed(seed); err == nil && same(got) {
 				x, r, smaller = c, got, true
 				break
 			}
 		}
 	}
-	x.File.Found = &Found{Seed: seed, Digest: r.Results.Digest, Failed: describe(r)}
+	x.File.Found = &Found{Seed: seed, Digest: r.Results.Digest, Failed: describeRun(r)}
 	x.File.About = fmt.Sprintf("Found by a hunt: %s.", x.File.Found.Failed)
 	progress(fmt.Sprintf("shrunk to %d faults, %d servers, %d nodes, %v of %.0f requests a second: %s", len(x.File.Fault), x.File.Fleet.Servers,
-		x.File.Fleet.Nodes, x.File.For, x.File.Load.Rate, describe(r)))
+		x.File.Fleet.Nodes, x.File.For, x.File.Load.Rate, describeRun(r)))
 	return x, r, nil
 }
 
-// reductions gives files that are one step smaller, the greatest steps first: in its
-// faults, and if whole in fleet, load and length too. A run that is bad, but breaks no
-// rule, would only become another one with fewer servers.
-func reductions(f File, whole bool) []File {
+// smallerFiles returns files reduced by one step, the largest steps first: fewer or shorter
+// faults, and if whole is set also a smaller fleet, load and duration. Without a violated
+// rule, a run with fewer servers would fail for another reason.
+func smallerFiles(f File, whole bool) []File {
 	var all []File
 	add := func(change func(*File)) {
 		smaller := f
@@ -244,8 +246,8 @@
 	return all
 }
 
-// Text writes the experiment as a file.
-func (x *Experiment) Text() ([]byte, error) {
+// Marshal returns the experiment's file as TOML.
+func (x *Experiment) Marshal() ([]byte, error) {
 	text, err := toml.Marshal(x.File)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
@@ -253,18 +255,18 @@
 	return text, nil
 }
 
-// Replay plays a find again. It is an error if it comes out otherwise than it was found.
+// Replay repeats the run that a hunt found; a different result is an error.
 func (x *Experiment) Replay() (Run, error) {
 	f := x.File.Found
 	if f == nil {
-		return Run{}, fmt.Errorf("%s: no [found]: not a hunt's find, use run", x.path)
+		return Run{}, fmt.Errorf("%s: no [found] section, so no hunt wrote this file; use run", x.path)
 	}
-	r, err := x.play(f.Seed)
+	r, err := x.runSeed(f.Seed)
 	if err != nil {
 		return Run{}, err
 	}
-	if got := describe(r); r.Results.Digest != f.Digest || !strings.HasPrefix(f.Failed, got) {
-		return r, fmt.Errorf("%s: found was %s (digest %s), now %s (digest %s): another build, or no longer so", x.path, f.Failed, f.Digest, got, r.Results.Digest)
+	if got := describeRun(r); r.Results.Digest != f.Digest || !strings.HasPrefix(f.Failed, got) {
+		return r, fmt.Errorf("%s: the hunt found %s (digest %s), the replay gave %s (digest %s): another build, or no longer reproducible", x.path, f.Failed, f.Digest, got, r.Results.Digest)
 	}
 	return r, nil
 }
--- a/internal/experiment/match.go
+++ b/internal/experiment/match.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// How close virtual time has to come to real sockets for its figures to be believed. The
-// network's latency in the file has to be loopback's: 50us is close.
+// Limits within which a simulation has to agree with a run on real sockets for its results
+// to be trusted. The file's network latency has to be that of loopback, about 50us.
 const (
-	matchShare = 0.02 // difference of the shares within the aim
-	matchP50   = 1.3  // factor between the medians, either way
-	matchP99   = 1.6  // and between the 99th percentiles
+	maxShareDifference = 0.02 // difference of the shares within the aim
+	maxP50Factor       = 1.3  // factor between the medians, in either direction
+	maxP99Factor       = 1.6  // factor between the 99th percentiles, in either direction
 )
 
-// Match is how the same experiment came out in virtual time and on sockets, as means over
-// the seeds.
+// Match compares one experiment's results in simulation and on sockets, as means over the
+// seeds.
 type Match struct {
-	Simulated, Real Figures
-	Failed          []string // what is further apart than it may be
+	Simulated, Real Means
+	Failed          []string // the limits that were exceeded
 }
 
-// Figures of several runs: means.
-type Figures struct {
+// Means holds the mean results of several runs.
+type Means struct {
 	Share    float64
 	P50, P99 time.Duration
 	Attempts float64
@@ -31,18 +31,18 @@
 
 // Matched compares runs of one experiment in both modes.
 func Matched(simulated, real []Run) Match {
-	m := Match{Simulated: sum(simulated).Figures, Real: sum(real).Figures}
+	m := Match{Simulated: summarize(simulated).Means, Real: summarize(real).Means}
 	no := func(format string, args ...any) { m.Failed = append(m.Failed, fmt.Sprintf(format, args...)) }
-	if d := m.Real.Share - m.Simulated.Share; d > matchShare || d < -matchShare {
-		no("shares within the aim are %.4f apart, %.2f at most", d, matchShare)
+	if d := m.Real.Share - m.Simulated.Share; d > maxShareDifference || d < -maxShareDifference {
+		no("shares within the aim differ by %.4f, the limit is %.2f", d, maxShareDifference)
 	}
 	apart := func(what string, simulated, real time.Duration, most float64) {
 		if f := float64(real) / float64(max(1, simulated)); f > most || f < 1/most {
-			no("%s on sockets is %.2f of the simulated, a factor of %.1f at most either way", what, f, most)
+			no("%s on sockets is %.2f times the simulated one, the limit is a factor of %.1f in either direction", what, f, most)
 		}
 	}
-	apart("p50", m.Simulated.P50, m.Real.P50, matchP50)
-	apart("p99", m.Simulated.P99, m.Real.P99, matchP99)
+	apart("p50", m.Simulated.P50, m.Real.P50, maxP50Factor)
+	apart("p99", m.Simulated.P99, m.Real.P99, maxP99Factor)
 	for _, r := range real {
 		m.Failed = append(m.Failed, r.Failed...)
 	}
@@ -56,7 +56,7 @@
 	for i, m := range all {
 		for _, mode := range []struct {
 			name string
-			f    Figures
+			f    Means
 		}{{"sim", m.Simulated}, {"real", m.Real}} {
 			fmt.Fprintf(t, "%s\t%s\t%.4f\t%v\t%v\t%.3f\n", names[i], mode.name, mode.f.Share,
 				mode.f.P50.Round(10*time.Microsecond), mode.f.P99.Round(10*time.Microsecond), mode.f.Attempts)
--- a/internal/experiment/match_test.go
+++ b/internal/experiment/match_test.go
@@ -8,7 +8,7 @@
 	"otterstep/internal/sim"
 )
 
-// Figures that are further apart than stated are told, either way, and only these.
+// Differences beyond the limits are reported, in either direction, and no others.
 func TestMatched(t *testing.T) {
 	runs := func(share float64, p50, p99 time.Duration) []Run {
 		return []Run{{Share: share, Results: &sim.Results{P50: p50, P99: p99}}, {Share: share, Results: &sim.Results{P50: p50, P99: p99}}}
@@ -42,15 +42,15 @@
 	}
 }
 
-// Each run's end is told once, whichever policy plays it.
-func TestProgressIsToldOfEachRun(t *testing.T) {
+// The callback is called once per run, also with another policy.
+func TestRunDoneIsCalledOncePerRun(t *testing.T) {
 	x, err := Load("../../experiments/calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	told := make(chan struct{}, 100)
 	played := func() { told <- struct{}{} }
-	if _, err := x.Told(played).With("random").Play(t.Context(), 1, 5); err != nil || len(told) != 5 {
-		t.Errorf("%d ends told of 5 runs, %v", len(told), err)
+	if _, err := x.OnRunDone(played).WithPolicy("random").Play(t.Context(), 1, 5); err != nil || len(told) != 5 {
+		t.Errorf("%d calls for 5 runs, %v", len(told), err)
 	}
 }
--- a/internal/experiment/print.go
+++ b/internal/experiment/print.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 )
 
-// Print writes runs as a table for people.
-func Print(w io.Writer, x *Experiment, runs []Run) error {
+// PrintRuns writes runs as a table.
+func PrintRuns(w io.Writer, x *Experiment, runs []Run) error {
 	fmt.Fprintf(w, "%s\n\n", x.File.About)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SEED\tASKED\tWITHIN AIM\tP50\tP99\tATTEMPTS\tENDS\tDIGEST")
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Held tells whether all held in all runs.
-func Held(runs []Run) bool {
+// AllPassed reports whether all runs met all expectations.
+func AllPassed(runs []Run) bool {
 	return !slices.ContainsFunc(runs, func(r Run) bool { return len(r.Failed) > 0 })
 }
--- a/internal/experiment/report/plots.go
+++ b/internal/experiment/report/plots.go
@@ -21,26 +21,26 @@
 	"otterstep/internal/sim"
 )
 
-// Colours that also differ in brightness (Okabe and Ito's set).
+// Colours that are told apart also by brightness (from Okabe and Ito's palette).
 var (
-	blue   = color.RGBA{0x00, 0x72, 0xb2, 0xff}
-	orange = color.RGBA{0xe6, 0x9f, 0x00, 0xff}
-	red    = color.RGBA{0xd5, 0x5e, 0x00, 0xff}
-	green  = color.RGBA{0x00, 0x9e, 0x73, 0xff}
-	band   = color.RGBA{0x00, 0x00, 0x00, 0x14}
+	blue       = color.RGBA{0x00, 0x72, 0xb2, 0xff}
+	orange     = color.RGBA{0xe6, 0x9f, 0x00, 0xff}
+	red        = color.RGBA{0xd5, 0x5e, 0x00, 0xff}
+	green      = color.RGBA{0x00, 0x9e, 0x73, 0xff}
+	faultColor = color.RGBA{0x00, 0x00, 0x00, 0x14}
 )
 
 const width, height = 16 * vg.Centimeter, 8 * vg.Centimeter
 
-// line is one of a plot's over the seconds of a run; NaN leaves a gap.
+// line is one line of a plot over the seconds of a run; NaN leaves a gap.
 type line struct {
 	name  string
 	color color.Color
 	value func(sim.Second) float64
 }
 
-// plots draws a run.
-func plots(x *experiment.Experiment, r experiment.Run) ([]template.HTML, error) {
+// drawPlots returns the plots of a run as SVG.
+func drawPlots(x *experiment.Experiment, r experiment.Run) ([]template.HTML, error) {
 	part := func(n, of uint64) float64 {
 		if of == 0 {
 			return math.NaN()
@@ -56,26 +56,26 @@
 	rate := func(n uint64) float64 { return float64(n) }
 	draw := []func() (*plot.Plot, error){
 		func() (*plot.Plot, error) {
-			return overTime(x, r, "How requests ended, by when they began", "share of the requests", 1, []line{
+			return plotOverTime(x, r, "How requests ended, by when they began", "share of the requests", 1, []line{
 				{"within the aim", blue, func(s sim.Second) float64 { return part(s.Within, s.Asked) }},
 				{"refused", orange, func(s sim.Second) float64 { return part(s.Refused, s.Asked) }},
 				{"failed", red, func(s sim.Second) float64 { return part(s.Failed, s.Asked) }},
 			})
 		},
 		func() (*plot.Plot, error) {
-			return overTime(x, r, "Time until served", "ms", 0, []line{
+			return plotOverTime(x, r, "Time until served", "ms", 0, []line{
 				{"p99", red, func(s sim.Second) float64 { return ms(s.P99) }},
 				{"median", blue, func(s sim.Second) float64 { return ms(s.P50) }},
 			})
 		},
 		func() (*plot.Plot, error) {
-			return overTime(x, r, "Requests a second", "a second", 0, []line{
+			return plotOverTime(x, r, "Requests a second", "a second", 0, []line{
 				{"attempts at servers", red, func(s sim.Second) float64 { return rate(s.Attempts) }},
 				{"requests at nodes", orange, func(s sim.Second) float64 { return rate(s.Tries) }},
 				{"wanted by clients", blue, func(s sim.Second) float64 { return rate(s.Asked) }},
 			})
 		},
-		func() (*plot.Plot, error) { return work(x, r) },
+		func() (*plot.Plot, error) { return plotServerWork(x, r) },
 	}
 	var all []template.HTML
 	for _, d := range draw {
@@ -92,12 +92,12 @@
 			return nil, err
 		}
 		from := max(0, bytes.Index(text.Bytes(), []byte("<svg"))) // without the XML declaration
-		all = append(all, template.HTML(text.Bytes()[from:]))     //nolint:gosec // drawn here, names in it are escaped by vgsvg
+		all = append(all, template.HTML(text.Bytes()[from:]))     //nolint:gosec // generated here; vgsvg escapes the names
 	}
 	return all, nil
 }
 
-func overTime(x *experiment.Experiment, r experiment.Run, title, unit string, most float64, lines []line) (*plot.Plot, error) {
+func plotOverTime(x *experiment.Experiment, r experiment.Run, title, unit string, most float64, lines []line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds since the start", unit
 	p.Legend.Top, p.Legend.Left = true, false
@@ -149,19 +149,19 @@
 		if err != nil {
 			return nil, fmt.Errorf("plot %q: %w", title, err)
 		}
-		box.Color, box.LineStyle.Width = band, 0
+		box.Color, box.LineStyle.Width = faultColor, 0
 		p.Add(box)
 	}
 	return p, nil
 }
 
-// work shows what each server did against what it could have.
-func work(x *experiment.Experiment, r experiment.Run) (*plot.Plot, error) {
+// plotServerWork plots the share of its capacity that each server used.
+func plotServerWork(x *experiment.Experiment, r experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Work of each server", "share of what it can take"
 	p.X.Label.Text = "servers, in their order"
 	could := x.File.For.Seconds() * float64(x.File.Fleet.Parallel)
-	names := slices.SortedFunc(maps.Keys(r.Results.Work), func(a, b string) int { return number(a) - number(b) })
+	names := slices.SortedFunc(maps.Keys(r.Results.Work), func(a, b string) int { return serverNumber(a) - serverNumber(b) })
 	var values plotter.Values
 	for _, name := range names {
 		values = append(values, r.Results.Work[name].Seconds()/could)
@@ -177,8 +177,8 @@
 	return p, nil
 }
 
-// number of a server, as in "s12".
-func number(name string) int {
+// serverNumber returns the number in a server's name, such as 12 for "s12".
+func serverNumber(name string) int {
 	n, _ := strconv.Atoi(strings.TrimLeft(name, "s")) // another name sorts first
 	return n
 }
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what came of experiments as one HTML file that refers to nothing
-// outside itself, with plots.
+// Package report writes the results of experiments, with plots, as one self-contained HTML
+// file.
 package report
 
 import (
@@ -17,21 +17,21 @@
 	"otterstep/internal/experiment"
 )
 
-// Part is one of a report's: a file played with some setting.
-type Part struct {
+// Section is one section of a report: an experiment and its runs.
+type Section struct {
 	Title      string
 	Experiment *experiment.Experiment
 	Runs       []experiment.Run
 }
 
-// Write writes a report to a file, which is there whole or not at all.
-func Write(path, title string, parts []Part) error {
+// Write writes a report to a file, atomically.
+func Write(path, title string, parts []Section) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	defer os.Remove(file.Name()) // fails once it has its name
-	if err := write(file, title, parts); err != nil {
+	defer os.Remove(file.Name()) // no effect once the file is renamed
+	if err := writePage(file, title, parts); err != nil {
 		file.Close()
 		return fmt.Errorf("report %s: %w", path, err)
 	}
@@ -61,7 +61,7 @@
 	Plots              []template.HTML
 }
 
-func write(w io.Writer, title string, parts []Part) error {
+func writePage(w io.Writer, title string, parts []Section) error {
 	var sections []section
 	for _, p := range parts {
 		s := section{Title: p.Title, About: p.Experiment.File.About, Seed: fmt.Sprint(p.Runs[0].Seed)}
@@ -69,21 +69,21 @@
 			s.Rows = append(s.Rows, row{
 				Seed: r.Seed, Asked: r.Results.Asked, Share: fmt.Sprintf("%.4f", r.Share), Attempts: fmt.Sprintf("%.3f", r.Results.PerRequest()),
 				P50: r.Results.P50.Round(100 * time.Microsecond), P99: r.Results.P99.Round(100 * time.Microsecond),
-				Ends: ends(r), Failed: strings.Join(r.Failed, "; "), Digest: r.Results.Digest, Held: len(r.Failed) == 0,
+				Ends: formatOutcomes(r), Failed: strings.Join(r.Failed, "; "), Digest: r.Results.Digest, Held: len(r.Failed) == 0,
 			})
 		}
-		plots, err := plots(p.Experiment, p.Runs[0])
+		plots, err := drawPlots(p.Experiment, p.Runs[0])
 		if err != nil {
 			return err
 		}
 		s.Plots = plots
 		sections = append(sections, s)
 	}
-	return page.Execute(w, map[string]any{"Title": title, "Sections": sections})
+	return pageTemplate.Execute(w, map[string]any{"Title": title, "Sections": sections})
 }
 
-// ends words how requests ended, the most frequent first.
-func ends(r experiment.Run) string {
+// formatOutcomes lists how many requests had each outcome, the most frequent first.
+func formatOutcomes(r experiment.Run) string {
 	all := slices.SortedFunc(maps.Keys(r.Results.Ends), func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.Results.Ends[b], r.Results.Ends[a]), cmp.Compare(a, b))
 	})
@@ -93,7 +93,7 @@
 	return strings.Join(all, ", ")
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>
 body { font: 15px/1.5 sans-serif; max-width: 72rem; margin: 2rem auto; padding: 0 1rem; color: #222; }
 table { border-collapse: collapse; margin: 1rem 0; font-size: 13px; }
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -13,11 +13,11 @@
 	"otterstep/internal/standin/racing"
 )
 
-// A report is one file that refers to nothing outside it, with four readable plots a part
-// and each run's figures.
+// A report is one self-contained file with four well-formed plots per section and each
+// run's results.
 func TestReport(t *testing.T) {
 	racing.Skip(t)
-	var parts []Part
+	var parts []Section
 	for _, name := range []string{"hang", "calm"} {
 		x, err := experiment.Load("../../../experiments/" + name + ".toml")
 		if err != nil {
@@ -27,7 +27,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		parts = append(parts, Part{name + " <&>", x, runs})
+		parts = append(parts, Section{name + " <&>", x, runs})
 	}
 	path := filepath.Join(t.TempDir(), "r.html")
 	if err := Write(path, "All of it", parts); err != nil {
@@ -40,7 +40,7 @@
 	page := string(text)
 	for _, want := range []string{"hang &lt;&amp;&gt;", "seconds since the start", "within the aim", "p99", parts[0].Runs[1].Results.Digest} {
 		if !strings.Contains(page, want) {
-			t.Errorf("no %q in it", want)
+			t.Errorf("the page lacks %q", want)
 		}
 	}
 	if n := strings.Count(page, "<svg"); n != 8 {
@@ -48,7 +48,7 @@
 	}
 	for _, outside := range []string{"<script", "<link", "<img", "url("} {
 		if strings.Contains(page, outside) {
-			t.Errorf("%q in it", outside)
+			t.Errorf("the page contains %q", outside)
 		}
 	}
 	for _, svg := range strings.SplitAfter(page, "</svg>")[:8] {
@@ -62,10 +62,10 @@
 		}
 	}
 	if err := Write(filepath.Join(t.TempDir(), "none", "r.html"), "", parts); err == nil {
-		t.Error("written into a folder that is not there")
+		t.Error("a report was written into a missing directory")
 	}
 	left, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*"))
 	if err != nil || len(left) != 1 {
-		t.Errorf("left beside it: %v, %v", left, err)
+		t.Errorf("files left in the directory: %v, %v", left, err)
 	}
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -14,16 +14,16 @@
 	"otterstep/internal/sim"
 )
 
-// Run is one seed's.
+// Run is the result of an experiment with one seed.
 type Run struct {
 	Seed    uint64       `json:"seed"`
 	Results *sim.Results `json:"results"`
-	Share   float64      `json:"share"`  // served within the aim
-	Failed  []string     `json:"failed"` // what did not hold
+	Share   float64      `json:"share"`  // share of the requests served within the aim
+	Failed  []string     `json:"failed"` // the expectations that were not met
 }
 
-// Play plays an experiment with seeds seed, seed+1 and so on, several at once; each run
-// is alone in its own time. It ends early with ctx.
+// Play runs an experiment with the seeds seed, seed+1 and so on, several in parallel; each
+// run has its own simulated time. It stops early when ctx is done.
 func (x *Experiment) Play(ctx context.Context, seed uint64, runs int) ([]Run, error) {
 	all := make([]Run, runs)
 	errs := make([]error, runs)
@@ -32,9 +32,9 @@
 	for range min(runs, runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
 			for n := range next {
-				all[n], errs[n] = x.play(seed + uint64(n))
-				if x.played != nil {
-					x.played()
+				all[n], errs[n] = x.runSeed(seed + uint64(n))
+				if x.runDone != nil {
+					x.runDone()
 				}
 			}
 		})
@@ -60,15 +60,15 @@
 	return all, nil
 }
 
-// Told gives the experiment with a function that is told of each run's end, on any
+// OnRunDone returns a copy of the experiment that calls a function after each run, on any
 // goroutine.
-func (x *Experiment) Told(played func()) *Experiment {
+func (x *Experiment) OnRunDone(played func()) *Experiment {
 	other := *x
-	other.played = played
+	other.runDone = played
 	return &other
 }
 
-func (x *Experiment) play(seed uint64) (Run, error) {
+func (x *Experiment) runSeed(seed uint64) (Run, error) {
 	w, err := sim.New(x.Options, seed)
 	if err != nil {
 		return Run{}, err
@@ -76,7 +76,7 @@
 	return x.Judge(seed, w.Run()), nil
 }
 
-// Judge holds what came of a run against what must hold.
+// Judge evaluates the results of a run against the file's expectations.
 func (x *Experiment) Judge(seed uint64, r *sim.Results) Run {
 	run := Run{Seed: seed, Results: r, Share: r.Share()}
 	no := func(format string, args ...any) { run.Failed = append(run.Failed, fmt.Sprintf(format, args...)) }
@@ -91,7 +91,7 @@
 		no("p99 %v, want %v", r.P99, h.P99)
 	}
 	if per := r.PerRequest(); h.Attempts > 0 && per > h.Attempts {
-		no("%.3f attempts a request, want %.3f", per, h.Attempts)
+		no("%.3f attempts per request, want %.3f", per, h.Attempts)
 	}
 	if h.Recovered > 0 {
 		var asked, within uint64
@@ -108,19 +108,19 @@
 	return run
 }
 
-// Difference is how two experiments' shares within the aim differ over the same seeds.
+// Difference compares the shares within the aim of two experiments over the same seeds.
 type Difference struct {
 	A, B      float64 // means
-	Mean      float64 // of B less A
-	Low, High float64 // 95% interval of it, by the bootstrap
+	Mean      float64 // of B minus A
+	Low, High float64 // its 95% bootstrap confidence interval
 	Wins      int     // seeds at which B is better
 }
 
-// resamples of the bootstrap.
+// resamples is the number of bootstrap resamples.
 const resamples = 2000
 
-// Compare pairs runs of the same seeds; the interval is the percentile bootstrap's (Efron
-// and Tibshirani, An Introduction to the Bootstrap, 1993, chapter 13) over seeds.
+// Compare pairs runs by seed; the interval is the percentile bootstrap's (Efron and
+// Tibshirani, An Introduction to the Bootstrap, 1993, chapter 13) over the seeds.
 func Compare(a, b []Run) Difference {
 	var d Difference
 	each := make([]float64, len(a))
@@ -132,12 +132,12 @@
 			d.Wins++
 		}
 	}
-	d.Mean, d.Low, d.High = Interval(each, a[0].Seed)
+	d.Mean, d.Low, d.High = ConfidenceInterval(each, a[0].Seed)
 	return d
 }
 
-// Interval gives a mean and its 95% interval.
-func Interval(each []float64, seed uint64) (mean, low, high float64) {
+// ConfidenceInterval returns the mean and its 95% bootstrap confidence interval.
+func ConfidenceInterval(each []float64, seed uint64) (mean, low, high float64) {
 	rng := rand.New(rand.NewPCG(seed, 95))
 	means := make([]float64, resamples)
 	for i := range means {
--- a/internal/experiment/search_test.go
+++ b/internal/experiment/search_test.go
@@ -14,7 +14,7 @@
 	"otterstep/internal/standin/racing"
 )
 
-func load(t testing.TB, name string) *Experiment {
+func loadExperiment(t testing.TB, name string) *Experiment {
 	t.Helper()
 	x, err := Load(filepath.Join("../../experiments", name+".toml"))
 	if err != nil {
@@ -23,13 +23,13 @@
 	return x
 }
 
-// A planted fault of the node is found by a hunt, which shrinks it to a few faults; the
-// file that it writes shows the same when it is read and played again, and another build
-// (here: one without the fault) is told apart.
-func TestHuntFindsAndShrinks(t *testing.T) {
+// A hunt finds a defect injected into the node and shrinks the run to at most two faults.
+// The file that it writes reproduces the violation when it is read and replayed, and a
+// replay on another build (here: one without the defect) is reported as different.
+func TestHuntFindsAndShrinksViolations(t *testing.T) {
 	racing.Skip(t)
 	for rule, plant := range map[ledger.Breach]sim.Planted{
-		ledger.PushedOver:   {}, // random choice does that: it sends cold servers as much as others
+		ledger.PushedOver:   {}, // violated by the random policy, which sends cold servers as much as others
 		ledger.SecondAnswer: {Echo: true},
 		ledger.RanTwice:     {Again: true},
 		ledger.AfterDrain:   {Deaf: true},
@@ -37,7 +37,7 @@
 	} {
 		t.Run(string(rule), func(t *testing.T) {
 			t.Parallel()
-			x := load(t, "calm")
+			x := loadExperiment(t, "calm")
 			x.File.For.Duration, x.File.Load.Rate = 5*time.Second, 150
 			x.Options.Planted = plant
 			if rule == ledger.PushedOver {
@@ -49,18 +49,18 @@
 				t.Fatal(err)
 			}
 			if r.Results.Broken[rule] == 0 || len(found.File.Fault) > 2 || found.File.Load.Rate > x.File.Load.Rate || len(said) < 2 {
-				t.Fatalf("broken %v; %d faults at %.0f a second; said %q", r.Results.Broken, len(found.File.Fault), found.File.Load.Rate, said)
+				t.Fatalf("violations %v; %d faults at %.0f requests/s; progress %q", r.Results.Broken, len(found.File.Fault), found.File.Load.Rate, said)
 			}
-			text, err := found.Text()
+			text, err := found.Marshal()
 			if err != nil {
 				t.Fatal(err)
 			}
-			again, err := parse("found.toml", text)
+			again, err := parseText("found.toml", text)
 			if err != nil {
 				t.Fatalf("%v in\n%s", err, text)
 			}
 			if _, err := again.Replay(); err == nil || !strings.Contains(err.Error(), "another build") {
-				t.Errorf("without the fault: %v", err)
+				t.Errorf("without the defect: %v", err)
 			}
 			again.Options.Planted, again.Options.Policy = plant, x.Options.Policy
 			if _, err := again.Replay(); err != nil {
@@ -68,20 +68,21 @@
 			}
 		})
 	}
-	if _, err := load(t, "calm").Replay(); err == nil {
-		t.Error("a file that no hunt has found is replayed")
+	if _, err := loadExperiment(t, "calm").Replay(); err == nil {
+		t.Error("a file without [found] is replayed")
 	}
 }
 
-// Where no rule breaks, the run that serves least is found, and shrunk no better.
-func TestHuntForTheWorst(t *testing.T) {
-	x := load(t, "calm")
+// Where no rule is violated, the hunt finds the run with the smallest share served, and
+// shrinks it to faults none of which can be left out.
+func TestHuntForTheWorstRun(t *testing.T) {
+	x := loadExperiment(t, "calm")
 	x.File.For.Duration, x.File.Load.Rate = 5*time.Second, 150
-	x, err := x.with(x.File)
+	x, err := x.withFile(x.File)
 	if err != nil {
 		t.Fatal(err)
 	}
-	usual, err := x.play(1)
+	usual, err := x.runSeed(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,20 +91,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// What shrinking leaves can't be made smaller by leaving a fault out.
+	// No remaining fault can be left out without losing some of the effect.
 	for i := range found.File.Fault {
 		less := found.File
 		less.Fault = slices.Delete(slices.Clone(less.Fault), i, i+1)
-		smaller, err := found.with(less)
+		smaller, err := found.withFile(less)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := smaller.play(r.Seed); err != nil || 1-got.Share >= 1-r.Share {
+		if got, err := smaller.runSeed(r.Seed); err != nil || 1-got.Share >= 1-r.Share {
 			t.Errorf("fault %d is not needed: %.4f without it, %v; %q", i, got.Share, err, said)
 		}
 	}
 	if r.Share > usual.Share-0.01 || len(r.Results.Broken) > 0 || len(found.File.Fault) == 0 {
-		t.Errorf("%.3f within the aim, usually %.3f; broken %v; %d faults", r.Share, usual.Share, r.Results.Broken, len(found.File.Fault))
+		t.Errorf("%.3f within the aim, usually %.3f; violations %v; %d faults", r.Share, usual.Share, r.Results.Broken, len(found.File.Fault))
 	}
 }
 
@@ -115,7 +116,7 @@
 		t.Fatal(err)
 	}
 	if len(steps) != 2 || steps[0].Runs[0].Share < steps[1].Runs[0].Share+0.05 {
-		t.Errorf("%.3f with four at once, %.3f with one", steps[0].Runs[0].Share, steps[1].Runs[0].Share)
+		t.Errorf("%.3f with four concurrent requests, %.3f with one", steps[0].Runs[0].Share, steps[1].Runs[0].Share)
 	}
 	var b bytes.Buffer
 	if err := PrintSweep(&b, "fleet.parallel", steps); err != nil || strings.Count(b.String(), "\n") != 3 {
@@ -130,7 +131,8 @@
 	}
 }
 
-// Traces are read with all that they name, and refused with the place.
+// Valid traces are read with all their columns; the error for an invalid one names the
+// place.
 func TestTraces(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -155,36 +157,36 @@
 	}
 	full := write("full.csv", strings.Repeat("1s,read,0,0\n", 4))
 	if _, err := readTrace(full, classes, 2, 3); err == nil || !strings.Contains(err.Error(), ":4: over 3") {
-		t.Errorf("a trace over its bound: %v", err)
+		t.Errorf("a trace above the limit: %v", err)
 	}
 	if got, err := readTrace(full, classes, 2, 4); err != nil || len(got) != 4 {
-		t.Errorf("a trace at its bound: %d, %v", len(got), err)
+		t.Errorf("a trace at the limit: %d, %v", len(got), err)
 	}
 	text, err := os.ReadFile("../../experiments/calm.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed, err := set(text, "load.trace", "t.csv")
+	changed, err := setKey(text, "load.trace", "t.csv")
 	if err != nil {
 		t.Fatal(err)
 	}
 	x := write("x.toml", string(changed))
 	if _, err := Load(x); err == nil || !strings.Contains(err.Error(), "load.trace") {
-		t.Errorf("a trace that is not there: %v", err)
+		t.Errorf("a missing trace: %v", err)
 	}
 	write("t.csv", "3s,read,0,0\n4s,read,0,0\n")
 	loaded, err := Load(x)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := loaded.play(1); err != nil || r.Results.Asked != 2 {
+	if r, err := loaded.runSeed(1); err != nil || r.Results.Asked != 2 {
 		t.Errorf("%+v, %v", r.Results, err)
 	}
 }
 
-// A warm-up of nothing is nothing, and a ramp goes evenly.
-func TestWarmOfNothingAndRamp(t *testing.T) {
-	x, err := parse("x.toml", []byte("for = \"10s\"\nwarm = \"0s\"\n[load]\nrate = 10.0\ncurve = [0.0, 1.0]\nramp = true\n[[class]]\nname = \"a\"\neffect = \"safe\"\n"))
+// An explicit warm-up of 0 is not replaced by the default, and a ramp is interpolated.
+func TestZeroWarmUpAndRamp(t *testing.T) {
+	x, err := parseText("x.toml", []byte("for = \"10s\"\nwarm = \"0s\"\n[load]\nrate = 10.0\ncurve = [0.0, 1.0]\nramp = true\n[[class]]\nname = \"a\"\neffect = \"safe\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -13,47 +13,46 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Step is one value of a sweep.
-type Step struct {
+// SweepStep holds the runs with one value of a sweep.
+type SweepStep struct {
 	Value string `json:"value"`
 	Runs  []Run  `json:"runs"`
 }
 
-// Sweep plays a file with each of several values for one key, such as "load.rate" or
-// "fault[1].amount", and the same seeds. A key that the file may not have, or a value
-// that it does not take, is an error before anything is played. played is told of each run's
-// end.
-func Sweep(ctx context.Context, path, key string, values []string, policy string, seed uint64, runs int, played func()) ([]Step, error) {
+// Sweep runs a file with each of several values for one key, such as "load.rate" or
+// "fault[1].amount", and the same seeds. An unknown key or an invalid value is an error
+// before the first run. played is called after each run.
+func Sweep(ctx context.Context, path, key string, values []string, policy string, seed uint64, runs int, played func()) ([]SweepStep, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("sweep: %w", err)
 	}
 	var all []*Experiment
 	for _, v := range values {
-		changed, err := set(text, key, v)
+		changed, err := setKey(text, key, v)
 		if err != nil {
 			return nil, fmt.Errorf("sweep %s: %w", path, err)
 		}
-		x, err := parse(fmt.Sprintf("%s with %s = %s", path, key, v), changed)
+		x, err := parseText(fmt.Sprintf("%s with %s = %s", path, key, v), changed)
 		if err != nil {
 			return nil, err
 		}
 		x.path = path
 		all = append(all, x)
 	}
-	var steps []Step
+	var steps []SweepStep
 	for i, x := range all {
-		got, err := x.With(policy).Told(played).Play(ctx, seed, runs)
+		got, err := x.WithPolicy(policy).OnRunDone(played).Play(ctx, seed, runs)
 		if err != nil {
 			return nil, err
 		}
-		steps = append(steps, Step{values[i], got})
+		steps = append(steps, SweepStep{values[i], got})
 	}
 	return steps, nil
 }
 
-// set gives a TOML text with one key's value changed.
-func set(text []byte, key, value string) ([]byte, error) {
+// setKey returns a TOML text with one key's value changed.
+func setKey(text []byte, key, value string) ([]byte, error) {
 	tree := map[string]any{}
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, err
@@ -67,26 +66,26 @@
 			list, _ := next.([]any)
 			n, err := strconv.Atoi(index)
 			if err != nil || n < 1 || n > len(list) {
-				return nil, fmt.Errorf("key %s: %s is not 1 to %d", key, word, len(list))
+				return nil, fmt.Errorf("key %s: %s is not from 1 to %d", key, word, len(list))
 			}
 			next = list[n-1]
 		}
-		if next == nil && !indexed { // a table that the file leaves out
+		if next == nil && !indexed { // a table that the file omits
 			next = map[string]any{}
 			at[name] = next
 		}
 		table, ok := next.(map[string]any)
 		if !ok {
-			return nil, fmt.Errorf("key %s: %s is no table", key, strings.Join(words[:i+1], "."))
+			return nil, fmt.Errorf("key %s: %s is not a table", key, strings.Join(words[:i+1], "."))
 		}
 		at = table
 	}
-	at[words[len(words)-1]] = typed(value)
+	at[words[len(words)-1]] = parseValue(value)
 	return toml.Marshal(tree)
 }
 
-// typed reads a value as TOML would: a number, true or false, else a word.
-func typed(value string) any {
+// parseValue parses a value as a number or a boolean, else returns it as a string.
+func parseValue(value string) any {
 	if n, err := strconv.ParseInt(value, 10, 64); err == nil {
 		return n
 	}
@@ -99,16 +98,16 @@
 	return value
 }
 
-// sums are the figures of several seeds in one.
-type sums struct {
-	Figures
-	low, high       float64 // of the share
-	refused, failed float64 // of those counted
-	broken          int     // runs that broke a rule
+// summary combines the results of several seeds.
+type summary struct {
+	Means
+	shareLow, shareHigh float64 // confidence interval of the share
+	refused, failed     float64 // shares of the counted requests
+	broken              int     // runs that violated a rule
 }
 
-func sum(runs []Run) sums {
-	var s sums
+func summarize(runs []Run) summary {
+	var s summary
 	each := make([]float64, len(runs))
 	n := float64(len(runs))
 	for i, r := range runs {
@@ -123,17 +122,17 @@
 			s.broken++
 		}
 	}
-	s.Share, s.low, s.high = Interval(each, runs[0].Seed)
+	s.Share, s.shareLow, s.shareHigh = ConfidenceInterval(each, runs[0].Seed)
 	return s
 }
 
-// PrintSweep writes one as a table.
-func PrintSweep(w io.Writer, key string, steps []Step) error {
+// PrintSweep writes the steps of a sweep as a table.
+func PrintSweep(w io.Writer, key string, steps []SweepStep) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\tWITHIN AIM\t95%% INTERVAL\tP50\tP99\tATTEMPTS\tREFUSED\tFAILED\tBROKEN\n", strings.ToUpper(key))
 	for _, step := range steps {
-		s := sum(step.Runs)
-		fmt.Fprintf(t, "%s\t%.4f\t%.4f to %.4f\t%v\t%v\t%.3f\t%.4f\t%.4f\t%d\n", step.Value, s.Share, s.low, s.high, s.P50, s.P99,
+		s := summarize(step.Runs)
+		fmt.Fprintf(t, "%s\t%.4f\t%.4f to %.4f\t%v\t%v\t%.3f\t%.4f\t%.4f\t%d\n", step.Value, s.Share, s.shareLow, s.shareHigh, s.P50, s.P99,
 			s.Attempts, s.refused, s.failed, s.broken)
 	}
 	return t.Flush()
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -9,23 +9,23 @@
 	"otterstep/internal/sim"
 )
 
-// With gives the experiment with another policy in its nodes.
-func (x *Experiment) With(policy string) *Experiment {
+// WithPolicy returns a copy of the experiment whose nodes use another policy.
+func (x *Experiment) WithPolicy(policy string) *Experiment {
 	other := *x
 	other.Options.Policy = policy
 	return &other
 }
 
-// Table plays each experiment with each policy and the same seeds, and writes how the
-// shares within the aim differ from ours, with 95% intervals; a star marks those that
-// broke a rule at some seed.
-func Table(ctx context.Context, w io.Writer, names []string, all []*Experiment, seed uint64, runs int) error {
+// RunPolicyTable runs each experiment with each policy and the same seeds, and writes a
+// table of how the shares within the aim differ from those of our policy, with 95%
+// confidence intervals; a star marks policies that broke a rule with some seed.
+func RunPolicyTable(ctx context.Context, w io.Writer, names []string, all []*Experiment, seed uint64, runs int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "EXPERIMENT\tPOLICY\tWITHIN AIM\tATTEMPTS\tOURS IS BETTER BY\t95% INTERVAL\t")
 	for i, x := range all {
 		var base []Run
 		for _, policy := range sim.Policies {
-			got, err := x.With(policy).Play(ctx, seed, runs)
+			got, err := x.WithPolicy(policy).Play(ctx, seed, runs)
 			if err != nil {
 				return err
 			}
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -14,14 +14,14 @@
 	"otterstep/internal/sim"
 )
 
-// mostTrace bounds a trace's requests.
-const mostTrace = 5_000_000
+// maxTraceRequests limits the length of a trace.
+const maxTraceRequests = 5_000_000
 
-// ReadTrace reads a recorded trace: CSV, one request a line as time since the start,
-// class by name, tenant by number from 0, key (0: its own). A first line that begins with
-// "at" names the columns. Requests need not be in order. Errors name file and line.
+// ReadTrace reads a recorded trace: CSV with one request per line, as time since the start,
+// class name, tenant number from 0, and key (0: a key of its own). A first line that begins
+// with "at" is a header. Requests need not be in order. Errors name the file and the line.
 func ReadTrace(path string, classes []Class, tenants int) ([]sim.Arrival, error) {
-	return readTrace(path, classes, tenants, mostTrace)
+	return readTrace(path, classes, tenants, maxTraceRequests)
 }
 
 func readTrace(path string, classes []Class, tenants, most int) ([]sim.Arrival, error) {
@@ -50,16 +50,16 @@
 		}
 		a := sim.Arrival{}
 		if a.At, err = time.ParseDuration(fields[0]); err != nil || a.At < 0 {
-			return nil, bad("at", fields[0], errors.New("no time such as \"1.25s\""))
+			return nil, bad("at", fields[0], errors.New("not a duration such as \"1.25s\""))
 		}
 		if a.Class = slices.IndexFunc(classes, func(c Class) bool { return c.Name == fields[1] }); a.Class < 0 {
-			return nil, bad("class", fields[1], errors.New("the experiment has none of that name"))
+			return nil, bad("class", fields[1], errors.New("the experiment has no class of that name"))
 		}
 		if a.Tenant, err = strconv.Atoi(fields[2]); err != nil || a.Tenant < 0 || a.Tenant >= tenants {
-			return nil, bad("tenant", fields[2], fmt.Errorf("not 0 to %d, see load.tenants", tenants-1))
+			return nil, bad("tenant", fields[2], fmt.Errorf("not from 0 to %d, see load.tenants", tenants-1))
 		}
 		if a.Key, err = strconv.ParseUint(fields[3], 10, 64); err != nil {
-			return nil, bad("key", fields[3], errors.New("no number"))
+			return nil, bad("key", fields[3], errors.New("not a number"))
 		}
 		if len(all) == most {
 			return nil, fmt.Errorf("trace %s:%d: over %d requests", path, line, most)
@@ -67,7 +67,7 @@
 		all = append(all, a)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("trace %s: no request in it", path)
+		return nil, fmt.Errorf("trace %s: contains no requests", path)
 	}
 	slices.SortStableFunc(all, func(x, y sim.Arrival) int { return cmp.Compare(x.At, y.At) })
 	return all, nil
