--- a/cmd/otterlab/comeback.go
+++ b/cmd/otterlab/comeback.go
@@ -18,71 +18,71 @@
 	"otterstep/internal/standin/lab"
 )
 
-// comeback measures what docs/measurements/recovery.md tells.
-func comeback() *cobra.Command {
+// comebackCommand runs the measurements reported in docs/measurements/recovery.md.
+func comebackCommand() *cobra.Command {
 	o := &options{}
 	trials, rate, burst, file := 0, 0.0, 0, ""
 	var away time.Duration
 	var losses []string
 	d := lab.Comeback{}
 	c := &cobra.Command{
-		Use: "comeback", Short: "Kill a whole fleet at once, take away what it knew, and time how it comes back", Args: cobra.NoArgs,
+		Use: "comeback", Short: "Kill a whole fleet at once, remove stored state, and measure how long it takes to restart", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if trials < 1 || d.Drained < 0 || d.Drained >= o.lab.Instances {
 				return errors.New("--trials must be 1 or more, --drained fewer than --instances")
 			}
-			if err := o.programs(""); err != nil {
+			if err := o.findPrograms(""); err != nil {
 				return err
 			}
-			o.lab.Council = council(o.lab.Agents, 5*time.Second)
+			o.lab.Council = councilOptions(o.lab.Agents, 5*time.Second)
 			o.lab.Council.Direct, o.lab.Asked = true, true
 			return o.inDir(func() error {
-				var all []lab.Named
+				var results []lab.Named
 				for _, d.Loss = range losses {
-					for _, paced := range []float64{0, rate} {
-						o.lab.Pace, o.lab.Burst = paced, burst
+					for _, pace := range []float64{0, rate} {
+						o.lab.Pace, o.lab.Burst = pace, burst
 						d.Away = 0
 						if d.Loss == lab.LoseNothing {
 							d.Away = away
 						}
-						first, err := o.comesBack(c, d, trials)
+						first, err := o.measureRestart(c, d, trials)
 						if err != nil {
 							return err
 						}
-						all = append(all, lab.Named{Name: fmt.Sprintf("lost: %s, %v/s", d.Loss, paced), Return: first, Dashed: paced > 0})
+						results = append(results, lab.Named{Name: fmt.Sprintf("lost: %s, %v/s", d.Loss, pace), Return: first, Dashed: pace > 0})
 					}
 				}
 				if file == "" {
 					return nil
 				}
-				return lab.PlotReturns(file, all)
+				return lab.PlotReturns(file, results)
 			})
 		},
 	}
 	o.flags(c, 30, 10)
-	c.Flags().IntVar(&trials, "trials", 3, "of each case; the median is told")
-	c.Flags().IntVar(&d.Drained, "drained", 3, "instances that are drained before")
-	c.Flags().StringSliceVar(&losses, "loss", lab.Losses, "what is lost")
-	c.Flags().Float64Var(&rate, "pace", 10, "starts a second of the paced case")
-	c.Flags().IntVar(&burst, "burst", 5, "starts at once of the paced case")
-	c.Flags().DurationVar(&away, "away", 0, "how long discovery is away where nothing is lost")
-	c.Flags().StringVar(&file, "plot", "", "an SVG `file` of the first trials")
-	c.AddCommand(relearn(), virtual(), herd())
+	c.Flags().IntVar(&trials, "trials", 3, "trials of each case, of which the median is reported")
+	c.Flags().IntVar(&d.Drained, "drained", 3, "instances drained beforehand")
+	c.Flags().StringSliceVar(&losses, "loss", lab.Losses, "the state that is lost")
+	c.Flags().Float64Var(&rate, "pace", 10, "starts per second in the paced case")
+	c.Flags().IntVar(&burst, "burst", 5, "burst of starts in the paced case")
+	c.Flags().DurationVar(&away, "away", 0, "how long discovery is down in the case without loss")
+	c.Flags().StringVar(&file, "plot", "", "SVG `file` with a plot of the first trials")
+	c.AddCommand(relearnCommand(), virtualCommand(), herdCommand())
 	return c
 }
 
-// comesBack plays a case and prints its medians; it gives the first trial.
-func (o *options) comesBack(c *cobra.Command, d lab.Comeback, trials int) (first lab.Return, err error) {
+// measureRestart runs the trials of a case, prints their medians and returns the first.
+func (o *options) measureRestart(c *cobra.Command, d lab.Comeback, trials int) (first lab.Return, err error) {
 	var held, wrong, ready, calls, conns int
-	var halves, nine, all []time.Duration
-	_, err = o.times(c.Context(), trials, 1, func(ctx context.Context, opt lab.Options) (time.Duration, error) {
+	var halves, ninetyPercent, all []time.Duration
+	_, err = o.measure(c.Context(), trials, 1, func(ctx context.Context, opt lab.Options) (time.Duration, error) {
 		r, err := d.Play(ctx, opt)
 		if len(all) == 0 {
 			first = r
 		}
 		held, wrong = held+r.Held, wrong+r.Wrong
 		ready, calls, conns = max(ready, r.Burst), max(calls, r.CallsMost), max(conns, r.ConnsMost)
-		halves, nine, all = append(halves, r.Half), append(nine, r.Most), append(all, r.All)
+		halves, ninetyPercent, all = append(halves, r.Half), append(ninetyPercent, r.Most), append(all, r.All)
 		return r.All, err
 	})
 	if err != nil {
@@ -90,27 +90,27 @@
 	}
 	name := d.Loss
 	if d.Away > 0 {
-		name += fmt.Sprintf(", discovery away for %v", d.Away)
+		name += fmt.Sprintf(", discovery down for %v", d.Away)
 	}
-	fmt.Fprintf(c.OutOrStdout(), "lost %-9s rate %-4v 50%% %v, 90%% %v, all %v; within 100 ms at most: %d ready, %d calls of discovery, %d connections to one server; %d held, %d wrongly started\n",
-		name, o.lab.Pace, middle(halves), middle(nine), middle(all), ready, calls, conns, held, wrong)
+	fmt.Fprintf(c.OutOrStdout(), "lost %-9s rate %-4v 50%% %v, 90%% %v, all %v; maximum within 100 ms: %d ready, %d discovery calls, %d connections to one server; %d held, %d wrongly started\n",
+		name, o.lab.Pace, median(halves), median(ninetyPercent), median(all), ready, calls, conns, held, wrong)
 	return first, nil
 }
 
-// relearn measures how many agents learn again, at once, what is desired.
-func relearn() *cobra.Command {
+// relearnCommand measures how long many agents take to fetch the desired state at once.
+func relearnCommand() *cobra.Command {
 	o := &options{}
 	agents, instances := 0, 0
 	c := &cobra.Command{
-		Use: "relearn", Short: "Time many agents that have lost their memory and ask a council of three at once", Args: cobra.NoArgs,
+		Use: "relearn", Short: "Measure many agents without stored state that query a council of three at once", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if agents < 1 || instances < agents {
 				return errors.New("--of must be 1 or more, --with that many or more")
 			}
-			if err := o.programs(""); err != nil {
+			if err := o.findPrograms(""); err != nil {
 				return err
 			}
-			o.lab.Council = council(3, 5*time.Second)
+			o.lab.Council = councilOptions(3, 5*time.Second)
 			o.lab.Council.Direct = true
 			return o.inDir(func() error {
 				o.lab.Rate = 0
@@ -118,24 +118,24 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%d agents with %d instances: all had asked and told after %v (each median %v, most %v); %d bytes of answers in all, %d at most to one, %d bytes of reports\n",
+				fmt.Fprintf(c.OutOrStdout(), "%d agents with %d instances: all had queried and reported after %v (each: median %v, max %v); %d bytes of answers in total, at most %d to one agent, %d bytes of reports\n",
 					agents, instances, r.All.Round(time.Millisecond), r.Each[len(r.Each)/2].Round(time.Millisecond), r.Each[len(r.Each)-1].Round(time.Millisecond), r.Told, r.ToldMost, r.Reported)
 				return nil
 			})
 		},
 	}
 	o.flags(c, 3, 3)
-	c.Flags().IntVar(&agents, "of", 100, "agents that ask")
-	c.Flags().IntVar(&instances, "with", 1000, "their instances")
+	c.Flags().IntVar(&agents, "of", 100, "number of agents that query the council")
+	c.Flags().IntVar(&instances, "with", 1000, "total number of their instances")
 	return c
 }
 
-// virtual plays returns of large fleets in virtual time.
-func virtual() *cobra.Command {
+// virtualCommand simulates restarts of large fleets in virtual time.
+func virtualCommand() *cobra.Command {
 	opt := returns.Options{}
 	seeds, losses := 0, []string(nil)
 	c := &cobra.Command{
-		Use: "virtual", Short: "Play a fleet's return in virtual time, seed after seed; exit 1 if a drained instance was started", Args: cobra.NoArgs,
+		Use: "virtual", Short: "Simulate a fleet's restart in virtual time, seed by seed; exit 1 if a drained instance was started", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return errors.New("--seeds must be 1 or more")
@@ -144,7 +144,7 @@
 			opt.Pace.Parties = opt.Agents
 			for _, opt.Loss = range losses {
 				for _, opt.Pace.Rate = range slices.Compact([]float64{0, rate}) {
-					var half, nine, all []time.Duration
+					var half, ninetyPercent, all []time.Duration
 					sum := returns.Result{}
 					for n := range seeds {
 						opt.Seed = uint64(n + 1)
@@ -152,46 +152,46 @@
 						if err != nil {
 							return &cli.Exit{Code: cli.Usage, Err: err}
 						}
-						half, nine, all = append(half, r.Half), append(nine, r.Most), append(all, r.All)
+						half, ninetyPercent, all = append(half, r.Half), append(ninetyPercent, r.Most), append(all, r.All)
 						sum.Wrong, sum.Held, sum.Late = sum.Wrong+r.Wrong, sum.Held+r.Held, sum.Late+r.Late
 						sum.StartsMost, sum.CallsMost = max(sum.StartsMost, r.StartsMost), max(sum.CallsMost, r.CallsMost)
 					}
 					wrong += sum.Wrong
 					slices.Sort(half)
-					slices.Sort(nine)
+					slices.Sort(ninetyPercent)
 					slices.Sort(all)
-					fmt.Fprintf(c.OutOrStdout(), "lost %-8s rate %-4v 50%% %v, 90%% %v, all %v (most %v); within 100 ms at most: %d starts, %d calls; %d held, %d not up, %d wrongly started in %d seeds\n",
-						opt.Loss, opt.Pace.Rate, at(half, 0.5), at(nine, 0.5), at(all, 0.5), at(all, 1), sum.StartsMost, sum.CallsMost, sum.Held, sum.Late, sum.Wrong, seeds)
+					fmt.Fprintf(c.OutOrStdout(), "lost %-8s rate %-4v 50%% %v, 90%% %v, all %v (max %v); maximum within 100 ms: %d starts, %d calls; %d held, %d not started, %d wrongly started in %d seeds\n",
+						opt.Loss, opt.Pace.Rate, quantile(half, 0.5), quantile(ninetyPercent, 0.5), quantile(all, 0.5), quantile(all, 1), sum.StartsMost, sum.CallsMost, sum.Held, sum.Late, sum.Wrong, seeds)
 				}
 			}
 			if wrong > 0 && !opt.Naive {
-				return fmt.Errorf("%d instances were started that are to be down", wrong)
+				return fmt.Errorf("%d instances were started that should be down", wrong)
 			}
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&opt.Agents, "agents", 100, "how many")
-	f.IntVar(&opt.Instances, "instances", 300, "of all agents")
-	f.IntVar(&opt.Changes, "changes", 60, "operators' words before")
-	f.IntVar(&seeds, "seeds", 20, "how many")
-	f.StringSliceVar(&losses, "loss", returns.Losses, "what is lost")
-	f.Float64Var(&opt.Pace.Rate, "pace", 50, "starts a second of the paced case")
-	f.IntVar(&opt.Pace.Burst, "burst", 20, "starts at once of the paced case")
-	f.DurationVar(&opt.Within, "within", time.Second, "in which the agents start")
-	f.DurationVar(&opt.Council, "council", time.Second, "from when on the council answers; negative: there is none")
-	f.DurationVar(&opt.Away, "away", 0, "until when discovery is away")
-	f.DurationVar(&opt.Service, "service", 10*time.Millisecond, "of one call of discovery")
-	f.DurationVar(&opt.Limit, "limit", 3*time.Minute, "of virtual time")
-	f.BoolVar(&opt.Naive, "naive", false, "agents go by their own record alone, as before there was any recovery")
+	f.IntVar(&opt.Agents, "agents", 100, "number of agents")
+	f.IntVar(&opt.Instances, "instances", 300, "number of instances of all agents")
+	f.IntVar(&opt.Changes, "changes", 60, "operators' changes before the restart")
+	f.IntVar(&seeds, "seeds", 20, "number of seeds")
+	f.StringSliceVar(&losses, "loss", returns.Losses, "the state that is lost")
+	f.Float64Var(&opt.Pace.Rate, "pace", 50, "starts per second in the paced case")
+	f.IntVar(&opt.Pace.Burst, "burst", 20, "burst of starts in the paced case")
+	f.DurationVar(&opt.Within, "within", time.Second, "time within which the agents start")
+	f.DurationVar(&opt.Council, "council", time.Second, "time from which the council answers; negative: no council")
+	f.DurationVar(&opt.Away, "away", 0, "time until which discovery is down")
+	f.DurationVar(&opt.Service, "service", 10*time.Millisecond, "duration of a discovery call")
+	f.DurationVar(&opt.Limit, "limit", 3*time.Minute, "limit of the virtual time")
+	f.BoolVar(&opt.Naive, "naive", false, "agents use only their own record, without recovery from other sources")
 	return c
 }
 
-// herdCases are what nodes find of what they kept.
-var herdCases = []struct {
-	name    string
-	kept    *sim.Kept
-	believe bool
+// herdScenarios are the conditions in which nodes find their saved state.
+var herdScenarios = []struct {
+	name       string
+	savedState *sim.Kept
+	trust      bool
 }{
 	{"nothing", nil, false},
 	{"fresh", &sim.Kept{}, false},
@@ -201,34 +201,35 @@
 	{"believed", &sim.Kept{}, true},
 }
 
-// herd plays the return of whole tiers with their servers in virtual time, by what the nodes kept.
-func herd() *cobra.Command {
+// herdCommand simulates restarts of a whole tier with its servers in virtual time, for each
+// condition of the nodes' saved state.
+func herdCommand() *cobra.Command {
 	h := sim.Herd{}
-	seeds, abreast, file, names := 0, 0, "", []string(nil)
+	seeds, parallel, file, names := 0, 0, "", []string(nil)
 	var all []string
-	for _, c := range herdCases {
-		all = append(all, c.name)
+	for _, scenario := range herdScenarios {
+		all = append(all, scenario.name)
 	}
 	c := &cobra.Command{
-		Use: "herd", Short: "Play a tier of nodes that comes back with its servers, all cold, while discovery is away; exit 1 if one was pushed over", Args: cobra.NoArgs,
+		Use: "herd", Short: "Simulate a tier of nodes that restarts with its servers, all cold, while discovery is down; exit 1 if a server was pushed over", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if seeds < 1 || abreast < 1 {
+			if seeds < 1 || parallel < 1 {
 				return errors.New("--seeds and --abreast must be 1 or more")
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "KEPT\tFIRST\t50%\t90%\tFULL\tATTEMPTS\tREFUSALS\tPUSHED MOST\tFELL\tOTHER RULES")
-			fell := 0
+			totalFallen := 0
 			var shares, pushed []lab.Series
 			for _, name := range names {
 				n := slices.Index(all, name)
 				if n < 0 {
-					return fmt.Errorf("--kept: %q is none of %s", name, strings.Join(all, ", "))
+					return fmt.Errorf("--kept: %q is not one of %s", name, strings.Join(all, ", "))
 				}
-				k := herdCases[n]
-				h.Kept, h.Believe = k.kept, k.believe
+				k := herdScenarios[n]
+				h.Kept, h.Believe = k.savedState, k.trust
 				rs := make([]sim.HerdResult, seeds)
 				g, ctx := errgroup.WithContext(c.Context())
-				g.SetLimit(abreast)
+				g.SetLimit(parallel)
 				for i := range rs {
 					g.Go(func() (err error) {
 						if ctx.Err() == nil {
@@ -243,27 +244,27 @@
 				if err := c.Context().Err(); err != nil {
 					return err
 				}
-				of := func(what func(r sim.HerdResult) float64) string {
+				summarize := func(metric func(r sim.HerdResult) float64) string {
 					var x []float64
 					for _, r := range rs {
-						x = append(x, what(r))
+						x = append(x, metric(r))
 					}
 					slices.Sort(x)
 					return fmt.Sprintf("%.2f (%.2f to %.2f)", x[len(x)/2], x[len(x)/20], x[len(x)-1-len(x)/20])
 				}
-				broken, down := 0, 0
+				broken, fallen := 0, 0
 				for _, r := range rs {
-					broken, down = broken+r.Broken, down+r.Fell
+					broken, fallen = broken+r.Broken, fallen+r.Fell
 				}
-				if !k.believe {
-					fell += down
+				if !k.trust {
+					totalFallen += fallen
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", name,
-					of(func(r sim.HerdResult) float64 { return r.First.Seconds() }), of(func(r sim.HerdResult) float64 { return r.Half.Seconds() }),
-					of(func(r sim.HerdResult) float64 { return r.Most.Seconds() }), of(func(r sim.HerdResult) float64 { return r.Full.Seconds() }),
-					of(func(r sim.HerdResult) float64 { return r.Attempts }), of(func(r sim.HerdResult) float64 { return r.Refusals }),
-					of(func(r sim.HerdResult) float64 { return r.Pushed[len(r.Pushed)-1] }), down, broken)
-				share, push := lab.Series{Name: name, Color: len(shares), Dashed: k.believe}, lab.Series{Name: name, Color: len(shares), Dashed: k.believe}
+					summarize(func(r sim.HerdResult) float64 { return r.First.Seconds() }), summarize(func(r sim.HerdResult) float64 { return r.Half.Seconds() }),
+					summarize(func(r sim.HerdResult) float64 { return r.Most.Seconds() }), summarize(func(r sim.HerdResult) float64 { return r.Full.Seconds() }),
+					summarize(func(r sim.HerdResult) float64 { return r.Attempts }), summarize(func(r sim.HerdResult) float64 { return r.Refusals }),
+					summarize(func(r sim.HerdResult) float64 { return r.Pushed[len(r.Pushed)-1] }), fallen, broken)
+				share, push := lab.Series{Name: name, Color: len(shares), Dashed: k.trust}, lab.Series{Name: name, Color: len(shares), Dashed: k.trust}
 				for i, s := range rs[0].Served {
 					share.X, share.Y = append(share.X, float64(i+1)/10), append(share.Y, s)
 				}
@@ -276,34 +277,34 @@
 				return err
 			}
 			if file != "" {
-				err := lab.Axes{Title: "Service of before, behind the return of all nodes and servers", X: "seconds since the return", Y: "share"}.Plot(file+"-served.svg", shares)
-				if err = errors.Join(err, lab.Axes{Title: "Most work sent to each server while it was cold", X: "share of the servers", Y: "of what pushes it over"}.Plot(file+"-pushed.svg", pushed)); err != nil {
+				err := lab.Axes{Title: "Service relative to before the restart of all nodes and servers", X: "seconds since the restart", Y: "share"}.Plot(file+"-served.svg", shares)
+				if err = errors.Join(err, lab.Axes{Title: "Most work sent to each server while it was cold", X: "share of the servers", Y: "share of what pushes it over"}.Plot(file+"-pushed.svg", pushed)); err != nil {
 					return err
 				}
 			}
-			if fell > 0 {
-				return fmt.Errorf("%d servers were pushed over", fell)
+			if totalFallen > 0 {
+				return fmt.Errorf("%d servers were pushed over", totalFallen)
 			}
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&h.Nodes, "nodes", 80, "how many")
-	f.IntVar(&h.Servers, "servers", 60, "how many")
-	f.Float64Var(&h.Load, "load", 0.7, "of what the servers can do warm; may be over 1")
-	f.DurationVar(&h.Away, "away", 6*time.Second, "how long discovery is away")
-	f.DurationVar(&h.Call, "call", 10*time.Millisecond, "of discovery; one at a time, and what would wait for over 2 s is turned away")
-	f.DurationVar(&h.For, "for", 20*time.Second, "of virtual time, from the return on")
-	f.IntVar(&h.Comeback.Tries, "tries", 1, "of each client's request")
-	f.Float64Var(&h.Comeback.Rash, "rash", 0.3, "share of the clients that ask again at once")
-	f.Float64Var(&h.Comeback.Heed, "heed", 0.7, "share of the rest that come back when they were told to")
-	f.Float64Var(&h.Fall, "fall", 2, "multiple of what a cold server can do that pushes it over")
-	f.IntVar(&h.Queue, "queue", 32, "requests that wait at a server; what comes beyond is turned away")
-	f.IntVar(&h.Again, "again", 0, "all nodes are killed again at so many of the first seconds")
-	f.BoolVar(&h.Cut, "cut", false, "every other server is cut off for the first 3 s")
-	f.StringSliceVar(&names, "kept", all, "what the nodes find")
-	f.IntVar(&seeds, "seeds", 20, "how many")
-	f.IntVar(&abreast, "abreast", 2, "seeds played at once")
-	f.StringVar(&file, "plot", "", "begin of two SVG `file` names")
+	f.IntVar(&h.Nodes, "nodes", 80, "number of nodes")
+	f.IntVar(&h.Servers, "servers", 60, "number of servers")
+	f.Float64Var(&h.Load, "load", 0.7, "load as a share of the warm servers' capacity; may be above 1")
+	f.DurationVar(&h.Away, "away", 6*time.Second, "how long discovery is down")
+	f.DurationVar(&h.Call, "call", 10*time.Millisecond, "duration of a discovery call; calls run one at a time, and those that would wait over 2 s are rejected")
+	f.DurationVar(&h.For, "for", 20*time.Second, "virtual time simulated after the restart")
+	f.IntVar(&h.Comeback.Tries, "tries", 1, "maximum of tries per client request")
+	f.Float64Var(&h.Comeback.Rash, "rash", 0.3, "share of the clients that retry immediately")
+	f.Float64Var(&h.Comeback.Heed, "heed", 0.7, "share of the other clients that retry after Retry-After; the rest give up")
+	f.Float64Var(&h.Fall, "fall", 2, "multiple of a cold server's capacity that pushes it over")
+	f.IntVar(&h.Queue, "queue", 32, "length of a server's queue; requests beyond it are rejected")
+	f.IntVar(&h.Again, "again", 0, "number of times, one per second, that all nodes are killed again")
+	f.BoolVar(&h.Cut, "cut", false, "cut off every second server for the first 3 s")
+	f.StringSliceVar(&names, "kept", all, "conditions of the nodes' saved state")
+	f.IntVar(&seeds, "seeds", 20, "number of seeds")
+	f.IntVar(&parallel, "abreast", 2, "seeds run in parallel")
+	f.StringVar(&file, "plot", "", "prefix of two SVG `file` names")
 	return c
 }
--- a/cmd/otterlab/desired.go
+++ b/cmd/otterlab/desired.go
@@ -13,24 +13,24 @@
 	"otterstep/internal/standin/mutant"
 )
 
-// desiredCommand measures what docs/measurements/desired.md tells.
+// desiredCommand runs the measurements reported in docs/measurements/desired.md.
 func desiredCommand() *cobra.Command {
-	root := &cobra.Command{Use: "desired", Short: "Measure a fleet that is brought to what it should be"}
-	root.AddCommand(bans(), harm())
+	root := &cobra.Command{Use: "desired", Short: "Measure a fleet that is reconciled with its desired state"}
+	root.AddCommand(bansCommand(), harmCommand())
 	return root
 }
 
-func bans() *cobra.Command {
+func bansCommand() *cobra.Command {
 	o := &options{}
 	times := 0
 	var hung []int
 	c := &cobra.Command{
-		Use: "bans", Short: "Time bans from the operator's call until the last node has confirmed them", Args: cobra.NoArgs,
+		Use: "bans", Short: "Measure the time from an operator's ban until the last node has confirmed it", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if times < 1 {
 				return errors.New("--times must be 1 or more")
 			}
-			if err := o.programs(""); err != nil {
+			if err := o.findPrograms(""); err != nil {
 				return err
 			}
 			o.lab.Council = &lab.Council{Voters: 3, Lease: 5 * time.Second, Direct: true}
@@ -38,7 +38,7 @@
 				if err := o.inDir(func() error {
 					all, err := lab.BanTimes(c.Context(), o.lab, times, n)
 					if err == nil {
-						fmt.Fprintf(c.OutOrStdout(), "%d nodes under %d agents, %d of them stopped: p50 %v, p99 %v, most %v of %d\n", o.lab.Instances, o.lab.Agents, n, at(all, 0.5), at(all, 0.99), at(all, 1), len(all))
+						fmt.Fprintf(c.OutOrStdout(), "%d nodes under %d agents, %d of them stopped: p50 %v, p99 %v, max %v of %d\n", o.lab.Instances, o.lab.Agents, n, quantile(all, 0.5), quantile(all, 0.99), quantile(all, 1), len(all))
 					}
 					return err
 				}); err != nil {
@@ -50,18 +50,18 @@
 	}
 	o.flags(c, 30, 10)
 	o.lab.Rate = 0
-	c.Flags().IntVar(&times, "times", 100, "bans and their ends")
-	c.Flags().IntSliceVar(&hung, "hung", []int{0, 1, 3}, "agents that are stopped")
+	c.Flags().IntVar(&times, "times", 100, "number of bans, each set and lifted")
+	c.Flags().IntSliceVar(&hung, "hung", []int{0, 1, 3}, "numbers of stopped agents, each measured")
 	return c
 }
 
-func harm() *cobra.Command {
+func harmCommand() *cobra.Command {
 	o := &options{}
 	var trials []time.Duration
 	c := &cobra.Command{
-		Use: "harm", Short: "Have a fleet under load go to a version that is slow once two requests are open; from a checkout", Args: cobra.NoArgs,
+		Use: "harm", Short: "Roll out a version that is slow with two or more concurrent requests to a fleet under load; needs a source checkout", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := o.programs(""); err != nil {
+			if err := o.findPrograms(""); err != nil {
 				return err
 			}
 			o.lab.Council = &lab.Council{Voters: 3, Lease: 5 * time.Second, Direct: true}
@@ -81,13 +81,13 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "trial of %v: %d of %d instances had it at most, back after %v; clients: %d served, %d not; %s\n", trial, h.Had, o.lab.Instances, h.Back.Round(100*time.Millisecond), h.Served, h.Unserved, h.Note)
+					fmt.Fprintf(c.OutOrStdout(), "trial of %v: at most %d of %d instances ran it, rolled back after %v; clients: %d served, %d not; %s\n", trial, h.Had, o.lab.Instances, h.Back.Round(100*time.Millisecond), h.Served, h.Unserved, h.Note)
 				}
 				return nil
 			})
 		},
 	}
 	o.flags(c, 9, 3)
-	c.Flags().DurationSliceVar(&trials, "trials", []time.Duration{30 * time.Second, time.Nanosecond}, "how long the version is watched; next to nothing: not at all")
+	c.Flags().DurationSliceVar(&trials, "trials", []time.Duration{30 * time.Second, time.Nanosecond}, "how long the version is observed; 1ns: practically not at all")
 	return c
 }
--- a/cmd/otterlab/experiment.go
+++ b/cmd/otterlab/experiment.go
@@ -18,40 +18,40 @@
 	"otterstep/internal/standin/lab"
 )
 
-// playing is how files are played.
-type playing struct {
-	seed                  uint64
-	runs                  int
-	output, policy, other string
-	mode, node, otherNode string
-	report                string
+// runOptions are the options of the commands that run experiments.
+type runOptions struct {
+	seed                    uint64
+	runs                    int
+	output, policy, policyB string
+	mode, node, nodeB       string
+	report                  string
 }
 
 const (
-	simulated = "sim"
-	onSockets = "real"
+	modeSim  = "sim"
+	modeReal = "real"
 )
 
-// play plays one file, in virtual time or on sockets.
-func (o *playing) play(ctx context.Context, x *experiment.Experiment, policy, node string, p progress) ([]experiment.Run, error) {
-	if o.mode == simulated {
-		return x.WithPolicy(policy).OnRunDone(p.played).Play(ctx, o.seed, o.runs)
+// runFile runs one experiment, in virtual time or on sockets.
+func (o *runOptions) runFile(ctx context.Context, x *experiment.Experiment, policy, node string, p progress) ([]experiment.Run, error) {
+	if o.mode == modeSim {
+		return x.WithPolicy(policy).OnRunDone(p.runDone).Play(ctx, o.seed, o.runs)
 	}
-	return o.onSockets(ctx, x, node, p)
+	return o.runOnSockets(ctx, x, node, p)
 }
 
-// onSockets plays a file with real instances of the node, one run after the other.
-func (o *playing) onSockets(ctx context.Context, x *experiment.Experiment, node string, p progress) ([]experiment.Run, error) {
+// runOnSockets runs an experiment with real instances of the node, one run after the other.
+func (o *runOptions) runOnSockets(ctx context.Context, x *experiment.Experiment, node string, p progress) ([]experiment.Run, error) {
 	var all []experiment.Run
 	for n := range o.runs {
 		l := &options{}
-		if err := l.programs(node); err != nil {
+		if err := l.findPrograms(node); err != nil {
 			return nil, err
 		}
 		err := l.inDir(func() error {
 			run, err := lab.Play(ctx, x, l.lab, o.seed+uint64(n))
 			all = append(all, run)
-			p.played()
+			p.runDone()
 			return err
 		})
 		if err != nil {
@@ -61,62 +61,62 @@
 	return all, nil
 }
 
-func (o *playing) check(c *cobra.Command, usual int) error {
-	wrong := func(format string, args ...any) error {
+func (o *runOptions) validate(c *cobra.Command, defaultRuns int) error {
+	usageError := func(format string, args ...any) error {
 		return &cli.Exit{Code: cli.Usage, Err: fmt.Errorf(format, args...)}
 	}
 	if !c.Flags().Changed("runs") {
-		o.runs = usual
+		o.runs = defaultRuns
 	}
 	switch {
 	case o.runs < 1 || o.runs > 10_000:
-		return wrong("--runs %d: 1 to 10000", o.runs)
+		return usageError("--runs %d: must be from 1 to 10000", o.runs)
 	case o.output != "text" && o.output != "json":
-		return wrong("--output %q: text or json", o.output)
-	case o.mode != simulated && o.mode != onSockets:
-		return wrong("--mode %q: %s or %s", o.mode, simulated, onSockets)
-	case o.mode == onSockets && (o.policy != "ours" || o.other != "ours"):
-		return wrong("--policy: only in virtual time")
-	case o.mode == simulated && (o.node != "" || o.otherNode != ""):
-		return wrong("--node: only with --mode %s", onSockets)
+		return usageError("--output %q: must be text or json", o.output)
+	case o.mode != modeSim && o.mode != modeReal:
+		return usageError("--mode %q: must be %s or %s", o.mode, modeSim, modeReal)
+	case o.mode == modeReal && (o.policy != "ours" || o.policyB != "ours"):
+		return usageError("--policy: only in virtual time")
+	case o.mode == modeSim && (o.node != "" || o.nodeB != ""):
+		return usageError("--node: only with --mode %s", modeReal)
 	}
 	return nil
 }
 
-// flags gives a command those of playing, some of which others have no use for.
-func (o *playing) flags(c *cobra.Command, usual int, names ...string) *cobra.Command {
+// flags adds the common flags of run commands, and of the optional ones those named.
+func (o *runOptions) flags(c *cobra.Command, defaultRuns int, names ...string) *cobra.Command {
 	f := c.Flags()
-	f.Uint64Var(&o.seed, "seed", 1, "first seed; further runs take the next ones")
-	f.IntVar(&o.runs, "runs", 0, fmt.Sprintf("runs, each with a seed of its own (%d if not given)", usual))
+	f.Uint64Var(&o.seed, "seed", 1, "first seed; further runs use the following ones")
+	f.IntVar(&o.runs, "runs", 0, fmt.Sprintf("number of runs, each with its own seed (%d if not given)", defaultRuns))
 	f.StringVarP(&o.output, "output", "o", "text", "text or json")
-	usage := "what decides in the nodes: " + strings.Join(sim.Policies, ", ")
+	usage := "policy of the nodes: " + strings.Join(sim.Policies, ", ")
 	for _, name := range names {
 		switch name {
 		case "policy":
 			f.StringVar(&o.policy, name, "ours", usage)
 		case "policy-b":
-			f.StringVar(&o.other, name, "ours", "the same of B")
+			f.StringVar(&o.policyB, name, "ours", "policy of the nodes in B")
 		case "mode":
-			f.StringVar(&o.mode, name, simulated, "sim: virtual time; real: sockets, boxes and instances of the node")
+			f.StringVar(&o.mode, name, modeSim, "sim: virtual time; real: sockets, boxes and instances of the node")
 		case "node":
-			f.StringVar(&o.node, name, "", "`program` of the node, beside this one if not given; with --mode real")
+			f.StringVar(&o.node, name, "", "`program` of the node, by default from this program's directory; with --mode real")
 		case "node-b":
-			f.StringVar(&o.otherNode, name, "", "the same of B")
+			f.StringVar(&o.nodeB, name, "", "program of the node in B")
 		case "report":
 			f.StringVar(&o.report, name, "", "HTML `file` to write, with plots")
 		}
 	}
-	c.PreRunE = func(c *cobra.Command, _ []string) error { return o.check(c, usual) }
+	c.PreRunE = func(c *cobra.Command, _ []string) error { return o.validate(c, defaultRuns) }
 	return c
 }
 
-func newPlaying() *playing { return &playing{policy: "ours", other: "ours", mode: simulated} }
+func newRunOptions() *runOptions { return &runOptions{policy: "ours", policyB: "ours", mode: modeSim} }
 
-// experiments plays files in virtual time or on real sockets.
-func experiments() *cobra.Command {
-	c := &cobra.Command{Use: "experiment", Short: "Play load and faults from a file, and judge what must hold"}
+// experimentCommand runs experiments in virtual time or on real sockets.
+func experimentCommand() *cobra.Command {
+	c := &cobra.Command{Use: "experiment", Short: "Run load and faults described by a file, and check its expectations"}
 	check := &cobra.Command{
-		Use: "check FILE...", Short: "Say all that is wrong with files, and play nothing", Args: cobra.MinimumNArgs(1),
+		Use: "check FILE...", Short: "Validate files without running them", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
 			var errs []error
 			for _, file := range files {
@@ -131,12 +131,12 @@
 }
 
 func runCommand() *cobra.Command {
-	o := newPlaying()
+	o := newRunOptions()
 	return o.flags(&cobra.Command{
-		Use: "run FILE...", Short: "Play files; exit 1 if something did not hold", Args: cobra.MinimumNArgs(1),
+		Use: "run FILE...", Short: "Run files; exit 1 if something did not hold", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			held := true
-			var parts []report.Section
+			allPassed := true
+			var sections []report.Section
 			p := newProgress(c, len(files)*o.runs)
 			defer p.close()
 			for _, file := range files {
@@ -144,12 +144,12 @@
 				if err != nil {
 					return err
 				}
-				all, err := o.play(c.Context(), x, o.policy, o.node, p)
+				all, err := o.runFile(c.Context(), x, o.policy, o.node, p)
 				if err != nil {
 					return err
 				}
-				held = held && experiment.AllPassed(all)
-				parts = append(parts, report.Section{Title: title(file), Experiment: x, Runs: all})
+				allPassed = allPassed && experiment.AllPassed(all)
+				sections = append(sections, report.Section{Title: title(file), Experiment: x, Runs: all})
 				if o.output == "json" {
 					err = json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"file": file, "mode": o.mode, "held": experiment.AllPassed(all), "runs": all})
 				} else {
@@ -159,10 +159,10 @@
 					return err
 				}
 			}
-			if err := o.write("Experiments", parts); err != nil {
+			if err := o.writeReport("Experiments", sections); err != nil {
 				return err
 			}
-			if !held {
+			if !allPassed {
 				return errors.New("something did not hold")
 			}
 			return nil
@@ -170,23 +170,23 @@
 	}, 1, "policy", "mode", "node", "report")
 }
 
-// write writes the report, if one is wanted.
-func (o *playing) write(heading string, parts []report.Section) error {
+// writeReport writes the report if --report is set.
+func (o *runOptions) writeReport(heading string, sections []report.Section) error {
 	if o.report == "" {
 		return nil
 	}
-	return report.Write(o.report, heading, parts)
+	return report.Write(o.report, heading, sections)
 }
 
 func title(file string) string { return strings.TrimSuffix(filepath.Base(file), ".toml") }
 
 func compareCommand() *cobra.Command {
-	o := newPlaying()
+	o := newRunOptions()
 	return o.flags(&cobra.Command{
-		Use: "compare A B", Short: "Play two files with the same seeds, and say how their shares within the aim differ", Args: cobra.ExactArgs(2),
+		Use: "compare A B", Short: "Run two files with the same seeds, and compare their shares within the aim", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
 			var both [2][]experiment.Run
-			var parts []report.Section
+			var sections []report.Section
 			p := newProgress(c, 2*o.runs)
 			defer p.close()
 			for i, file := range files {
@@ -194,19 +194,19 @@
 				if err != nil {
 					return err
 				}
-				if both[i], err = o.play(c.Context(), x, []string{o.policy, o.other}[i], []string{o.node, o.otherNode}[i], p); err != nil {
+				if both[i], err = o.runFile(c.Context(), x, []string{o.policy, o.policyB}[i], []string{o.node, o.nodeB}[i], p); err != nil {
 					return err
 				}
-				parts = append(parts, report.Section{Title: []string{"A: ", "B: "}[i] + title(file), Experiment: x, Runs: both[i]})
+				sections = append(sections, report.Section{Title: []string{"A: ", "B: "}[i] + title(file), Experiment: x, Runs: both[i]})
 			}
-			if err := o.write("Comparison", parts); err != nil {
+			if err := o.writeReport("Comparison", sections); err != nil {
 				return err
 			}
 			d := experiment.Compare(both[0], both[1])
 			if o.output == "json" {
 				return json.NewEncoder(c.OutOrStdout()).Encode(d)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "within the aim: A %.4f, B %.4f; B less A %+.4f, 95%% interval %+.4f to %+.4f; B is better at %d of %d seeds\n",
+			fmt.Fprintf(c.OutOrStdout(), "within the aim: A %.4f, B %.4f; B minus A %+.4f, 95%% interval %+.4f to %+.4f; B is better with %d of %d seeds\n",
 				d.A, d.B, d.Mean, d.Low, d.High, d.Wins, o.runs)
 			return nil
 		},
@@ -214,9 +214,9 @@
 }
 
 func tableCommand() *cobra.Command {
-	o := newPlaying()
+	o := newRunOptions()
 	return o.flags(&cobra.Command{
-		Use: "table FILE...", Short: "Play files with the module and with what others pick, and say how they differ", Args: cobra.MinimumNArgs(1),
+		Use: "table FILE...", Short: "Run files with the decision module and with other policies, and compare the results", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			var names []string
 			var all []*experiment.Experiment
@@ -227,7 +227,7 @@
 				if err != nil {
 					return err
 				}
-				names, all = append(names, title(file)), append(all, x.OnRunDone(p.played))
+				names, all = append(names, title(file)), append(all, x.OnRunDone(p.runDone))
 			}
 			return experiment.RunPolicyTable(c.Context(), c.OutOrStdout(), names, all, o.seed, o.runs)
 		},
@@ -235,9 +235,9 @@
 }
 
 func matchCommand() *cobra.Command {
-	o := newPlaying()
+	o := newRunOptions()
 	return o.flags(&cobra.Command{
-		Use: "match FILE...", Short: "Play files in virtual time and on real sockets; exit 1 if their figures are too far apart", Args: cobra.MinimumNArgs(1),
+		Use: "match FILE...", Short: "Run files in virtual time and on real sockets; exit 1 if the results differ too much", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			var names []string
 			var all []experiment.Match
@@ -249,11 +249,11 @@
 				if err != nil {
 					return err
 				}
-				virtual, err := x.OnRunDone(p.played).Play(c.Context(), o.seed, o.runs)
+				virtual, err := x.OnRunDone(p.runDone).Play(c.Context(), o.seed, o.runs)
 				if err != nil {
 					return err
 				}
-				real, err := o.onSockets(c.Context(), x, o.node, p)
+				real, err := o.runOnSockets(c.Context(), x, o.node, p)
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
 				}
@@ -268,7 +268,7 @@
 				err = experiment.PrintMatches(c.OutOrStdout(), names, all)
 			}
 			if err == nil && failed {
-				err = errors.New("virtual time and sockets are too far apart")
+				err = errors.New("the results in virtual time and on sockets differ too much")
 			}
 			return err
 		},
@@ -276,13 +276,13 @@
 }
 
 func sweepCommand() *cobra.Command {
-	o := newPlaying()
+	o := newRunOptions()
 	return o.flags(&cobra.Command{
-		Use: "sweep FILE KEY VALUE...", Short: `Play a file with each of several values for one key, such as "load.rate" or "fault[1].amount"`, Args: cobra.MinimumNArgs(3),
+		Use: "sweep FILE KEY VALUE...", Short: `Run a file with each of several values for one key, such as "load.rate" or "fault[1].amount"`, Args: cobra.MinimumNArgs(3),
 		RunE: func(c *cobra.Command, args []string) error {
 			p := newProgress(c, len(args[2:])*o.runs)
 			defer p.close()
-			steps, err := experiment.Sweep(c.Context(), args[0], args[1], args[2:], o.policy, o.seed, o.runs, p.played)
+			steps, err := experiment.Sweep(c.Context(), args[0], args[1], args[2:], o.policy, o.seed, o.runs, p.runDone)
 			if err != nil {
 				return err
 			}
@@ -295,17 +295,17 @@
 }
 
 func huntCommand() *cobra.Command {
-	o := newPlaying()
+	o := newRunOptions()
 	tries, out := 0, ""
 	c := &cobra.Command{
-		Use: "hunt FILE", Short: "Search seeds and faults for a broken rule, or the worst run, and shrink it to a small file", Args: cobra.ExactArgs(1),
+		Use: "hunt FILE", Short: "Search seeds and faults for a violated rule or the worst run, and shrink it to a small file", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			x, err := experiment.Load(files[0])
 			if err != nil {
 				return err
 			}
-			say := func(text string) { fmt.Fprintln(c.ErrOrStderr(), text) }
-			found, run, err := x.WithPolicy(o.policy).Hunt(c.Context(), o.seed, tries, say)
+			printProgress := func(text string) { fmt.Fprintln(c.ErrOrStderr(), text) }
+			found, run, err := x.WithPolicy(o.policy).Hunt(c.Context(), o.seed, tries, printProgress)
 			if err != nil {
 				return err
 			}
@@ -316,7 +316,7 @@
 			if out == "" {
 				_, err = c.OutOrStdout().Write(text)
 			} else if err = os.WriteFile(out, text, 0o644); err == nil {
-				say("written to " + out + "; replay it with: otterlab experiment replay " + out)
+				printProgress("written to " + out + "; replay it with: otterlab experiment replay " + out)
 			}
 			if err != nil {
 				return err
@@ -327,13 +327,13 @@
 			return nil
 		},
 	}
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of what is drawn, and of the first run")
-	c.Flags().IntVar(&tries, "tries", 100, "runs to search")
-	c.Flags().StringVar(&out, "out", "", "`file` for the find; standard output if not given")
-	c.Flags().StringVar(&o.policy, "policy", "ours", "what decides in the nodes")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the random faults, and of the first run")
+	c.Flags().IntVar(&tries, "tries", 100, "number of runs to search")
+	c.Flags().StringVar(&out, "out", "", "output `file`; standard output if not given")
+	c.Flags().StringVar(&o.policy, "policy", "ours", "policy of the nodes")
 	c.PreRunE = func(*cobra.Command, []string) error {
 		if tries < 1 || tries > 1_000_000 {
-			return &cli.Exit{Code: cli.Usage, Err: fmt.Errorf("--tries %d: 1 to 1000000", tries)}
+			return &cli.Exit{Code: cli.Usage, Err: fmt.Errorf("--tries %d: must be from 1 to 1000000", tries)}
 		}
 		return nil
 	}
@@ -342,14 +342,14 @@
 
 func replayCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "replay FILE...", Short: "Play what hunts have found again; exit 1 if it comes out otherwise", Args: cobra.MinimumNArgs(1),
+		Use: "replay FILE...", Short: "Repeat runs that hunts found; exit 1 if a result differs", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			var errs []error
 			for _, file := range files {
 				x, err := experiment.Load(file)
 				if err == nil {
 					if _, err = x.Replay(); err == nil {
-						fmt.Fprintf(c.OutOrStdout(), "%s: as found: %s\n", file, x.File.Found.Failed)
+						fmt.Fprintf(c.OutOrStdout(), "%s: reproduced: %s\n", file, x.File.Found.Failed)
 					}
 				}
 				errs = append(errs, err)
--- a/cmd/otterlab/faults.go
+++ b/cmd/otterlab/faults.go
@@ -20,10 +20,10 @@
 	"otterstep/internal/standin/lab"
 )
 
-// launchWord makes this program the launcher of an instance, as otteragent's does.
-const launchWord = "launch"
+// launchArg makes this program the launcher of an instance, as in otteragent.
+const launchArg = "launch"
 
-// agentCommand is an agent that follows orders: what otterlab faults starts.
+// agentCommand runs an agent that accepts injected faults, as started by otterlab faults.
 func agentCommand() *cobra.Command {
 	file, first := "", false
 	c := &cobra.Command{
@@ -34,7 +34,7 @@
 				return err
 			}
 			opt := faults.Options(os.Getenv(lab.OrdersVar))
-			opt.Launcher, opt.First, opt.Version = []string{"/proc/self/exe", launchWord}, first, buildinfo.Version()
+			opt.Launcher, opt.First, opt.Version = []string{"/proc/self/exe", launchArg}, first, buildinfo.Version()
 			opt.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 			a, err := agent.New(cfg, opt)
 			if err != nil {
@@ -43,25 +43,25 @@
 			return a.Run(c.Context())
 		},
 	}
-	c.Flags().StringVar(&file, "config", "", "the agent's `file`")
-	c.Flags().BoolVar(&first, "first", false, "the fleet's first start")
+	c.Flags().StringVar(&file, "config", "", "the agent's configuration `file`")
+	c.Flags().BoolVar(&first, "first", false, "this is the fleet's first start")
 	return c
 }
 
 func faultsCommand() *cobra.Command {
 	o := &options{}
-	d, lease := drawn{}, time.Duration(0)
+	d, lease := campaign{}, time.Duration(0)
 	c := &cobra.Command{
-		Use: "faults", Short: "Play drawn faults between the processes of a fleet with a council; exit 1 if a promise broke",
-		Long: `Plays drawn faults between the processes of a fleet with a council, seed after seed.
+		Use: "faults", Short: "Inject random faults between the processes of a fleet with a council; exit 1 if a guarantee was violated",
+		Long: `Injects random faults between the processes of a fleet with a council, seed by seed.
 
-Each seed has one schedule. When all its faults have ended the fleet has to come to rest, and a
-checker reads what the processes wrote down: tokens in the order of effects, each job's effects
-once, the most that were away at once, and what the clients got. A seed that broke something is
-printed with its schedule and the command that plays it again.`,
+Each seed determines one schedule. After its last fault the fleet has to recover, and a checker
+reads the records of the processes: tokens in the order of effects, each job's effects once, the
+maximum of unavailable instances, and the clients' results. A seed with a violation is printed
+with its schedule and the command that repeats it.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := o.programs(""); err != nil {
+			if err := o.findPrograms(""); err != nil {
 				return err
 			}
 			self, err := os.Executable()
@@ -74,7 +74,7 @@
 				voters = 5
 			}
 			o.lab.Council = &lab.Council{Voters: voters, Lease: lease, Orders: true}
-			return o.inDir(func() error { return o.campaign(c, d) })
+			return o.inDir(func() error { return o.runCampaign(c, d) })
 		},
 	}
 	o.flags(c, 9, 3)
@@ -82,23 +82,23 @@
 	f.Lookup("seed").Usage = "the first seed"
 	f.Lookup("rate").DefValue = "20"
 	o.lab.Rate = 20
-	f.BoolVar(&d.Losses, "losses", false, "also take agents' memories and the council's stores away, with power cuts; no clients send")
-	f.BoolVar(&d.Words, "words", false, "change what the fleet should be, with faults between that and the nodes, in place of jobs; no clients send")
-	f.IntVar(&d.Faults, "faults", 12, "faults of a schedule")
-	f.IntVar(&d.Most, "max-unavailable", 1, "instances that each job may have away")
-	f.IntVar(&d.seeds, "seeds", 1, "how many seeds; 0: as many as fit --for")
-	f.IntVar(&d.abreast, "abreast", 1, "seeds that are played at once")
-	f.DurationVar(&d.limit, "for", 0, "begin no seed after this")
-	f.DurationVar(&lease, "lease", 2*time.Second, "of a duty")
+	f.BoolVar(&d.Losses, "losses", false, "also lose the agents' state and the council's stores, and cut power; without client load")
+	f.BoolVar(&d.Words, "words", false, "change the fleet's desired state instead of running jobs, with faults on the way to the nodes; without client load")
+	f.IntVar(&d.Faults, "faults", 12, "number of faults per schedule")
+	f.IntVar(&d.Most, "max-unavailable", 1, "maximum of unavailable instances per job")
+	f.IntVar(&d.seeds, "seeds", 1, "number of seeds; 0: as many as fit into --for")
+	f.IntVar(&d.parallel, "abreast", 1, "seeds run in parallel")
+	f.DurationVar(&d.limit, "for", 0, "start no further seed after this time")
+	f.DurationVar(&lease, "lease", 2*time.Second, "lease of a duty")
 	c.PreRunE = func(c *cobra.Command, _ []string) error {
 		d.seed = o.lab.Seed
 		if d.Losses && !c.Flags().Changed("rate") {
-			o.lab.Rate = 0 // a power cut takes requests along
+			o.lab.Rate = 0 // a power cut also loses requests in flight
 		}
 		if d.limit > 0 && !c.Flags().Changed("seeds") {
 			d.seeds = 0
 		}
-		if d.abreast < 1 || d.Faults < 1 || d.Most < 1 || d.seeds < 1 && d.limit <= 0 {
+		if d.parallel < 1 || d.Faults < 1 || d.Most < 1 || d.seeds < 1 && d.limit <= 0 {
 			return errors.New("--abreast, --faults and --max-unavailable must be 1 or more; --seeds 0 needs --for")
 		}
 		return nil
@@ -106,24 +106,24 @@
 	return c
 }
 
-// drawn is a campaign of drawn faults.
-type drawn struct {
+// campaign describes a series of seeds with random faults.
+type campaign struct {
 	seed uint64
 	lab.Campaign
-	seeds, abreast int
-	limit          time.Duration
+	seeds, parallel int
+	limit           time.Duration
 }
 
-// campaign plays seeds, some at once, and sums them up.
-func (o *options) campaign(c *cobra.Command, d drawn) error {
+// runCampaign runs the seeds, some in parallel, and prints a summary.
+func (o *options) runCampaign(c *cobra.Command, d campaign) error {
 	ctx, stop := context.WithCancelCause(c.Context())
 	defer stop(nil)
 	out := c.OutOrStdout()
 	began := time.Now()
-	var mu sync.Mutex // over what follows
-	next, broken, sum := d.seed, 0, lab.FaultRun{}
+	var mu sync.Mutex // guards the variables below
+	next, broken, total := d.seed, 0, lab.FaultRun{}
 	var rests []time.Duration
-	take := func() (uint64, bool) {
+	nextSeed := func() (uint64, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		if ctx.Err() != nil || d.seeds > 0 && next-d.seed >= uint64(d.seeds) || d.limit > 0 && time.Since(began) > d.limit {
@@ -133,9 +133,9 @@
 		return next - 1, true
 	}
 	var work sync.WaitGroup
-	for range d.abreast {
+	for range d.parallel {
 		work.Go(func() {
-			for seed, ok := take(); ok; seed, ok = take() {
+			for seed, ok := nextSeed(); ok; seed, ok = nextSeed() {
 				opt := o.lab
 				opt.Dir = filepath.Join(o.lab.Dir, fmt.Sprint(seed))
 				err := os.MkdirAll(opt.Dir, 0o700)
@@ -154,7 +154,7 @@
 				if len(run.Failed) > 0 {
 					broken++
 				}
-				sum.Add(run)
+				total.Add(run)
 				rests = append(rests, run.Rest)
 				o.printRun(out, d, run)
 				mu.Unlock()
@@ -166,33 +166,33 @@
 		if err := context.Cause(ctx); err != nil {
 			return err
 		}
-		return errors.New("no seed was played")
+		return errors.New("no seed was run")
 	}
 	slices.Sort(rests)
-	fmt.Fprintf(out, "%d seeds in %v, %d broken; %v, at rest after %v (median) to %v\n", len(rests), time.Since(began).Round(time.Second), broken,
-		sum, rests[len(rests)/2].Round(10*time.Millisecond), rests[len(rests)-1].Round(10*time.Millisecond))
+	fmt.Fprintf(out, "%d seeds in %v, %d with violations; %v, recovered after %v (median) to %v\n", len(rests), time.Since(began).Round(time.Second), broken,
+		total, rests[len(rests)/2].Round(10*time.Millisecond), rests[len(rests)-1].Round(10*time.Millisecond))
 	if err := context.Cause(ctx); err != nil {
 		return err
 	}
 	if broken > 0 {
-		return fmt.Errorf("%d seeds broke something", broken)
+		return fmt.Errorf("%d seeds had violations", broken)
 	}
 	return nil
 }
 
-// printRun tells how a seed went; of one that broke something, how to play it again.
-func (o *options) printRun(out io.Writer, d drawn, run lab.FaultRun) {
+// printRun prints the result of a seed and, if it had violations, how to repeat it.
+func (o *options) printRun(out io.Writer, d campaign, run lab.FaultRun) {
 	word := "held"
 	if len(run.Failed) > 0 {
 		word = "BROKEN"
 	}
-	fmt.Fprintf(out, "seed %d %s: %v, at rest after %v\n", run.Seed, word, run, run.Rest.Round(10*time.Millisecond))
+	fmt.Fprintf(out, "seed %d %s: %v, recovered after %v\n", run.Seed, word, run, run.Rest.Round(10*time.Millisecond))
 	if len(run.Failed) == 0 {
 		return
 	}
 	for _, f := range run.Failed {
 		fmt.Fprintln(out, "  ", f)
 	}
-	fmt.Fprintf(out, "  its schedule:\n%s  again: otterlab faults --seed %d --faults %d --losses=%v --words=%v --max-unavailable %d --instances %d --agents %d --lease %v\n",
+	fmt.Fprintf(out, "  schedule:\n%s  to repeat: otterlab faults --seed %d --faults %d --losses=%v --words=%v --max-unavailable %d --instances %d --agents %d --lease %v\n",
 		run.Schedule, run.Seed, d.Faults, d.Losses, d.Words, d.Most, o.lab.Instances, o.lab.Agents, o.lab.Council.Lease)
 }
--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -1,7 +1,7 @@
-// Command otterlab runs a whole fleet on loopback: discovery, app boxes that
-// misbehave on command, clients, agents, and real instances of the node.
+// Command otterlab runs a whole fleet on loopback: discovery, app boxes that inject faults
+// on command, clients, agents, and real instances of the node.
 //
-// Exit codes: 0 all went well, 1 a rule broke or something failed, 2 wrong use.
+// Exit codes: 0 success, 1 a rule broke or something failed, 2 usage error.
 package main
 
 import (
@@ -21,11 +21,11 @@
 )
 
 func main() {
-	if len(os.Args) > 4 && os.Args[1] == launchWord {
-		_ = proc.Launch(os.Args[2], os.Args[3], os.Args[4:]) // it told its parent why it returned
+	if len(os.Args) > 4 && os.Args[1] == launchArg {
+		_ = proc.Launch(os.Args[2], os.Args[3], os.Args[4:]) // Launch has reported the error to its parent
 		os.Exit(cli.Failed)
 	}
-	os.Exit(cli.Run(command()))
+	os.Exit(cli.Run(rootCommand()))
 }
 
 type options struct {
@@ -36,27 +36,27 @@
 func (o *options) flags(c *cobra.Command, instances, agents int) {
 	f := c.Flags()
 	f.IntVar(&o.lab.Instances, "instances", instances, "instances of the node")
-	f.IntVar(&o.lab.Agents, "agents", agents, "agents, among which the instances are dealt out")
+	f.IntVar(&o.lab.Agents, "agents", agents, "agents, to which the instances are distributed")
 	f.IntVar(&o.lab.Boxes, "boxes", 8, "app boxes")
-	f.Float64Var(&o.lab.Rate, "rate", 120, "clients' requests a second; 0 for none")
-	f.Uint64Var(&o.lab.Seed, "seed", 1, "seed of all that is random")
-	f.BoolVar(&o.lab.Asked, "asked", false, "discovery is asked, instead of pushing its list")
-	f.StringVar(&o.dir, "dir", "", "`folder` for configurations, logs and sockets; one that goes with the lab if not given")
+	f.Float64Var(&o.lab.Rate, "rate", 120, "client requests per second; 0 for none")
+	f.Uint64Var(&o.lab.Seed, "seed", 1, "random seed")
+	f.BoolVar(&o.lab.Asked, "asked", false, "nodes query discovery, instead of having the list pushed to them")
+	f.StringVar(&o.dir, "dir", "", "`directory` for configurations, logs and sockets; a temporary one if not given")
 }
 
-func command() *cobra.Command {
-	root := &cobra.Command{Use: "otterlab", Short: "A fleet on loopback, to look at and to break", Version: buildinfo.Version()}
-	root.AddCommand(demo(), upgrade(), up(), box(), status(), guard(), faultsCommand(), agentCommand(), ownersCommand(), desiredCommand(), comeback(), experiments(), loadCommand())
+func rootCommand() *cobra.Command {
+	root := &cobra.Command{Use: "otterlab", Short: "Run a fleet on loopback, with faults, experiments and measurements", Version: buildinfo.Version()}
+	root.AddCommand(demoCommand(), upgradeCommand(), upCommand(), boxCommand(), statusCommand(), guardCommand(), faultsCommand(), agentCommand(), ownersCommand(), desiredCommand(), comebackCommand(), experimentCommand(), loadCommand())
 	return root
 }
 
-func demo() *cobra.Command {
+func demoCommand() *cobra.Command {
 	o := &options{}
 	c := &cobra.Command{
-		Use: "demo", Short: "Play 30 seconds of load, a box that hangs, a rolling restart and a crash; exit 1 if a rule broke",
+		Use: "demo", Short: "Run 30 seconds of load with a hanging box, a rolling restart and a crash; exit 1 if a rule broke",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.with(c.Context(), func(l *lab.Lab, _ string) error {
+			return o.withLab(c.Context(), func(l *lab.Lab, _ string) error {
 				held, err := l.Demo(c.Context(), lab.Story{
 					Calm: 5 * time.Second, Hang: 6 * time.Second, Healed: 2 * time.Second, After: 4 * time.Second,
 				}, c.OutOrStdout())
@@ -71,14 +71,14 @@
 	return c
 }
 
-func upgrade() *cobra.Command {
+func upgradeCommand() *cobra.Command {
 	o := &options{}
 	times, every := 5, 3*time.Second
 	c := &cobra.Command{
-		Use: "upgrade", Short: "Play new versions of an instance under load, with boxes left out by hand; exit 1 if a rule broke",
+		Use: "upgrade", Short: "Upgrade an instance repeatedly under load, with boxes cordoned by hand; exit 1 if a rule broke",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := o.programs(""); err != nil {
+			if err := o.findPrograms(""); err != nil {
 				return err
 			}
 			return o.inDir(func() error {
@@ -91,18 +91,18 @@
 		},
 	}
 	o.flags(c, 1, 1)
-	c.Flags().IntVar(&times, "times", times, "upgrades")
-	c.Flags().DurationVar(&every, "every", every, "time between two")
+	c.Flags().IntVar(&times, "times", times, "number of upgrades")
+	c.Flags().DurationVar(&every, "every", every, "time between two upgrades")
 	return c
 }
 
-func up() *cobra.Command {
+func upCommand() *cobra.Command {
 	o := &options{}
 	c := &cobra.Command{
-		Use: "up", Short: "Run a fleet until interrupted, and say what to type next", Args: cobra.NoArgs,
+		Use: "up", Short: "Run a fleet until interrupted, and print example commands", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return o.with(c.Context(), func(l *lab.Lab, bin string) error {
-				fmt.Fprintf(c.OutOrStdout(), "%d instances under %d agents serve %.0f requests a second from %d boxes. Now type, elsewhere:\n\n%s\nInterrupt to end it all.\n",
+			return o.withLab(c.Context(), func(l *lab.Lab, bin string) error {
+				fmt.Fprintf(c.OutOrStdout(), "%d instances under %d agents serve %.0f requests per second from %d boxes. Commands to try in another terminal:\n\n%s\nInterrupt to stop the fleet.\n",
 					o.lab.Instances, o.lab.Agents, o.lab.Rate, o.lab.Boxes, l.Next(bin))
 				if err := l.Serve(c.Context()); err != nil {
 					return err
@@ -119,45 +119,46 @@
 	return c
 }
 
-func box() *cobra.Command {
+func boxCommand() *cobra.Command {
 	dir := ""
 	c := &cobra.Command{
-		Use: "box BOX WORD [NUMBER]", Short: "Have a box of a running lab hang, slow 4, fail 0.5, heal, drain, leave, crash or return",
+		Use: "box BOX WORD [NUMBER]", Short: "Send a command to a box of a running lab: hang, slow 4, fail 0.5, heal, drain, leave, crash or return",
 		Args: cobra.RangeArgs(2, 3),
 		RunE: func(c *cobra.Command, words []string) error {
 			_, err := lab.Ask(c.Context(), dir, words)
 			return err
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", ".", "the lab's `folder`")
+	c.Flags().StringVar(&dir, "dir", ".", "the lab's `directory`")
 	return c
 }
 
-func status() *cobra.Command {
+func statusCommand() *cobra.Command {
 	dir := ""
 	c := &cobra.Command{
-		Use: "status", Short: "Show a running lab's boxes and what its clients got", Args: cobra.NoArgs,
+		Use: "status", Short: "Show a running lab's boxes and its clients' results", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := lab.Ask(c.Context(), dir, nil)
 			fmt.Fprint(c.OutOrStdout(), text)
 			return err
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", ".", "the lab's `folder`")
+	c.Flags().StringVar(&dir, "dir", ".", "the lab's `directory`")
 	return c
 }
 
-// guard is the lab's own: it ends the instances of a lab that has died.
-func guard() *cobra.Command {
+// guardCommand is started by the lab itself: it stops the instances once the lab's process
+// has died.
+func guardCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "guard DIR", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return lab.Guard(os.Stdin, args[0]) },
 	}
 }
 
-// with runs a lab in a folder, and removes the folder if it made it.
-func (o *options) with(ctx context.Context, do func(l *lab.Lab, bin string) error) error {
-	if err := o.programs(""); err != nil {
+// withLab runs do with a lab in its directory, and removes the directory if it created it.
+func (o *options) withLab(ctx context.Context, do func(l *lab.Lab, bin string) error) error {
+	if err := o.findPrograms(""); err != nil {
 		return err
 	}
 	return o.inDir(func() error {
@@ -170,8 +171,9 @@
 	})
 }
 
-// programs finds those that a lab starts: node, if given, and the rest beside this one.
-func (o *options) programs(node string) error {
+// findPrograms sets the programs that a lab starts: node, if given, and the others from this
+// program's directory.
+func (o *options) findPrograms(node string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -183,14 +185,14 @@
 	agent := filepath.Join(bin, "otteragent")
 	for _, program := range []string{node, agent} {
 		if _, err := os.Stat(program); err != nil {
-			return fmt.Errorf("the other programs should stand beside this one, build them all: %w", err)
+			return fmt.Errorf("the other programs must be in this program's directory, build them all: %w", err)
 		}
 	}
 	o.lab.Node, o.lab.Agent, o.lab.Guard = []string{node}, []string{agent, "run"}, []string{self, "guard"}
 	return nil
 }
 
-// inDir does something in the lab's folder, and removes the folder if it made it.
+// inDir runs do with the lab's directory, and removes the directory if it created it.
 func (o *options) inDir(do func() error) (err error) {
 	if o.dir == "" {
 		if o.dir, err = os.MkdirTemp("", "otterlab-"); err != nil {
--- a/cmd/otterlab/progress.go
+++ b/cmd/otterlab/progress.go
@@ -8,8 +8,8 @@
 	"golang.org/x/term"
 )
 
-// progress shows on a terminal how many runs of how many are played, and when the rest
-// should be; elsewhere it shows nothing. It writes to the standard error of its command.
+// progress shows a progress bar with the runs done and the estimated time left on the
+// command's standard error, if that is a terminal.
 type progress struct{ bar *progressbar.ProgressBar }
 
 func newProgress(c *cobra.Command, runs int) progress {
@@ -22,8 +22,8 @@
 	)}
 }
 
-// played notes the end of a run, on any goroutine.
-func (p progress) played() { _ = p.bar.Add(1) } // fails only if the terminal does
+// runDone counts a completed run; it is safe for concurrent use.
+func (p progress) runDone() { _ = p.bar.Add(1) } // fails only if writing to the terminal does
 
-// close takes the bar off the terminal, however many runs were played.
+// close removes the bar from the terminal, even if not all runs were done.
 func (p progress) close() { _ = p.bar.Finish() }
