--- a/cmd/otterlab/comeback.go
+++ b/cmd/otterlab/comeback.go
@@ -225,15 +225,15 @@
 				if n < 0 {
 					return fmt.Errorf("--kept: %q is not one of %s", name, strings.Join(all, ", "))
 				}
-				k := herdScenarios[n]
-				h.Kept, h.Believe = k.savedState, k.trust
-				rs := make([]sim.HerdResult, seeds)
+				scenario := herdScenarios[n]
+				h.Kept, h.Believe = scenario.savedState, scenario.trust
+				results := make([]sim.HerdResult, seeds)
 				g, ctx := errgroup.WithContext(c.Context())
 				g.SetLimit(parallel)
-				for i := range rs {
+				for i := range results {
 					g.Go(func() (err error) {
 						if ctx.Err() == nil {
-							rs[i], err = h.Play(uint64(i + 1))
+							results[i], err = h.Play(uint64(i + 1))
 						}
 						return err
 					})
@@ -246,17 +246,17 @@
 				}
 				summarize := func(metric func(r sim.HerdResult) float64) string {
 					var x []float64
-					for _, r := range rs {
+					for _, r := range results {
 						x = append(x, metric(r))
 					}
 					slices.Sort(x)
 					return fmt.Sprintf("%.2f (%.2f to %.2f)", x[len(x)/2], x[len(x)/20], x[len(x)-1-len(x)/20])
 				}
 				broken, fallen := 0, 0
-				for _, r := range rs {
+				for _, r := range results {
 					broken, fallen = broken+r.Broken, fallen+r.Fell
 				}
-				if !k.trust {
+				if !scenario.trust {
 					totalFallen += fallen
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", name,
@@ -264,12 +264,12 @@
 					summarize(func(r sim.HerdResult) float64 { return r.Most.Seconds() }), summarize(func(r sim.HerdResult) float64 { return r.Full.Seconds() }),
 					summarize(func(r sim.HerdResult) float64 { return r.Attempts }), summarize(func(r sim.HerdResult) float64 { return r.Refusals }),
 					summarize(func(r sim.HerdResult) float64 { return r.Pushed[len(r.Pushed)-1] }), fallen, broken)
-				share, push := lab.Series{Name: name, Color: len(shares), Dashed: k.trust}, lab.Series{Name: name, Color: len(shares), Dashed: k.trust}
-				for i, s := range rs[0].Served {
+				share, push := lab.Series{Name: name, Color: len(shares), Dashed: scenario.trust}, lab.Series{Name: name, Color: len(shares), Dashed: scenario.trust}
+				for i, s := range results[0].Served {
 					share.X, share.Y = append(share.X, float64(i+1)/10), append(share.Y, s)
 				}
-				for i, p := range rs[0].Pushed {
-					push.X, push.Y = append(push.X, float64(i+1)/float64(len(rs[0].Pushed))), append(push.Y, p)
+				for i, p := range results[0].Pushed {
+					push.X, push.Y = append(push.X, float64(i+1)/float64(len(results[0].Pushed))), append(push.Y, p)
 				}
 				shares, pushed = append(shares, share), append(pushed, push)
 			}
--- a/cmd/otterlab/faults.go
+++ b/cmd/otterlab/faults.go
@@ -122,7 +122,7 @@
 	began := time.Now()
 	var mu sync.Mutex // guards the variables below
 	next, broken, total := d.seed, 0, lab.FaultRun{}
-	var rests []time.Duration
+	var recoveryTimes []time.Duration
 	nextSeed := func() (uint64, bool) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -132,9 +132,9 @@
 		next++
 		return next - 1, true
 	}
-	var work sync.WaitGroup
+	var workers sync.WaitGroup
 	for range d.parallel {
-		work.Go(func() {
+		workers.Go(func() {
 			for seed, ok := nextSeed(); ok; seed, ok = nextSeed() {
 				opt := o.lab
 				opt.Dir = filepath.Join(o.lab.Dir, fmt.Sprint(seed))
@@ -155,22 +155,22 @@
 					broken++
 				}
 				total.Add(run)
-				rests = append(rests, run.Rest)
+				recoveryTimes = append(recoveryTimes, run.Rest)
 				o.printRun(out, d, run)
 				mu.Unlock()
 			}
 		})
 	}
-	work.Wait()
-	if len(rests) == 0 {
+	workers.Wait()
+	if len(recoveryTimes) == 0 {
 		if err := context.Cause(ctx); err != nil {
 			return err
 		}
 		return errors.New("no seed was run")
 	}
-	slices.Sort(rests)
-	fmt.Fprintf(out, "%d seeds in %v, %d with violations; %v, recovered after %v (median) to %v\n", len(rests), time.Since(began).Round(time.Second), broken,
-		total, rests[len(rests)/2].Round(10*time.Millisecond), rests[len(rests)-1].Round(10*time.Millisecond))
+	slices.Sort(recoveryTimes)
+	fmt.Fprintf(out, "%d seeds in %v, %d with violations; %v, recovered after %v (median) to %v\n", len(recoveryTimes), time.Since(began).Round(time.Second), broken,
+		total, recoveryTimes[len(recoveryTimes)/2].Round(10*time.Millisecond), recoveryTimes[len(recoveryTimes)-1].Round(10*time.Millisecond))
 	if err := context.Cause(ctx); err != nil {
 		return err
 	}
@@ -182,11 +182,11 @@
 
 // printRun prints the result of a seed and, if it had violations, how to repeat it.
 func (o *options) printRun(out io.Writer, d campaign, run lab.FaultRun) {
-	word := "held"
+	status := "held"
 	if len(run.Failed) > 0 {
-		word = "BROKEN"
+		status = "BROKEN"
 	}
-	fmt.Fprintf(out, "seed %d %s: %v, recovered after %v\n", run.Seed, word, run, run.Rest.Round(10*time.Millisecond))
+	fmt.Fprintf(out, "seed %d %s: %v, recovered after %v\n", run.Seed, status, run, run.Rest.Round(10*time.Millisecond))
 	if len(run.Failed) == 0 {
 		return
 	}
--- a/cmd/otterlab/owners.go
+++ b/cmd/otterlab/owners.go
@@ -143,7 +143,7 @@
 
 func restCommand() *cobra.Command {
 	o := &options{}
-	wait := time.Duration(0)
+	duration := time.Duration(0)
 	c := &cobra.Command{
 		Use: "rest", Short: "Measure the idle cost of a council's voters and of the agents that query them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -156,7 +156,7 @@
 				return fmt.Errorf("--agents %d: must be more than the %d voters", o.lab.Agents, o.lab.Council.Voters)
 			}
 			return o.inDir(func() error {
-				r, err := lab.AtRest(c.Context(), o.lab, wait)
+				r, err := lab.AtRest(c.Context(), o.lab, duration)
 				if err != nil {
 					return err
 				}
@@ -169,7 +169,7 @@
 	}
 	o.flags(c, 105, 105)
 	o.lab.Rate = 0
-	c.Flags().DurationVar(&wait, "for", 30*time.Second, "duration of the measurement")
+	c.Flags().DurationVar(&duration, "for", 30*time.Second, "duration of the measurement")
 	return c
 }
 
--- a/internal/experiment/bench_test.go
+++ b/internal/experiment/bench_test.go
@@ -31,26 +31,26 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			asked, most := uint64(0), uint64(0)
+			asked, peakHeap := uint64(0), uint64(0)
 			for range b.N {
 				runtime.GC()
-				ended, sampled := make(chan struct{}), make(chan struct{})
+				runEnded, sampled := make(chan struct{}), make(chan struct{})
 				go func() {
 					defer close(sampled)
 					for every := time.NewTicker(100 * time.Millisecond); ; {
 						var m runtime.MemStats
 						runtime.ReadMemStats(&m)
-						most = max(most, m.HeapAlloc)
+						peakHeap = max(peakHeap, m.HeapAlloc)
 						select {
 						case <-every.C:
-						case <-ended:
+						case <-runEnded:
 							every.Stop()
 							return
 						}
 					}
 				}()
 				r, err := x.runSeed(1)
-				close(ended)
+				close(runEnded)
 				<-sampled
 				if err != nil {
 					b.Fatal(err)
@@ -61,7 +61,7 @@
 				asked += r.Results.Asked
 			}
 			b.ReportMetric(float64(asked)/b.Elapsed().Seconds(), "requests/s")
-			b.ReportMetric(float64(most)/(1<<20), "MiB")
+			b.ReportMetric(float64(peakHeap)/(1<<20), "MiB")
 		})
 	}
 }
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -143,23 +143,23 @@
 func newExperiment(f *tomlfile.File, path string, file File) (*Experiment, error) {
 	x := &Experiment{path: path}
 	o := &x.Options
-	duration := func(key string, d *tomlfile.Duration, or, least time.Duration) time.Duration {
+	duration := func(key string, d *tomlfile.Duration, def, minimum time.Duration) time.Duration {
 		if d.Duration == 0 && !f.Has(key) {
-			d.Duration = or
+			d.Duration = def
 		}
-		if d.Duration < least {
-			f.Bad(key, "%v, must be at least %v", d.Duration, least)
+		if d.Duration < minimum {
+			f.Bad(key, "%v, must be at least %v", d.Duration, minimum)
 		}
 		return d.Duration
 	}
-	number := func(key string, n *int, or, most int) int {
+	number := func(key string, n *int, def, limit int) int {
 		if *n == 0 {
-			*n = or
+			*n = def
 		}
-		if *n < 1 || *n > most {
-			f.Bad(key, "%d is not from 1 to %d", *n, most)
+		if *n < 1 || *n > limit {
+			f.Bad(key, "%d is not from 1 to %d", *n, limit)
 		}
-		return min(max(*n, 1), most)
+		return min(max(*n, 1), limit)
 	}
 	share := func(key string, v float64) float64 {
 		if !(v >= 0 && v <= 1) {
@@ -274,32 +274,32 @@
 	if len(file.Fault) > maxFaults {
 		f.Bad("fault", "%d faults given, the limit is %d", len(file.Fault), maxFaults)
 	}
-	for i, g := range file.Fault {
+	for i, entry := range file.Fault {
 		key := func(name string) string { return fmt.Sprintf("fault[%d].%s", i+1, name) }
-		if !slices.Contains(sim.Faults, g.What) {
-			f.Bad(key("what"), "%q is not one of %v", g.What, sim.Faults)
+		if !slices.Contains(sim.Faults, entry.What) {
+			f.Bad(key("what"), "%q is not one of %v", entry.What, sim.Faults)
 		}
-		fault := sim.Fault{At: g.At.Duration, For: g.For.Duration, What: g.What, Servers: g.Servers, Amount: g.Amount}
-		most := servers
-		if g.What == "node-crash" {
-			fault.Servers, most = g.Nodes, o.Nodes
-		} else if len(g.Nodes) > 0 {
+		fault := sim.Fault{At: entry.At.Duration, For: entry.For.Duration, What: entry.What, Servers: entry.Servers, Amount: entry.Amount}
+		count := servers
+		if entry.What == "node-crash" {
+			fault.Servers, count = entry.Nodes, o.Nodes
+		} else if len(entry.Nodes) > 0 {
 			f.Bad(key("nodes"), "only node-crash takes nodes")
 		}
-		for n := range most {
-			if g.All || g.Zone != nil && n%zones == *g.Zone && g.What != "node-crash" {
+		for n := range count {
+			if entry.All || entry.Zone != nil && n%zones == *entry.Zone && entry.What != "node-crash" {
 				fault.Servers = append(fault.Servers, n)
 			}
 		}
-		if g.What == "flap" && g.Amount < 0.05 {
-			f.Bad(key("amount"), "%v s between state changes, must be at least 0.05", g.Amount)
+		if entry.What == "flap" && entry.Amount < 0.05 {
+			f.Bad(key("amount"), "%v s between state changes, must be at least 0.05", entry.Amount)
 		}
-		if len(fault.Servers) == 0 && !sim.Broad(g.What) {
+		if len(fault.Servers) == 0 && !sim.Broad(entry.What) {
 			f.Bad(key("servers"), "none given: set servers, nodes, zone or all")
 		}
 		for _, n := range fault.Servers {
-			if n < 0 || n >= most {
-				f.Bad(key("servers"), "%d is not from 0 to %d", n, most-1)
+			if n < 0 || n >= count {
+				f.Bad(key("servers"), "%d is not from 0 to %d", n, count-1)
 				break
 			}
 		}
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -44,12 +44,12 @@
 		if err != nil {
 			return nil, Run{}, err
 		}
-		broke := len(r.Results.Broken) > 0
-		if broke || r.Share < worst.Share {
+		violated := len(r.Results.Broken) > 0
+		if violated || r.Share < worst.Share {
 			worst, found = r, c
 			progress(fmt.Sprintf("try %d: %s", n+1, describeRun(r)))
 		}
-		if broke {
+		if violated {
 			break
 		}
 	}
@@ -110,8 +110,8 @@
 // milliseconds.
 func (h *hunter) randomStart(length time.Duration) tomlfile.Duration {
 	warm, end := h.base.File.Warm.Duration, h.base.File.For.Duration
-	room := max(time.Second, end-warm-length)
-	return tomlfile.Duration{Duration: (warm + time.Duration(h.rng.Float64()*float64(room))).Round(time.Millisecond)}
+	span := max(time.Second, end-warm-length)
+	return tomlfile.Duration{Duration: (warm + time.Duration(h.rng.Float64()*float64(span))).Round(time.Millisecond)}
 }
 
 func (h *hunter) randomFault() Fault {
@@ -126,16 +126,16 @@
 	case "flap":
 		f.Amount = 0.1 + h.rng.Float64()
 	}
-	some := func(most int) []int { // up to a third of them, at least one
-		all := h.rng.Perm(most)[:1+h.rng.IntN((most+2)/3)]
-		slices.Sort(all)
-		return all
+	randomSubset := func(count int) []int { // up to a third of them, at least one
+		indexes := h.rng.Perm(count)[:1+h.rng.IntN((count+2)/3)]
+		slices.Sort(indexes)
+		return indexes
 	}
 	switch {
 	case f.What == "node-crash":
-		f.Nodes = some(h.base.Options.Nodes)
+		f.Nodes = randomSubset(h.base.Options.Nodes)
 	case !sim.Broad(f.What):
-		f.Servers = some(len(h.base.Options.Servers))
+		f.Servers = randomSubset(len(h.base.Options.Servers))
 	}
 	return f
 }
@@ -143,25 +143,25 @@
 // shrink tries smaller files for as long as one of them reproduces the failure: the same
 // rule violated, or nearly as small a share served.
 func (h *hunter) shrink(ctx context.Context, x *Experiment, r Run, progress func(string)) (*Experiment, Run, error) {
-	first := r
-	same := func(got Run) bool {
-		if len(first.Results.Broken) > 0 {
-			for rule := range first.Results.Broken {
+	original := r
+	reproduced := func(got Run) bool {
+		if len(original.Results.Broken) > 0 {
+			for rule := range original.Results.Broken {
 				if got.Results.Broken[rule] > 0 {
 					return true
 				}
 			}
 			return false
 		}
-		return got.Results.Counted > 0 && 1-got.Share >= minLossShare*(1-first.Share)
+		return got.Results.Counted > 0 && 1-got.Share >= minLossShare*(1-original.Share)
 	}
 	seed := r.Seed
-	for tries, smaller := 0, true; smaller; {
-		smaller = false
-		for _, file := range smallerFiles(x.File, len(first.Results.Broken) > 0) {
+	for tries, reduced := 0, true; reduced; {
+		reduced = false
+		for _, file := range smallerFiles(x.File, len(original.Results.Broken) > 0) {
 			if tries++; tries > maxShrinkRuns {
 				progress(fmt.Sprintf("shrinking stopped after %d runs", maxShrinkRuns))
-				smaller = false
+				reduced = false
 				break
 			}
 			if err := ctx.Err(); err != nil {
@@ -171,8 +171,8 @@
 			if err != nil {
 				continue // a fault refers to a server or node that was removed
 			}
-			if got, err := c.runSeed(seed); err == nil && same(got) {
-				x, r, smaller = c, got, true
+			if got, err := c.runSeed(seed); err == nil && reproduced(got) {
+				x, r, reduced = c, got, true
 				break
 			}
 		}
@@ -188,12 +188,12 @@
 // faults, and if whole is set also a smaller fleet, load and duration. Without a violated
 // rule, a run with fewer servers would fail for another reason.
 func smallerFiles(f File, whole bool) []File {
-	var all []File
+	var files []File
 	add := func(change func(*File)) {
 		smaller := f
 		smaller.Fault = slices.Clone(f.Fault)
 		change(&smaller)
-		all = append(all, smaller)
+		files = append(files, smaller)
 	}
 	if n := len(f.Fault); n > 1 {
 		add(func(s *File) { s.Fault = s.Fault[:n/2] })
@@ -213,23 +213,23 @@
 		}
 	}
 	if !whole {
-		return all
+		return files
 	}
-	if last := f.Warm.Duration + time.Second; f.For.Duration > last {
-		end := last
+	if shortest := f.Warm.Duration + time.Second; f.For.Duration > shortest {
+		end := shortest
 		for _, g := range f.Fault {
 			end = max(end, g.At.Duration+g.For.Duration+time.Second)
 		}
 		for _, d := range []time.Duration{f.For.Duration / 2, end, f.For.Duration - time.Second} {
-			if d >= last && d < f.For.Duration {
+			if d >= shortest && d < f.For.Duration {
 				add(func(s *File) { s.For.Duration = d.Round(time.Millisecond) })
 			}
 		}
 	}
 	halve := func(n int, set func(*File, int)) {
-		for _, less := range []int{n / 2, n - 1} {
-			if less >= 1 && less < n {
-				add(func(s *File) { set(s, less) })
+		for _, fewer := range []int{n / 2, n - 1} {
+			if fewer >= 1 && fewer < n {
+				add(func(s *File) { set(s, fewer) })
 			}
 		}
 	}
@@ -243,7 +243,7 @@
 			s.Load.Tenants, s.Load.Keys, s.Load.Bursts, s.Load.Curve, s.Load.Rash, s.Load.Impatient = 1, 0, false, nil, 0, 0
 		})
 	}
-	return all
+	return files
 }
 
 // Marshal returns the experiment's file as TOML.
--- a/internal/experiment/match.go
+++ b/internal/experiment/match.go
@@ -32,17 +32,17 @@
 // Matched compares runs of one experiment in both modes.
 func Matched(simulated, real []Run) Match {
 	m := Match{Simulated: summarize(simulated).Means, Real: summarize(real).Means}
-	no := func(format string, args ...any) { m.Failed = append(m.Failed, fmt.Sprintf(format, args...)) }
+	fail := func(format string, args ...any) { m.Failed = append(m.Failed, fmt.Sprintf(format, args...)) }
 	if d := m.Real.Share - m.Simulated.Share; d > maxShareDifference || d < -maxShareDifference {
-		no("shares within the aim differ by %.4f, the limit is %.2f", d, maxShareDifference)
+		fail("shares within the aim differ by %.4f, the limit is %.2f", d, maxShareDifference)
 	}
-	apart := func(what string, simulated, real time.Duration, most float64) {
-		if f := float64(real) / float64(max(1, simulated)); f > most || f < 1/most {
-			no("%s on sockets is %.2f times the simulated one, the limit is a factor of %.1f in either direction", what, f, most)
+	checkFactor := func(what string, simulated, real time.Duration, limit float64) {
+		if factor := float64(real) / float64(max(1, simulated)); factor > limit || factor < 1/limit {
+			fail("%s on sockets is %.2f times the simulated one, the limit is a factor of %.1f in either direction", what, factor, limit)
 		}
 	}
-	apart("p50", m.Simulated.P50, m.Real.P50, maxP50Factor)
-	apart("p99", m.Simulated.P99, m.Real.P99, maxP99Factor)
+	checkFactor("p50", m.Simulated.P50, m.Real.P50, maxP50Factor)
+	checkFactor("p99", m.Simulated.P99, m.Real.P99, maxP99Factor)
 	for _, r := range real {
 		m.Failed = append(m.Failed, r.Failed...)
 	}
@@ -50,10 +50,10 @@
 }
 
 // PrintMatches writes matches of the named experiments as a table.
-func PrintMatches(w io.Writer, names []string, all []Match) error {
+func PrintMatches(w io.Writer, names []string, matches []Match) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "EXPERIMENT\tMODE\tWITHIN AIM\tP50\tP99\tATTEMPTS")
-	for i, m := range all {
+	for i, m := range matches {
 		for _, mode := range []struct {
 			name string
 			f    Means
@@ -65,7 +65,7 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for i, m := range all {
+	for i, m := range matches {
 		for _, f := range m.Failed {
 			fmt.Fprintf(w, "%s: %s\n", names[i], f)
 		}
--- a/internal/experiment/match_test.go
+++ b/internal/experiment/match_test.go
@@ -48,9 +48,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan struct{}, 100)
-	played := func() { told <- struct{}{} }
-	if _, err := x.OnRunDone(played).WithPolicy("random").Play(t.Context(), 1, 5); err != nil || len(told) != 5 {
-		t.Errorf("%d calls for 5 runs, %v", len(told), err)
+	calls := make(chan struct{}, 100)
+	runDone := func() { calls <- struct{}{} }
+	if _, err := x.OnRunDone(runDone).WithPolicy("random").Play(t.Context(), 1, 5); err != nil || len(calls) != 5 {
+		t.Errorf("%d calls for 5 runs, %v", len(calls), err)
 	}
 }
--- a/internal/experiment/print.go
+++ b/internal/experiment/print.go
@@ -15,12 +15,12 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SEED\tASKED\tWITHIN AIM\tP50\tP99\tATTEMPTS\tENDS\tDIGEST")
 	for _, r := range runs {
-		var ends []string
-		for _, how := range slices.Sorted(maps.Keys(r.Results.Ends)) {
-			ends = append(ends, fmt.Sprintf("%s %d", how, r.Results.Ends[how]))
+		var outcomes []string
+		for _, outcome := range slices.Sorted(maps.Keys(r.Results.Ends)) {
+			outcomes = append(outcomes, fmt.Sprintf("%s %d", outcome, r.Results.Ends[outcome]))
 		}
 		fmt.Fprintf(t, "%d\t%d\t%.4f\t%v\t%v\t%.3f\t%s\t%s\n", r.Seed, r.Results.Asked, r.Share, r.Results.P50, r.Results.P99,
-			r.Results.PerRequest(), strings.Join(ends, ", "), r.Results.Digest)
+			r.Results.PerRequest(), strings.Join(outcomes, ", "), r.Results.Digest)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/experiment/report/plots.go
+++ b/internal/experiment/report/plots.go
@@ -41,7 +41,7 @@
 
 // drawPlots returns the plots of a run as SVG.
 func drawPlots(x *experiment.Experiment, r experiment.Run) ([]template.HTML, error) {
-	part := func(n, of uint64) float64 {
+	ratio := func(n, of uint64) float64 {
 		if of == 0 {
 			return math.NaN()
 		}
@@ -54,12 +54,12 @@
 		return float64(d) / float64(time.Millisecond)
 	}
 	rate := func(n uint64) float64 { return float64(n) }
-	draw := []func() (*plot.Plot, error){
+	drawers := []func() (*plot.Plot, error){
 		func() (*plot.Plot, error) {
 			return plotOverTime(x, r, "How requests ended, by when they began", "share of the requests", 1, []line{
-				{"within the aim", blue, func(s sim.Second) float64 { return part(s.Within, s.Asked) }},
-				{"refused", orange, func(s sim.Second) float64 { return part(s.Refused, s.Asked) }},
-				{"failed", red, func(s sim.Second) float64 { return part(s.Failed, s.Asked) }},
+				{"within the aim", blue, func(s sim.Second) float64 { return ratio(s.Within, s.Asked) }},
+				{"refused", orange, func(s sim.Second) float64 { return ratio(s.Refused, s.Asked) }},
+				{"failed", red, func(s sim.Second) float64 { return ratio(s.Failed, s.Asked) }},
 			})
 		},
 		func() (*plot.Plot, error) {
@@ -77,8 +77,8 @@
 		},
 		func() (*plot.Plot, error) { return plotServerWork(x, r) },
 	}
-	var all []template.HTML
-	for _, d := range draw {
+	var svgs []template.HTML
+	for _, d := range drawers {
 		p, err := d()
 		if err != nil {
 			return nil, err
@@ -92,12 +92,12 @@
 			return nil, err
 		}
 		from := max(0, bytes.Index(text.Bytes(), []byte("<svg"))) // without the XML declaration
-		all = append(all, template.HTML(text.Bytes()[from:]))     //nolint:gosec // generated here; vgsvg escapes the names
+		svgs = append(svgs, template.HTML(text.Bytes()[from:]))   //nolint:gosec // generated here; vgsvg escapes the names
 	}
-	return all, nil
+	return svgs, nil
 }
 
-func plotOverTime(x *experiment.Experiment, r experiment.Run, title, unit string, most float64, lines []line) (*plot.Plot, error) {
+func plotOverTime(x *experiment.Experiment, r experiment.Run, title, unit string, yMax float64, lines []line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds since the start", unit
 	p.Legend.Top, p.Legend.Left = true, false
@@ -105,26 +105,26 @@
 	p.Add(plotter.NewGrid())
 	p.Y.Min, p.X.Min = 0, 0
 	p.X.Max = math.Max(1, float64(len(r.Results.Seconds)))
-	seen := 0.0
+	highest := 0.0
 	for _, l := range lines {
-		var run plotter.XYs
-		var parts []plotter.XYs
+		var points plotter.XYs
+		var segments []plotter.XYs
 		for n, s := range r.Results.Seconds {
 			v := l.value(s)
 			if math.IsNaN(v) {
-				if len(run) > 0 {
-					parts, run = append(parts, run), nil
+				if len(points) > 0 {
+					segments, points = append(segments, points), nil
 				}
 				continue
 			}
-			seen = math.Max(seen, v)
-			run = append(run, plotter.XY{X: float64(n) + 0.5, Y: v})
+			highest = math.Max(highest, v)
+			points = append(points, plotter.XY{X: float64(n) + 0.5, Y: v})
 		}
-		if len(run) > 0 {
-			parts = append(parts, run)
+		if len(points) > 0 {
+			segments = append(segments, points)
 		}
-		for i, points := range parts {
-			drawn, err := plotter.NewLine(points)
+		for i, segment := range segments {
+			drawn, err := plotter.NewLine(segment)
 			if err != nil {
 				return nil, fmt.Errorf("plot %q: %w", title, err)
 			}
@@ -135,17 +135,17 @@
 			}
 		}
 	}
-	if most == 0 {
-		most = math.Max(seen, 1)
+	if yMax == 0 {
+		yMax = math.Max(highest, 1)
 	}
-	p.Y.Max = most * 1.5 // room for the legend
+	p.Y.Max = yMax * 1.5 // room for the legend
 	for _, f := range x.File.Fault {
 		end := p.X.Max
 		if f.For.Duration > 0 {
 			end = math.Min(end, (f.At.Duration + f.For.Duration).Seconds())
 		}
 		at := math.Min(f.At.Seconds(), end)
-		box, err := plotter.NewPolygon(plotter.XYs{{X: at, Y: 0}, {X: end, Y: 0}, {X: end, Y: most}, {X: at, Y: most}})
+		box, err := plotter.NewPolygon(plotter.XYs{{X: at, Y: 0}, {X: end, Y: 0}, {X: end, Y: yMax}, {X: at, Y: yMax}})
 		if err != nil {
 			return nil, fmt.Errorf("plot %q: %w", title, err)
 		}
@@ -160,11 +160,11 @@
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Work of each server", "share of what it can take"
 	p.X.Label.Text = "servers, in their order"
-	could := x.File.For.Seconds() * float64(x.File.Fleet.Parallel)
+	capacity := x.File.For.Seconds() * float64(x.File.Fleet.Parallel)
 	names := slices.SortedFunc(maps.Keys(r.Results.Work), func(a, b string) int { return serverNumber(a) - serverNumber(b) })
 	var values plotter.Values
 	for _, name := range names {
-		values = append(values, r.Results.Work[name].Seconds()/could)
+		values = append(values, r.Results.Work[name].Seconds()/capacity)
 	}
 	bars, err := plotter.NewBarChart(values, vg.Length(math.Max(0.5, 300/float64(len(values)))))
 	if err != nil {
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -25,13 +25,13 @@
 }
 
 // Write writes a report to a file, atomically.
-func Write(path, title string, parts []Section) error {
+func Write(path, title string, sections []Section) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	defer os.Remove(file.Name()) // no effect once the file is renamed
-	if err := writePage(file, title, parts); err != nil {
+	if err := writePage(file, title, sections); err != nil {
 		file.Close()
 		return fmt.Errorf("report %s: %w", path, err)
 	}
@@ -44,7 +44,7 @@
 	return os.Rename(file.Name(), path)
 }
 
-type row struct {
+type pageRow struct {
 	Seed                     uint64
 	Asked                    uint64
 	Share, Attempts          string
@@ -55,18 +55,18 @@
 	FirstBroken, BrokenRules string
 }
 
-type section struct {
+type pageSection struct {
 	Title, About, Seed string
-	Rows               []row
+	Rows               []pageRow
 	Plots              []template.HTML
 }
 
 func writePage(w io.Writer, title string, parts []Section) error {
-	var sections []section
+	var sections []pageSection
 	for _, p := range parts {
-		s := section{Title: p.Title, About: p.Experiment.File.About, Seed: fmt.Sprint(p.Runs[0].Seed)}
+		s := pageSection{Title: p.Title, About: p.Experiment.File.About, Seed: fmt.Sprint(p.Runs[0].Seed)}
 		for _, r := range p.Runs {
-			s.Rows = append(s.Rows, row{
+			s.Rows = append(s.Rows, pageRow{
 				Seed: r.Seed, Asked: r.Results.Asked, Share: fmt.Sprintf("%.4f", r.Share), Attempts: fmt.Sprintf("%.3f", r.Results.PerRequest()),
 				P50: r.Results.P50.Round(100 * time.Microsecond), P99: r.Results.P99.Round(100 * time.Microsecond),
 				Ends: formatOutcomes(r), Failed: strings.Join(r.Failed, "; "), Digest: r.Results.Digest, Held: len(r.Failed) == 0,
@@ -84,13 +84,13 @@
 
 // formatOutcomes lists how many requests had each outcome, the most frequent first.
 func formatOutcomes(r experiment.Run) string {
-	all := slices.SortedFunc(maps.Keys(r.Results.Ends), func(a, b string) int {
+	outcomes := slices.SortedFunc(maps.Keys(r.Results.Ends), func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.Results.Ends[b], r.Results.Ends[a]), cmp.Compare(a, b))
 	})
-	for i, how := range all {
-		all[i] = fmt.Sprintf("%s %d", how, r.Results.Ends[how])
+	for i, outcome := range outcomes {
+		outcomes[i] = fmt.Sprintf("%s %d", outcome, r.Results.Ends[outcome])
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(outcomes, ", ")
 }
 
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -17,7 +17,7 @@
 // run's results.
 func TestReport(t *testing.T) {
 	racing.Skip(t)
-	var parts []Section
+	var sections []Section
 	for _, name := range []string{"hang", "calm"} {
 		x, err := experiment.Load("../../../experiments/" + name + ".toml")
 		if err != nil {
@@ -27,10 +27,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		parts = append(parts, Section{name + " <&>", x, runs})
+		sections = append(sections, Section{name + " <&>", x, runs})
 	}
 	path := filepath.Join(t.TempDir(), "r.html")
-	if err := Write(path, "All of it", parts); err != nil {
+	if err := Write(path, "All of it", sections); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	page := string(text)
-	for _, want := range []string{"hang &lt;&amp;&gt;", "seconds since the start", "within the aim", "p99", parts[0].Runs[1].Results.Digest} {
+	for _, want := range []string{"hang &lt;&amp;&gt;", "seconds since the start", "within the aim", "p99", sections[0].Runs[1].Results.Digest} {
 		if !strings.Contains(page, want) {
 			t.Errorf("the page lacks %q", want)
 		}
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	if err := Write(filepath.Join(t.TempDir(), "none", "r.html"), "", parts); err == nil {
+	if err := Write(filepath.Join(t.TempDir(), "none", "r.html"), "", sections); err == nil {
 		t.Error("a report was written into a missing directory")
 	}
 	left, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*"))
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -25,14 +25,14 @@
 // Play runs an experiment with the seeds seed, seed+1 and so on, several in parallel; each
 // run has its own simulated time. It stops early when ctx is done.
 func (x *Experiment) Play(ctx context.Context, seed uint64, runs int) ([]Run, error) {
-	all := make([]Run, runs)
+	results := make([]Run, runs)
 	errs := make([]error, runs)
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range min(runs, runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
 			for n := range next {
-				all[n], errs[n] = x.runSeed(seed + uint64(n))
+				results[n], errs[n] = x.runSeed(seed + uint64(n))
 				if x.runDone != nil {
 					x.runDone()
 				}
@@ -57,14 +57,14 @@
 	if i := slices.IndexFunc(errs, func(err error) bool { return err != nil }); i >= 0 {
 		return nil, errs[i]
 	}
-	return all, nil
+	return results, nil
 }
 
 // OnRunDone returns a copy of the experiment that calls a function after each run, on any
 // goroutine.
-func (x *Experiment) OnRunDone(played func()) *Experiment {
+func (x *Experiment) OnRunDone(runDone func()) *Experiment {
 	other := *x
-	other.runDone = played
+	other.runDone = runDone
 	return &other
 }
 
@@ -79,19 +79,19 @@
 // Judge evaluates the results of a run against the file's expectations.
 func (x *Experiment) Judge(seed uint64, r *sim.Results) Run {
 	run := Run{Seed: seed, Results: r, Share: r.Share()}
-	no := func(format string, args ...any) { run.Failed = append(run.Failed, fmt.Sprintf(format, args...)) }
+	fail := func(format string, args ...any) { run.Failed = append(run.Failed, fmt.Sprintf(format, args...)) }
 	if len(r.Broken) > 0 {
-		no("a rule broke: %s", r.First)
+		fail("a rule broke: %s", r.First)
 	}
 	h := x.File.Hold
 	if run.Share < h.Within {
-		no("%.4f served within the aim, want %.4f", run.Share, h.Within)
+		fail("%.4f served within the aim, want %.4f", run.Share, h.Within)
 	}
 	if h.P99.Duration > 0 && r.P99 > h.P99.Duration {
-		no("p99 %v, want %v", r.P99, h.P99)
+		fail("p99 %v, want %v", r.P99, h.P99)
 	}
-	if per := r.PerRequest(); h.Attempts > 0 && per > h.Attempts {
-		no("%.3f attempts per request, want %.3f", per, h.Attempts)
+	if attempts := r.PerRequest(); h.Attempts > 0 && attempts > h.Attempts {
+		fail("%.3f attempts per request, want %.3f", attempts, h.Attempts)
 	}
 	if h.Recovered > 0 {
 		var asked, within uint64
@@ -101,8 +101,8 @@
 				within += s.Within
 			}
 		}
-		if got := float64(within) / float64(max(1, asked)); got < h.Recovered {
-			no("%.4f within the aim from %v on, want %.4f", got, h.From, h.Recovered)
+		if share := float64(within) / float64(max(1, asked)); share < h.Recovered {
+			fail("%.4f within the aim from %v on, want %.4f", share, h.From, h.Recovered)
 		}
 	}
 	return run
@@ -123,28 +123,28 @@
 // Tibshirani, An Introduction to the Bootstrap, 1993, chapter 13) over the seeds.
 func Compare(a, b []Run) Difference {
 	var d Difference
-	each := make([]float64, len(a))
+	differences := make([]float64, len(a))
 	for i := range a {
-		each[i] = b[i].Share - a[i].Share
+		differences[i] = b[i].Share - a[i].Share
 		d.A += a[i].Share / float64(len(a))
 		d.B += b[i].Share / float64(len(a))
-		if each[i] > 0 {
+		if differences[i] > 0 {
 			d.Wins++
 		}
 	}
-	d.Mean, d.Low, d.High = ConfidenceInterval(each, a[0].Seed)
+	d.Mean, d.Low, d.High = ConfidenceInterval(differences, a[0].Seed)
 	return d
 }
 
 // ConfidenceInterval returns the mean and its 95% bootstrap confidence interval.
-func ConfidenceInterval(each []float64, seed uint64) (mean, low, high float64) {
+func ConfidenceInterval(samples []float64, seed uint64) (mean, low, high float64) {
 	rng := rand.New(rand.NewPCG(seed, 95))
 	means := make([]float64, resamples)
 	for i := range means {
-		for range each {
-			means[i] += each[rng.IntN(len(each))] / float64(len(each))
+		for range samples {
+			means[i] += samples[rng.IntN(len(samples))] / float64(len(samples))
 		}
 	}
 	slices.Sort(means)
-	return stat.Mean(each, nil), stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
+	return stat.Mean(samples, nil), stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
 }
--- a/internal/experiment/search_test.go
+++ b/internal/experiment/search_test.go
@@ -28,7 +28,7 @@
 // replay on another build (here: one without the defect) is reported as different.
 func TestHuntFindsAndShrinksViolations(t *testing.T) {
 	racing.Skip(t)
-	for rule, plant := range map[ledger.Breach]sim.Planted{
+	for rule, defects := range map[ledger.Breach]sim.Planted{
 		ledger.PushedOver:   {}, // violated by the random policy, which sends cold servers as much as others
 		ledger.SecondAnswer: {Echo: true},
 		ledger.RanTwice:     {Again: true},
@@ -39,31 +39,31 @@
 			t.Parallel()
 			x := loadExperiment(t, "calm")
 			x.File.For.Duration, x.File.Load.Rate = 5*time.Second, 150
-			x.Options.Planted = plant
+			x.Options.Planted = defects
 			if rule == ledger.PushedOver {
 				x.Options.Policy, x.File.Load.Rate = "random", 600
 			}
-			var said []string
-			found, r, err := x.Hunt(t.Context(), 3, 200, func(text string) { said = append(said, text) })
+			var messages []string
+			found, r, err := x.Hunt(t.Context(), 3, 200, func(text string) { messages = append(messages, text) })
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Results.Broken[rule] == 0 || len(found.File.Fault) > 2 || found.File.Load.Rate > x.File.Load.Rate || len(said) < 2 {
-				t.Fatalf("violations %v; %d faults at %.0f requests/s; progress %q", r.Results.Broken, len(found.File.Fault), found.File.Load.Rate, said)
+			if r.Results.Broken[rule] == 0 || len(found.File.Fault) > 2 || found.File.Load.Rate > x.File.Load.Rate || len(messages) < 2 {
+				t.Fatalf("violations %v; %d faults at %.0f requests/s; progress %q", r.Results.Broken, len(found.File.Fault), found.File.Load.Rate, messages)
 			}
 			text, err := found.Marshal()
 			if err != nil {
 				t.Fatal(err)
 			}
-			again, err := parseText("found.toml", text)
+			replayed, err := parseText("found.toml", text)
 			if err != nil {
 				t.Fatalf("%v in\n%s", err, text)
 			}
-			if _, err := again.Replay(); err == nil || !strings.Contains(err.Error(), "another build") {
+			if _, err := replayed.Replay(); err == nil || !strings.Contains(err.Error(), "another build") {
 				t.Errorf("without the defect: %v", err)
 			}
-			again.Options.Planted, again.Options.Policy = plant, x.Options.Policy
-			if _, err := again.Replay(); err != nil {
+			replayed.Options.Planted, replayed.Options.Policy = defects, x.Options.Policy
+			if _, err := replayed.Replay(); err != nil {
 				t.Error(err)
 			}
 		})
@@ -86,8 +86,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	said := []string{}
-	found, r, err := x.Hunt(t.Context(), 1, 12, func(text string) { said = append(said, text) })
+	messages := []string{}
+	found, r, err := x.Hunt(t.Context(), 1, 12, func(text string) { messages = append(messages, text) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		if got, err := smaller.runSeed(r.Seed); err != nil || 1-got.Share >= 1-r.Share {
-			t.Errorf("fault %d is not needed: %.4f without it, %v; %q", i, got.Share, err, said)
+			t.Errorf("fault %d is not needed: %.4f without it, %v; %q", i, got.Share, err, messages)
 		}
 	}
 	if r.Share > usual.Share-0.01 || len(r.Results.Broken) > 0 || len(found.File.Fault) == 0 {
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -22,12 +22,12 @@
 // Sweep runs a file with each of several values for one key, such as "load.rate" or
 // "fault[1].amount", and the same seeds. An unknown key or an invalid value is an error
 // before the first run. played is called after each run.
-func Sweep(ctx context.Context, path, key string, values []string, policy string, seed uint64, runs int, played func()) ([]SweepStep, error) {
+func Sweep(ctx context.Context, path, key string, values []string, policy string, seed uint64, runs int, runDone func()) ([]SweepStep, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("sweep: %w", err)
 	}
-	var all []*Experiment
+	var experiments []*Experiment
 	for _, v := range values {
 		changed, err := setKey(text, key, v)
 		if err != nil {
@@ -38,15 +38,15 @@
 			return nil, err
 		}
 		x.path = path
-		all = append(all, x)
+		experiments = append(experiments, x)
 	}
 	var steps []SweepStep
-	for i, x := range all {
-		got, err := x.WithPolicy(policy).OnRunDone(played).Play(ctx, seed, runs)
+	for i, x := range experiments {
+		runs, err := x.WithPolicy(policy).OnRunDone(runDone).Play(ctx, seed, runs)
 		if err != nil {
 			return nil, err
 		}
-		steps = append(steps, SweepStep{values[i], got})
+		steps = append(steps, SweepStep{values[i], runs})
 	}
 	return steps, nil
 }
@@ -57,30 +57,30 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, err
 	}
-	at := tree
-	words := strings.Split(key, ".")
-	for i, word := range words[:len(words)-1] {
-		name, index, indexed := strings.Cut(strings.TrimSuffix(word, "]"), "[")
-		next := at[name]
+	parent := tree
+	parts := strings.Split(key, ".")
+	for i, part := range parts[:len(parts)-1] {
+		name, index, indexed := strings.Cut(strings.TrimSuffix(part, "]"), "[")
+		next := parent[name]
 		if indexed {
 			list, _ := next.([]any)
 			n, err := strconv.Atoi(index)
 			if err != nil || n < 1 || n > len(list) {
-				return nil, fmt.Errorf("key %s: %s is not from 1 to %d", key, word, len(list))
+				return nil, fmt.Errorf("key %s: %s is not from 1 to %d", key, part, len(list))
 			}
 			next = list[n-1]
 		}
 		if next == nil && !indexed { // a table that the file omits
 			next = map[string]any{}
-			at[name] = next
+			parent[name] = next
 		}
 		table, ok := next.(map[string]any)
 		if !ok {
-			return nil, fmt.Errorf("key %s: %s is not a table", key, strings.Join(words[:i+1], "."))
+			return nil, fmt.Errorf("key %s: %s is not a table", key, strings.Join(parts[:i+1], "."))
 		}
-		at = table
+		parent = table
 	}
-	at[words[len(words)-1]] = parseValue(value)
+	parent[parts[len(parts)-1]] = parseValue(value)
 	return toml.Marshal(tree)
 }
 
@@ -108,10 +108,10 @@
 
 func summarize(runs []Run) summary {
 	var s summary
-	each := make([]float64, len(runs))
+	shares := make([]float64, len(runs))
 	n := float64(len(runs))
 	for i, r := range runs {
-		each[i] = r.Share
+		shares[i] = r.Share
 		s.P50 += r.Results.P50 / time.Duration(len(runs))
 		s.P99 += r.Results.P99 / time.Duration(len(runs))
 		s.Attempts += r.Results.PerRequest() / n
@@ -122,7 +122,7 @@
 			s.broken++
 		}
 	}
-	s.Share, s.shareLow, s.shareHigh = ConfidenceInterval(each, runs[0].Seed)
+	s.Share, s.shareLow, s.shareHigh = ConfidenceInterval(shares, runs[0].Seed)
 	return s
 }
 
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -19,10 +19,10 @@
 // RunPolicyTable runs each experiment with each policy and the same seeds, and writes a
 // table of how the shares within the aim differ from those of our policy, with 95%
 // confidence intervals; a star marks policies that broke a rule with some seed.
-func RunPolicyTable(ctx context.Context, w io.Writer, names []string, all []*Experiment, seed uint64, runs int) error {
+func RunPolicyTable(ctx context.Context, w io.Writer, names []string, experiments []*Experiment, seed uint64, runs int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "EXPERIMENT\tPOLICY\tWITHIN AIM\tATTEMPTS\tOURS IS BETTER BY\t95% INTERVAL\t")
-	for i, x := range all {
+	for i, x := range experiments {
 		var base []Run
 		for _, policy := range sim.Policies {
 			got, err := x.WithPolicy(policy).Play(ctx, seed, runs)
@@ -33,14 +33,14 @@
 				base = got
 			}
 			d := Compare(got, base)
-			star, attempts := "", 0.0
+			mark, attempts := "", 0.0
 			for _, r := range got {
 				attempts += r.Results.PerRequest() / float64(len(got))
 				if len(r.Results.Broken) > 0 {
-					star = "*"
+					mark = "*"
 				}
 			}
-			fmt.Fprintf(t, "%s\t%s%s\t%.4f\t%.3f\t%+.4f\t%+.4f to %+.4f\t\n", names[i], policy, star, d.A, attempts, d.Mean, d.Low, d.High)
+			fmt.Fprintf(t, "%s\t%s%s\t%.4f\t%.3f\t%+.4f\t%+.4f to %+.4f\t\n", names[i], policy, mark, d.A, attempts, d.Mean, d.Low, d.High)
 		}
 		if err := t.Flush(); err != nil {
 			return err
