--- a/cmd/otterlab/experiment.go
+++ b/cmd/otterlab/experiment.go
@@ -349,7 +349,7 @@
 				x, err := experiment.Load(file)
 				if err == nil {
 					if _, err = x.Replay(); err == nil {
-						fmt.Fprintf(c.OutOrStdout(), "%s: reproduced: %s\n", file, x.File.Found.Failed)
+						fmt.Fprintf(c.OutOrStdout(), "%s: reproduced: %s\n", file, x.File.Found.Failure)
 					}
 				}
 				errs = append(errs, err)
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -27,11 +27,11 @@
 // File is the file format of an experiment. Durations have units; every key but about,
 // class and load.rate has a default.
 type File struct {
-	About string            `toml:"about"`
-	For   tomlfile.Duration `toml:"for"`
-	Warm  tomlfile.Duration `toml:"warm"` // warm-up at the start, left out of the results
-	Found *Found            `toml:"found,omitempty"`
-	Fleet struct {
+	Description string            `toml:"about"`
+	Duration    tomlfile.Duration `toml:"for"`
+	WarmUp      tomlfile.Duration `toml:"warm"` // start of the run, left out of the results
+	Found       *Found            `toml:"found,omitempty"`
+	Fleet       struct {
 		Nodes    int  `toml:"nodes"`
 		Servers  int  `toml:"servers"`
 		Zones    int  `toml:"zones"`
@@ -40,40 +40,40 @@
 		Cold     bool `toml:"cold"`     // all servers have just started when the run begins
 	} `toml:"fleet"`
 	Network struct {
-		Latency tomlfile.Duration `toml:"latency"` // mean one-way latency between node and server
-		Clients tomlfile.Duration `toml:"clients"` // one-way latency between clients and node
-		Loss    float64           `toml:"loss"`
-		Told    tomlfile.Duration `toml:"told"` // mean delay until a node learns of a change
+		Latency   tomlfile.Duration `toml:"latency"` // mean one-way latency between node and server
+		Clients   tomlfile.Duration `toml:"clients"` // one-way latency between clients and node
+		Loss      float64           `toml:"loss"`
+		ListDelay tomlfile.Duration `toml:"told"` // mean delay until a node learns of a change
 	} `toml:"network"`
 	Discovery struct {
-		Asked bool              `toml:"asked"` // nodes query one service, instead of having lists pushed to them
-		Call  tomlfile.Duration `toml:"call"`  // processing time of a call
-		Wait  tomlfile.Duration `toml:"wait"`  // calls that would wait longer are rejected
+		Pull     bool              `toml:"asked"` // nodes query one service, instead of having lists pushed to them
+		CallTime tomlfile.Duration `toml:"call"`  // processing time of a call
+		MaxWait  tomlfile.Duration `toml:"wait"`  // calls that would wait longer are rejected
 	} `toml:"discovery"`
 	Node struct {
-		Attempts   int               `toml:"attempts"`
-		Copies     bool              `toml:"copies"`
-		RetryAfter tomlfile.Duration `toml:"retry_after"`
+		Attempts     int               `toml:"attempts"`
+		SecondCopies bool              `toml:"copies"`
+		RetryAfter   tomlfile.Duration `toml:"retry_after"`
 	} `toml:"node"`
 	Class []Class `toml:"class"`
 	Load  struct {
-		Rate    float64   `toml:"rate"`
-		Tenants int       `toml:"tenants"`
-		Skew    float64   `toml:"skew"`
-		Keys    int       `toml:"keys"`
-		Bursts  bool      `toml:"bursts"`
-		Curve   []float64 `toml:"curve,omitempty"` // factors of the rate, for equal parts of the run
-		Ramp    bool      `toml:"ramp"`            // interpolate between the factors instead of stepping
-		Heed    *float64  `toml:"heed"`
-		Rash    float64   `toml:"rash"`
-		Tries   int       `toml:"tries"`
+		Rate             float64   `toml:"rate"`
+		Tenants          int       `toml:"tenants"`
+		Skew             float64   `toml:"skew"`
+		Keys             int       `toml:"keys"`
+		Bursts           bool      `toml:"bursts"`
+		Curve            []float64 `toml:"curve,omitempty"` // factors of the rate, for equal parts of the run
+		Ramp             bool      `toml:"ramp"`            // interpolate between the factors instead of stepping
+		HonorRetryAfter  *float64  `toml:"heed"`
+		RetryImmediately float64   `toml:"rash"`
+		MaxTries         int       `toml:"tries"`
 		// Impatient is the share of clients that give up, after Patience on average.
 		Impatient float64           `toml:"impatient"`
 		Patience  tomlfile.Duration `toml:"patience"`
 		Trace     string            `toml:"trace,omitempty"` // trace file, relative to this file's directory; see ReadTrace
 	} `toml:"load"`
-	Fault []Fault `toml:"fault,omitempty"`
-	Hold  struct {
+	Fault  []Fault `toml:"fault,omitempty"`
+	Expect struct {
 		Within    float64           `toml:"within"`    // minimum share served within the aim
 		P99       tomlfile.Duration `toml:"p99"`       // maximum p99 of the served requests
 		Attempts  float64           `toml:"attempts"`  // maximum attempts per request
@@ -97,21 +97,21 @@
 
 // Fault is a fault that is injected at a given time.
 type Fault struct {
-	At      tomlfile.Duration `toml:"at"`
-	For     tomlfile.Duration `toml:"for"`
-	What    string            `toml:"what"`
-	Servers []int             `toml:"servers,omitempty"` // indexes from 0
-	Nodes   []int             `toml:"nodes,omitempty"`
-	Zone    *int              `toml:"zone,omitempty"` // all servers of the zone, instead of Servers
-	All     bool              `toml:"all"`
-	Amount  float64           `toml:"amount"`
+	At       tomlfile.Duration `toml:"at"`
+	Duration tomlfile.Duration `toml:"for"`
+	Kind     string            `toml:"what"`
+	Servers  []int             `toml:"servers,omitempty"` // indexes from 0
+	Nodes    []int             `toml:"nodes,omitempty"`
+	Zone     *int              `toml:"zone,omitempty"` // all servers of the zone, instead of Servers
+	All      bool              `toml:"all"`
+	Amount   float64           `toml:"amount"`
 }
 
 // Found records how a hunt found a failing run.
 type Found struct {
-	Seed   uint64 `toml:"seed"`
-	Digest string `toml:"digest"`
-	Failed string `toml:"failed"` // description of the failure
+	Seed    uint64 `toml:"seed"`
+	Digest  string `toml:"digest"`
+	Failure string `toml:"failed"` // description of the failure
 }
 
 // Experiment is a validated file.
@@ -167,8 +167,8 @@
 		}
 		return v
 	}
-	o.For = duration("for", &file.For, 20*time.Second, time.Second)
-	o.Warm = duration("warm", &file.Warm, 2*time.Second, 0)
+	o.For = duration("for", &file.Duration, 20*time.Second, time.Second)
+	o.Warm = duration("warm", &file.WarmUp, 2*time.Second, 0)
 	if o.Warm >= o.For {
 		f.Bad("warm", "%v is not shorter than the whole run of %v", o.Warm, o.For)
 	}
@@ -182,15 +182,15 @@
 		Loss:    share("network.loss", file.Network.Loss),
 	}
 	o.ClientNet = sim.Times{Kind: "constant", Mean: duration("network.clients", &file.Network.Clients, time.Millisecond, 0)}
-	o.Told = sim.Times{Kind: "uniform", Mean: duration("network.told", &file.Network.Told, 100*time.Millisecond, 0)}
+	o.Told = sim.Times{Kind: "uniform", Mean: duration("network.told", &file.Network.ListDelay, 100*time.Millisecond, 0)}
 
-	o.Asked = file.Discovery.Asked
-	o.Call = duration("discovery.call", &file.Discovery.Call, 5*time.Millisecond, 0)
-	o.AskWait = duration("discovery.wait", &file.Discovery.Wait, 2*time.Second, 0)
+	o.Asked = file.Discovery.Pull
+	o.Call = duration("discovery.call", &file.Discovery.CallTime, 5*time.Millisecond, 0)
+	o.AskWait = duration("discovery.wait", &file.Discovery.MaxWait, 2*time.Second, 0)
 
 	s := policy.Defaults()
 	s.Limits = policy.Limits{
-		MaxAttempts: number("node.attempts", &file.Node.Attempts, 3, 16), SecondCopies: file.Node.Copies, Cancel: true,
+		MaxAttempts: number("node.attempts", &file.Node.Attempts, 3, 16), SecondCopies: file.Node.SecondCopies, Cancel: true,
 		MaxRetryAfter: duration("node.retry_after", &file.Node.RetryAfter, time.Second, 0),
 	}
 	if len(file.Class) == 0 || len(file.Class) > maxClasses {
@@ -237,12 +237,12 @@
 		f.Bad("load.rate", "%v requests per second, must be above 0 and at most %d", file.Load.Rate, maxRate)
 	}
 	heed := 1.0
-	if file.Load.Heed != nil {
-		heed = share("load.heed", *file.Load.Heed)
+	if file.Load.HonorRetryAfter != nil {
+		heed = share("load.heed", *file.Load.HonorRetryAfter)
 	}
 	o.Load = sim.Load{
 		Rate: file.Load.Rate, Shares: o.Load.Shares, Tenants: number("load.tenants", &file.Load.Tenants, 1, 1_000_000), Skew: file.Load.Skew,
-		Keys: file.Load.Keys, Bursts: file.Load.Bursts, Habits: comeback.Habits{Heed: heed, Rash: share("load.rash", file.Load.Rash), Tries: number("load.tries", &file.Load.Tries, 1, 100)},
+		Keys: file.Load.Keys, Bursts: file.Load.Bursts, Habits: comeback.Habits{Heed: heed, Rash: share("load.rash", file.Load.RetryImmediately), Tries: number("load.tries", &file.Load.MaxTries, 1, 100)},
 		Impatient: share("load.impatient", file.Load.Impatient), Patience: duration("load.patience", &file.Load.Patience, 200*time.Millisecond, 0),
 	}
 	if file.Load.Trace != "" {
@@ -276,25 +276,25 @@
 	}
 	for i, entry := range file.Fault {
 		key := func(name string) string { return fmt.Sprintf("fault[%d].%s", i+1, name) }
-		if !slices.Contains(sim.Faults, entry.What) {
-			f.Bad(key("what"), "%q is not one of %v", entry.What, sim.Faults)
+		if !slices.Contains(sim.Faults, entry.Kind) {
+			f.Bad(key("what"), "%q is not one of %v", entry.Kind, sim.Faults)
 		}
-		fault := sim.Fault{At: entry.At.Duration, For: entry.For.Duration, What: entry.What, Servers: entry.Servers, Amount: entry.Amount}
+		fault := sim.Fault{At: entry.At.Duration, For: entry.Duration.Duration, What: entry.Kind, Servers: entry.Servers, Amount: entry.Amount}
 		count := servers
-		if entry.What == "node-crash" {
+		if entry.Kind == "node-crash" {
 			fault.Servers, count = entry.Nodes, o.Nodes
 		} else if len(entry.Nodes) > 0 {
 			f.Bad(key("nodes"), "only node-crash takes nodes")
 		}
 		for n := range count {
-			if entry.All || entry.Zone != nil && n%zones == *entry.Zone && entry.What != "node-crash" {
+			if entry.All || entry.Zone != nil && n%zones == *entry.Zone && entry.Kind != "node-crash" {
 				fault.Servers = append(fault.Servers, n)
 			}
 		}
-		if entry.What == "flap" && entry.Amount < 0.05 {
+		if entry.Kind == "flap" && entry.Amount < 0.05 {
 			f.Bad(key("amount"), "%v s between state changes, must be at least 0.05", entry.Amount)
 		}
-		if len(fault.Servers) == 0 && !sim.Broad(entry.What) {
+		if len(fault.Servers) == 0 && !sim.Broad(entry.Kind) {
 			f.Bad(key("servers"), "none given: set servers, nodes, zone or all")
 		}
 		for _, n := range fault.Servers {
@@ -305,8 +305,8 @@
 		}
 		o.Faults = append(o.Faults, fault)
 	}
-	share("hold.within", file.Hold.Within)
-	share("hold.recovered", file.Hold.Recovered)
+	share("hold.within", file.Expect.Within)
+	share("hold.recovered", file.Expect.Recovered)
 	x.File = file
 	if err := f.Err(); err != nil {
 		return nil, err
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -81,7 +81,7 @@
 		case 0:
 			continue
 		case 1:
-			f.At = h.randomStart(f.For.Duration)
+			f.At = h.randomStart(f.Duration.Duration)
 		}
 		file.Fault = append(file.Fault, f)
 	}
@@ -109,16 +109,16 @@
 // randomStart returns a random start time for a fault of the given length, in whole
 // milliseconds.
 func (h *hunter) randomStart(length time.Duration) tomlfile.Duration {
-	warm, end := h.base.File.Warm.Duration, h.base.File.For.Duration
+	warm, end := h.base.File.WarmUp.Duration, h.base.File.Duration.Duration
 	span := max(time.Second, end-warm-length)
 	return tomlfile.Duration{Duration: (warm + time.Duration(h.rng.Float64()*float64(span))).Round(time.Millisecond)}
 }
 
 func (h *hunter) randomFault() Fault {
-	f := Fault{What: sim.Faults[h.rng.IntN(len(sim.Faults))]}
-	f.For.Duration = time.Duration(h.rng.Float64() * float64(h.base.File.For.Duration) / 3).Round(time.Millisecond)
-	f.At = h.randomStart(f.For.Duration)
-	switch f.What {
+	f := Fault{Kind: sim.Faults[h.rng.IntN(len(sim.Faults))]}
+	f.Duration.Duration = time.Duration(h.rng.Float64() * float64(h.base.File.Duration.Duration) / 3).Round(time.Millisecond)
+	f.At = h.randomStart(f.Duration.Duration)
+	switch f.Kind {
 	case "slow":
 		f.Amount = 2 + 10*h.rng.Float64()
 	case "fail":
@@ -132,9 +132,9 @@
 		return indexes
 	}
 	switch {
-	case f.What == "node-crash":
+	case f.Kind == "node-crash":
 		f.Nodes = randomSubset(h.base.Options.Nodes)
-	case !sim.Broad(f.What):
+	case !sim.Broad(f.Kind):
 		f.Servers = randomSubset(len(h.base.Options.Servers))
 	}
 	return f
@@ -177,10 +177,10 @@
 			}
 		}
 	}
-	x.File.Found = &Found{Seed: seed, Digest: r.Results.Digest, Failed: describeRun(r)}
-	x.File.About = fmt.Sprintf("Found by a hunt: %s.", x.File.Found.Failed)
+	x.File.Found = &Found{Seed: seed, Digest: r.Results.Digest, Failure: describeRun(r)}
+	x.File.Description = fmt.Sprintf("Found by a hunt: %s.", x.File.Found.Failure)
 	progress(fmt.Sprintf("shrunk to %d faults, %d servers, %d nodes, %v of %.0f requests a second: %s", len(x.File.Fault), x.File.Fleet.Servers,
-		x.File.Fleet.Nodes, x.File.For, x.File.Load.Rate, describeRun(r)))
+		x.File.Fleet.Nodes, x.File.Duration, x.File.Load.Rate, describeRun(r)))
 	return x, r, nil
 }
 
@@ -208,21 +208,21 @@
 				add(func(s *File) { s.Fault[i].Servers = slices.Delete(slices.Clone(g.Servers), j, j+1) })
 			}
 		}
-		if g.For.Duration > 200*time.Millisecond {
-			add(func(s *File) { s.Fault[i].For.Duration = (g.For.Duration / 2).Round(time.Millisecond) })
+		if g.Duration.Duration > 200*time.Millisecond {
+			add(func(s *File) { s.Fault[i].Duration.Duration = (g.Duration.Duration / 2).Round(time.Millisecond) })
 		}
 	}
 	if !whole {
 		return files
 	}
-	if shortest := f.Warm.Duration + time.Second; f.For.Duration > shortest {
+	if shortest := f.WarmUp.Duration + time.Second; f.Duration.Duration > shortest {
 		end := shortest
 		for _, g := range f.Fault {
-			end = max(end, g.At.Duration+g.For.Duration+time.Second)
+			end = max(end, g.At.Duration+g.Duration.Duration+time.Second)
 		}
-		for _, d := range []time.Duration{f.For.Duration / 2, end, f.For.Duration - time.Second} {
-			if d >= shortest && d < f.For.Duration {
-				add(func(s *File) { s.For.Duration = d.Round(time.Millisecond) })
+		for _, d := range []time.Duration{f.Duration.Duration / 2, end, f.Duration.Duration - time.Second} {
+			if d >= shortest && d < f.Duration.Duration {
+				add(func(s *File) { s.Duration.Duration = d.Round(time.Millisecond) })
 			}
 		}
 	}
@@ -238,9 +238,9 @@
 	if f.Load.Rate > 2 {
 		add(func(s *File) { s.Load.Rate = math.Ceil(f.Load.Rate / 2) })
 	}
-	if f.Load.Tenants > 1 || f.Load.Keys > 0 || f.Load.Bursts || len(f.Load.Curve) > 0 || f.Load.Rash > 0 || f.Load.Impatient > 0 {
+	if f.Load.Tenants > 1 || f.Load.Keys > 0 || f.Load.Bursts || len(f.Load.Curve) > 0 || f.Load.RetryImmediately > 0 || f.Load.Impatient > 0 {
 		add(func(s *File) {
-			s.Load.Tenants, s.Load.Keys, s.Load.Bursts, s.Load.Curve, s.Load.Rash, s.Load.Impatient = 1, 0, false, nil, 0, 0
+			s.Load.Tenants, s.Load.Keys, s.Load.Bursts, s.Load.Curve, s.Load.RetryImmediately, s.Load.Impatient = 1, 0, false, nil, 0, 0
 		})
 	}
 	return files
@@ -265,8 +265,8 @@
 	if err != nil {
 		return Run{}, err
 	}
-	if got := describeRun(r); r.Results.Digest != f.Digest || !strings.HasPrefix(f.Failed, got) {
-		return r, fmt.Errorf("%s: the hunt found %s (digest %s), the replay gave %s (digest %s): another build, or no longer reproducible", x.path, f.Failed, f.Digest, got, r.Results.Digest)
+	if got := describeRun(r); r.Results.Digest != f.Digest || !strings.HasPrefix(f.Failure, got) {
+		return r, fmt.Errorf("%s: the hunt found %s (digest %s), the replay gave %s (digest %s): another build, or no longer reproducible", x.path, f.Failure, f.Digest, got, r.Results.Digest)
 	}
 	return r, nil
 }
--- a/internal/experiment/print.go
+++ b/internal/experiment/print.go
@@ -11,7 +11,7 @@
 
 // PrintRuns writes runs as a table.
 func PrintRuns(w io.Writer, x *Experiment, runs []Run) error {
-	fmt.Fprintf(w, "%s\n\n", x.File.About)
+	fmt.Fprintf(w, "%s\n\n", x.File.Description)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SEED\tASKED\tWITHIN AIM\tP50\tP99\tATTEMPTS\tENDS\tDIGEST")
 	for _, r := range runs {
--- a/internal/experiment/report/plots.go
+++ b/internal/experiment/report/plots.go
@@ -141,8 +141,8 @@
 	p.Y.Max = yMax * 1.5 // room for the legend
 	for _, f := range x.File.Fault {
 		end := p.X.Max
-		if f.For.Duration > 0 {
-			end = math.Min(end, (f.At.Duration + f.For.Duration).Seconds())
+		if f.Duration.Duration > 0 {
+			end = math.Min(end, (f.At.Duration + f.Duration.Duration).Seconds())
 		}
 		at := math.Min(f.At.Seconds(), end)
 		box, err := plotter.NewPolygon(plotter.XYs{{X: at, Y: 0}, {X: end, Y: 0}, {X: end, Y: yMax}, {X: at, Y: yMax}})
@@ -160,7 +160,7 @@
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Work of each server", "share of what it can take"
 	p.X.Label.Text = "servers, in their order"
-	capacity := x.File.For.Seconds() * float64(x.File.Fleet.Parallel)
+	capacity := x.File.Duration.Seconds() * float64(x.File.Fleet.Parallel)
 	names := slices.SortedFunc(maps.Keys(r.Results.Work), func(a, b string) int { return serverNumber(a) - serverNumber(b) })
 	var values plotter.Values
 	for _, name := range names {
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -64,7 +64,7 @@
 func writePage(w io.Writer, title string, parts []Section) error {
 	var sections []pageSection
 	for _, p := range parts {
-		s := pageSection{Title: p.Title, About: p.Experiment.File.About, Seed: fmt.Sprint(p.Runs[0].Seed)}
+		s := pageSection{Title: p.Title, About: p.Experiment.File.Description, Seed: fmt.Sprint(p.Runs[0].Seed)}
 		for _, r := range p.Runs {
 			s.Rows = append(s.Rows, pageRow{
 				Seed: r.Seed, Asked: r.Results.Asked, Share: fmt.Sprintf("%.4f", r.Share), Attempts: fmt.Sprintf("%.3f", r.Results.PerRequest()),
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -83,7 +83,7 @@
 	if len(r.Broken) > 0 {
 		fail("a rule broke: %s", r.First)
 	}
-	h := x.File.Hold
+	h := x.File.Expect
 	if run.Share < h.Within {
 		fail("%.4f served within the aim, want %.4f", run.Share, h.Within)
 	}
--- a/internal/experiment/search_test.go
+++ b/internal/experiment/search_test.go
@@ -38,7 +38,7 @@
 		t.Run(string(rule), func(t *testing.T) {
 			t.Parallel()
 			x := loadExperiment(t, "calm")
-			x.File.For.Duration, x.File.Load.Rate = 5*time.Second, 150
+			x.File.Duration.Duration, x.File.Load.Rate = 5*time.Second, 150
 			x.Options.Planted = defects
 			if rule == ledger.PushedOver {
 				x.Options.Policy, x.File.Load.Rate = "random", 600
@@ -77,7 +77,7 @@
 // shrinks it to faults none of which can be left out.
 func TestHuntForTheWorstRun(t *testing.T) {
 	x := loadExperiment(t, "calm")
-	x.File.For.Duration, x.File.Load.Rate = 5*time.Second, 150
+	x.File.Duration.Duration, x.File.Load.Rate = 5*time.Second, 150
 	x, err := x.withFile(x.File)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -42,11 +42,11 @@
 	}
 	var steps []SweepStep
 	for i, x := range experiments {
-		runs, err := x.WithPolicy(policy).OnRunDone(runDone).Play(ctx, seed, runs)
+		results, err := x.WithPolicy(policy).OnRunDone(runDone).Play(ctx, seed, runs)
 		if err != nil {
 			return nil, err
 		}
-		steps = append(steps, SweepStep{values[i], runs})
+		steps = append(steps, SweepStep{values[i], results})
 	}
 	return steps, nil
 }
