--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -21,7 +21,7 @@
 
 // Sweep runs a file with each of several values for one key, such as "load.rate" or
 // "fault[1].amount", and the same seeds. An unknown key or an invalid value is an error
-// before the first run. played is called after each run.
+// before the first run. runDone is called after each run.
 func Sweep(ctx context.Context, path, key string, values []string, policy string, seed uint64, runs int, runDone func()) ([]SweepStep, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
