--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -14,27 +14,27 @@
 	"otterstep/internal/sim"
 )
 
-// Run is one seed's.
+// Run is the result of an experiment with one seed.
 type Run struct {
 	Seed    uint64       `json:"seed"`
 	Results *sim.Results `json:"results"`
-	Share   float64      `json:"share"`  // served within the aim
-	Failed  []string     `json:"failed"` // what did not hold
+	Share   float64      `json:"share"`  // share of the requests served within the aim
+	Failed  []string     `json:"failed"` // the expectations that were not met
 }
 
-// Play plays an experiment with seeds seed, seed+1 and so on, several at once; each run
-// is alone in its own time. It ends early with ctx.
-func (x *Experiment) Play(ctx context.Context, seed uint64, runs int) ([]Run, error) {
-	all := make([]Run, runs)
+// Run runs an experiment with the seeds seed, seed+1 and so on, several in parallel; each
+// run has its own simulated time. It stops early when ctx is done.
+func (x *Experiment) Run(ctx context.Context, seed uint64, runs int) ([]Run, error) {
+	results := make([]Run, runs)
 	errs := make([]error, runs)
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range min(runs, runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
 			for n := range next {
-				all[n], errs[n] = x.play(seed + uint64(n))
-				if x.played != nil {
-					x.played()
+				results[n], errs[n] = x.runSeed(seed + uint64(n))
+				if x.runDone != nil {
+					x.runDone()
 				}
 			}
 		})
@@ -57,41 +57,41 @@
 	if i := slices.IndexFunc(errs, func(err error) bool { return err != nil }); i >= 0 {
 		return nil, errs[i]
 	}
-	return all, nil
+	return results, nil
 }
 
-// Told gives the experiment with a function that is told of each run's end, on any
+// OnRunDone returns a copy of the experiment that calls a function after each run, on any
 // goroutine.
-func (x *Experiment) Told(played func()) *Experiment {
+func (x *Experiment) OnRunDone(runDone func()) *Experiment {
 	other := *x
-	other.played = played
+	other.runDone = runDone
 	return &other
 }
 
-func (x *Experiment) play(seed uint64) (Run, error) {
+func (x *Experiment) runSeed(seed uint64) (Run, error) {
 	w, err := sim.New(x.Options, seed)
 	if err != nil {
 		return Run{}, err
 	}
-	return x.Judge(seed, w.Run()), nil
+	return x.Evaluate(seed, w.Run()), nil
 }
 
-// Judge holds what came of a run against what must hold.
-func (x *Experiment) Judge(seed uint64, r *sim.Results) Run {
+// Evaluate evaluates the results of a run against the file's expectations.
+func (x *Experiment) Evaluate(seed uint64, r *sim.Results) Run {
 	run := Run{Seed: seed, Results: r, Share: r.Share()}
-	no := func(format string, args ...any) { run.Failed = append(run.Failed, fmt.Sprintf(format, args...)) }
+	fail := func(format string, args ...any) { run.Failed = append(run.Failed, fmt.Sprintf(format, args...)) }
 	if len(r.Broken) > 0 {
-		no("a rule broke: %s", r.First)
+		fail("a rule broke: %s", r.First)
 	}
-	h := x.File.Hold
+	h := x.File.Expect
 	if run.Share < h.Within {
-		no("%.4f served within the aim, want %.4f", run.Share, h.Within)
+		fail("%.4f served within the aim, want %.4f", run.Share, h.Within)
 	}
 	if h.P99.Duration > 0 && r.P99 > h.P99.Duration {
-		no("p99 %v, want %v", r.P99, h.P99)
+		fail("p99 %v, want %v", r.P99, h.P99)
 	}
-	if per := r.PerRequest(); h.Attempts > 0 && per > h.Attempts {
-		no("%.3f attempts a request, want %.3f", per, h.Attempts)
+	if attempts := r.PerRequest(); h.Attempts > 0 && attempts > h.Attempts {
+		fail("%.3f attempts per request, want %.3f", attempts, h.Attempts)
 	}
 	if h.Recovered > 0 {
 		var asked, within uint64
@@ -101,50 +101,50 @@
 				within += s.Within
 			}
 		}
-		if got := float64(within) / float64(max(1, asked)); got < h.Recovered {
-			no("%.4f within the aim from %v on, want %.4f", got, h.From, h.Recovered)
+		if share := float64(within) / float64(max(1, asked)); share < h.Recovered {
+			fail("%.4f within the aim from %v on, want %.4f", share, h.From, h.Recovered)
 		}
 	}
 	return run
 }
 
-// Difference is how two experiments' shares within the aim differ over the same seeds.
+// Difference compares the shares within the aim of two experiments over the same seeds.
 type Difference struct {
 	A, B      float64 // means
-	Mean      float64 // of B less A
-	Low, High float64 // 95% interval of it, by the bootstrap
+	Mean      float64 // of B minus A
+	Low, High float64 // its 95% bootstrap confidence interval
 	Wins      int     // seeds at which B is better
 }
 
-// resamples of the bootstrap.
+// resamples is the number of bootstrap resamples.
 const resamples = 2000
 
-// Compare pairs runs of the same seeds; the interval is the percentile bootstrap's (Efron
-// and Tibshirani, An Introduction to the Bootstrap, 1993, chapter 13) over seeds.
+// Compare pairs runs by seed; the interval is the percentile bootstrap's (Efron and
+// Tibshirani, An Introduction to the Bootstrap, 1993, chapter 13) over the seeds.
 func Compare(a, b []Run) Difference {
 	var d Difference
-	each := make([]float64, len(a))
+	differences := make([]float64, len(a))
 	for i := range a {
-		each[i] = b[i].Share - a[i].Share
+		differences[i] = b[i].Share - a[i].Share
 		d.A += a[i].Share / float64(len(a))
 		d.B += b[i].Share / float64(len(a))
-		if each[i] > 0 {
+		if differences[i] > 0 {
 			d.Wins++
 		}
 	}
-	d.Mean, d.Low, d.High = Interval(each, a[0].Seed)
+	d.Mean, d.Low, d.High = ConfidenceInterval(differences, a[0].Seed)
 	return d
 }
 
-// Interval gives a mean and its 95% interval.
-func Interval(each []float64, seed uint64) (mean, low, high float64) {
+// ConfidenceInterval returns the mean and its 95% bootstrap confidence interval.
+func ConfidenceInterval(samples []float64, seed uint64) (mean, low, high float64) {
 	rng := rand.New(rand.NewPCG(seed, 95))
 	means := make([]float64, resamples)
 	for i := range means {
-		for range each {
-			means[i] += each[rng.IntN(len(each))] / float64(len(each))
+		for range samples {
+			means[i] += samples[rng.IntN(len(samples))] / float64(len(samples))
 		}
 	}
 	slices.Sort(means)
-	return stat.Mean(each, nil), stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
+	return stat.Mean(samples, nil), stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
 }
--- a/internal/sip/bench_test.go
+++ b/internal/sip/bench_test.go
@@ -48,9 +48,9 @@
 		b.Fatal(err)
 	}
 	defer c.Close()
-	o := load.Options{For: d, Steady: true, Open: 20_000, TimeOut: 5 * time.Second, Aim: 500 * time.Millisecond}
+	o := load.Options{Duration: d, Steady: true, MaxOpen: 20_000, Timeout: 5 * time.Second, Aim: 500 * time.Millisecond}
 	if rate == 0 {
-		o.Closed = 32
+		o.ClosedClients = 32
 	} else {
 		o.Rate = func(time.Duration) float64 { return rate }
 	}
@@ -76,7 +76,7 @@
 			for range b.N {
 				addr, servers, _ := benchDesk(b, plain, 4)
 				most := calls(b, addr, 0, span)
-				best := float64(most.Ends["served"]) / span.Seconds()
+				best := float64(most.Outcomes["served"]) / span.Seconds()
 				b.ReportMetric(best, "calls/s")
 				for _, part := range []float64{0.5, 0.9} {
 					r := calls(b, addr, best*part, span)
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -241,7 +241,7 @@
 			}
 			return c.opt.Rate
 		},
-		For: maxRun, Open: c.opt.MaxOpen, TimeOut: longest + answerGrace, Seed: c.opt.Seed, Record: c.latencies,
+		Duration: maxRun, MaxOpen: c.opt.MaxOpen, Timeout: longest + answerGrace, Seed: c.opt.Seed, Record: c.latencies,
 	})
 	if err != nil {
 		report.Void = err.Error()
@@ -250,8 +250,8 @@
 	c.report = report
 }
 
-// Ask implements load.Target: it sends one client's request, with all of its tries.
-func (c *Clients) Ask(ctx context.Context, n uint64, due time.Time) load.Outcome {
+// Do implements load.Target: it sends one client's request, with all of its tries.
+func (c *Clients) Do(ctx context.Context, n uint64, due time.Time) load.Outcome {
 	rng := rand.New(rand.NewPCG(c.opt.Seed, n))
 	e := RequestResult{Class: c.drawClass(rng.Float64()), Due: due, Outcome: Lost}
 	class := c.opt.Classes[e.Class]
--- a/internal/standin/lab/experiment.go
+++ b/internal/standin/lab/experiment.go
@@ -63,7 +63,7 @@
 		return experiment.Run{}, err
 	}
 	l.StopClients()
-	run := x.Judge(seed, p.collectResults())
+	run := x.Evaluate(seed, p.collectResults())
 	if void := l.Clients.Report().Void; void != "" {
 		run.Failed = append(run.Failed, "void: "+void)
 	}
--- a/internal/standin/lab/experiment_test.go
+++ b/internal/standin/lab/experiment_test.go
@@ -105,7 +105,7 @@
 // and the latencies.
 func TestSimulatedAgainstReal(t *testing.T) {
 	x := loadExperiment(t, experimentText)
-	simulated, err := x.Play(t.Context(), 1, 3)
+	simulated, err := x.Run(t.Context(), 1, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 	}
 	// The tolerances are wider than those of otterlab experiment match, as the test runs under the race detector, on two
 	// cores and beside other tests.
-	m := experiment.Matched(simulated, []experiment.Run{onSockets})
+	m := experiment.CompareModes(simulated, []experiment.Run{onSockets})
 	if d := m.Real.Share - m.Simulated.Share; d < -0.05 || d > 0.05 {
 		t.Errorf("within the aim: %.4f simulated, %.4f on sockets", m.Simulated.Share, m.Real.Share)
 	}
--- a/internal/standin/sipua/calls.go
+++ b/internal/standin/sipua/calls.go
@@ -81,10 +81,10 @@
 // FailedHangups returns the number of calls whose BYE was not answered 200. It is final once Close has returned.
 func (c *Calls) FailedHangups() int { return int(c.failedHangups.Load()) }
 
-// Ask implements load.Target. An answer 2xx counts as Served, 503 and 480 as Refused, any
+// Do implements load.Target. An answer 2xx counts as Served, 503 and 480 as Refused, any
 // other as Failed. Without an answer before ctx's deadline the call is Broken and its INVITE
 // is cancelled.
-func (c *Calls) Ask(ctx context.Context, n uint64, _ time.Time) load.Outcome {
+func (c *Calls) Do(ctx context.Context, n uint64, _ time.Time) load.Outcome {
 	select {
 	case c.hangupSlots <- struct{}{}:
 	case <-ctx.Done():
--- a/internal/standin/sipua/calls_test.go
+++ b/internal/standin/sipua/calls_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		r, err := load.Run(t.Context(), c, load.Options{
-			For: time.Second, Open: 200, TimeOut: 400 * time.Millisecond, Aim: 300 * time.Millisecond, Steady: true,
+			Duration: time.Second, MaxOpen: 200, Timeout: 400 * time.Millisecond, Aim: 300 * time.Millisecond, Steady: true,
 			Rate: func(time.Duration) float64 { return 80 },
 		})
 		if err != nil {
@@ -53,11 +53,11 @@
 		}
 		c.Close()
 		for _, how := range []string{"served", "refused", "failed", "broken"} {
-			if got := r.Ends[how]; got < 15 || got > 25 {
+			if got := r.Outcomes[how]; got < 15 || got > 25 {
 				t.Errorf("%s: %d calls %s of %d", transport, got, how, r.Sent)
 			}
 		}
-		if served := r.Ends["served"]; r.Within > served || r.Within == 0 || s.Count("BYE", "") != int(served) || c.FailedHangups() > 0 {
+		if served := r.Outcomes["served"]; r.Within > served || r.Within == 0 || s.Count("BYE", "") != int(served) || c.FailedHangups() > 0 {
 			t.Errorf("%s: %d set up, %d of them in time, %d BYEs, %d not ended", transport, served, r.Within, s.Count("BYE", ""), c.FailedHangups())
 		}
 		for _, u := range c.callers {
--- a/internal/web/bench_test.go
+++ b/internal/web/bench_test.go
@@ -89,8 +89,8 @@
 		for name, at := range benchProxies(b, addrs) {
 			b.Run(c.name+"/"+name, func(b *testing.B) {
 				for range b.N {
-					r := benchLoad(b, at, load.Options{Closed: 32, For: span, Open: 1000, TimeOut: 10 * time.Second})
-					b.ReportMetric(float64(r.Ends["served"])/span.Seconds(), "served/s")
+					r := benchLoad(b, at, load.Options{ClosedClients: 32, Duration: span, MaxOpen: 1000, Timeout: 10 * time.Second})
+					b.ReportMetric(float64(r.Outcomes["served"])/span.Seconds(), "served/s")
 					b.ReportMetric(float64(r.P50.Microseconds())/1000, "ms-p50")
 					b.ReportMetric(float64(r.P99.Microseconds())/1000, "ms-p99")
 				}
@@ -103,10 +103,10 @@
 			b.Run(mode+"/"+name, func(b *testing.B) {
 				for range b.N {
 					fault.Store("")
-					rate := load.Options{For: span, Open: 4000, TimeOut: 5 * time.Second, Aim: 500 * time.Millisecond, Rate: func(time.Duration) float64 { return 200 }}
+					rate := load.Options{Duration: span, MaxOpen: 4000, Timeout: 5 * time.Second, Aim: 500 * time.Millisecond, Rate: func(time.Duration) float64 { return 200 }}
 					benchLoad(b, at, rate)
 					fault.Store(mode)
-					rate.For = 2 * span
+					rate.Duration = 2 * span
 					r := benchLoad(b, at, rate)
 					b.ReportMetric(100*float64(r.Within)/float64(r.Sent), "%-in-500ms")
 				}
@@ -118,7 +118,7 @@
 
 func benchLoad(b *testing.B, at string, o load.Options) load.Report {
 	b.Helper()
-	h, err := load.NewHTTP(load.HTTPOptions{URL: "http://" + at + "/x", Method: http.MethodGet, Kept: 256})
+	h, err := load.NewHTTP(load.HTTPOptions{URL: "http://" + at + "/x", Method: http.MethodGet, MaxIdlePerSource: 256})
 	if err != nil {
 		b.Fatal(err)
 	}
