--- a/internal/sip/config.go
+++ b/internal/sip/config.go
@@ -169,7 +169,7 @@
 var transports = map[string]proxy.Transport{"udp": proxy.UDP, "tcp": proxy.TCP, "tls": proxy.TLS}
 
 // sealer reads the tokens' key.
-func (c *Config) sealer() (*token.Sealer, error) {
+func (c *Config) sealer() (*token.Signer, error) {
 	if c.TokenKey == "" {
 		return nil, errors.New("none given: a file of 32 random bytes or more, the same at all instances, as with head -c 32 /dev/urandom")
 	}
--- a/internal/sip/message/message.go
+++ b/internal/sip/message/message.go
@@ -1,6 +1,5 @@
-// Package message reads and writes SIP messages (RFC 3261 section 7) as a proxy needs
-// them: what it does not understand passes unchanged, what it must understand is read
-// strictly. It does no I/O.
+// Package message parses and encodes SIP messages (RFC 3261 section 7) for a proxy. Fields
+// that a proxy does not interpret pass unchanged; those that it acts on are parsed strictly.
 package message
 
 import (
@@ -10,14 +9,14 @@
 	"strings"
 )
 
-// Most bounds; a message beyond them is an error.
+// Limits of a message's header; Parse rejects a message that exceeds them.
 const (
-	MostFields = 256
-	MostLine   = 8 << 10 // bytes of a start line or of a header field with its folds
+	MaxFields    = 256
+	MaxLineBytes = 8 << 10 // start line, or header field with its folded lines
 )
 
-// Methods that a proxy treats in ways of their own. Methods are case-sensitive, so
-// "invite" is another one (RFC 3261 section 7.1).
+// Methods with special handling in the proxy. Methods are case-sensitive, so "invite" is a
+// different method (RFC 3261 section 7.1).
 const (
 	Invite    = "INVITE"
 	Ack       = "ACK"
@@ -28,43 +27,43 @@
 	Subscribe = "SUBSCRIBE"
 )
 
-// Field is one header field. Via, Route and Record-Route fields with several values
-// are split, so that each holds one.
+// Field is one header field. Via, Route and Record-Route fields with several values are
+// split into one Field for each value.
 type Field struct {
-	Name  string // canonical and lower case, as in "call-id" also for "i"
-	Value string // unfolded, without space around it
+	Name  string // full name in lower case: "call-id", also for the compact form "i"
+	Value string // unfolded and trimmed
 }
 
 // Message is a request or a response.
 type Message struct {
-	Method string // of a request; "" in a response
+	Method string // "" in a response
 	URI    string // the Request-URI
-	Code   int    // of a response
+	Code   int    // status code of a response
 	Reason string
 	Fields []Field
 	Body   []byte
 
-	// What Parse has read of the fields. It does not follow changes to Fields.
-	Via     Via // the topmost
-	CallID  string
-	CSeq    uint32
-	CSeqOf  string // the method in CSeq
-	FromTag string
-	ToTag   string
+	// Values that Parse read from the fields. They don't follow later changes to Fields.
+	Via        Via // the topmost
+	CallID     string
+	CSeq       uint32
+	CSeqMethod string // the method in CSeq
+	FromTag    string
+	ToTag      string
 }
 
-// Request tells a request from a response.
-func (m *Message) Request() bool { return m.Method != "" }
+func (m *Message) IsRequest() bool { return m.Method != "" }
 
-// compact maps the short names of RFC 3261 section 7.3.3 and of the registry.
-var compact = map[string]string{
+// compactForms maps the compact names of RFC 3261 section 7.3.3 and of the IANA registry to
+// the full ones.
+var compactForms = map[string]string{
 	"a": "accept-contact", "b": "referred-by", "c": "content-type", "d": "request-disposition",
 	"e": "content-encoding", "f": "from", "i": "call-id", "j": "reject-contact", "k": "supported",
 	"l": "content-length", "m": "contact", "o": "event", "r": "refer-to", "s": "subject",
 	"t": "to", "u": "allow-events", "v": "via", "x": "session-expires", "y": "identity",
 }
 
-// Get gives the value of the first field of a name, which is written as in Field.
+// Get returns the value of the first field called name, which is spelled as in Field.Name.
 func (m *Message) Get(name string) (string, bool) {
 	for _, f := range m.Fields {
 		if f.Name == name {
@@ -74,7 +73,7 @@
 	return "", false
 }
 
-// All gives the values of the fields of a name, in their order.
+// All returns the values of all fields called name, in order.
 func (m *Message) All(name string) (values []string) {
 	for _, f := range m.Fields {
 		if f.Name == name {
@@ -84,7 +83,7 @@
 	return values
 }
 
-// Set replaces the first field of a name, or adds one at the end.
+// Set replaces the first field called name, or appends one.
 func (m *Message) Set(name, value string) {
 	for i := range m.Fields {
 		if m.Fields[i].Name == name {
@@ -95,7 +94,7 @@
 	m.Fields = append(m.Fields, Field{name, value})
 }
 
-// Push puts a field before all others of its name; a Via goes to the very top.
+// Push inserts a field before all others of its name; a Via goes before all other fields.
 func (m *Message) Push(name, value string) {
 	at := 0
 	if name != "via" {
@@ -108,7 +107,7 @@
 	m.Fields[at] = Field{name, value}
 }
 
-// Pop takes the first field of a name away.
+// Pop removes the first field called name.
 func (m *Message) Pop(name string) {
 	for i, f := range m.Fields {
 		if f.Name == name {
@@ -118,7 +117,7 @@
 	}
 }
 
-// Drop takes all fields of a name away.
+// Drop removes all fields called name.
 func (m *Message) Drop(name string) {
 	kept := m.Fields[:0]
 	for _, f := range m.Fields {
@@ -129,22 +128,21 @@
 	m.Fields = kept
 }
 
-// Clone copies a message so that changes to one's fields do not show in the other. The
-// body is shared, as nobody writes to it.
+// Clone copies a message with its fields. The body is shared, since it is never modified.
 func (m *Message) Clone() *Message {
 	c := *m
 	c.Fields = append(make([]Field, 0, len(m.Fields)+4), m.Fields...)
 	return &c
 }
 
-// Encode writes a message; Content-Length is what the body has.
+// Encode serializes a message. It sets Content-Length to the length of the body.
 func (m *Message) Encode() []byte {
 	n := 64 + len(m.URI) + len(m.Body)
 	for _, f := range m.Fields {
 		n += len(f.Name) + len(f.Value) + 4
 	}
 	b := bytes.NewBuffer(make([]byte, 0, n))
-	if m.Request() {
+	if m.IsRequest() {
 		b.WriteString(m.Method)
 		b.WriteByte(' ')
 		b.WriteString(m.URI)
@@ -160,7 +158,7 @@
 		if f.Name == "content-length" {
 			continue
 		}
-		b.WriteString(spelling(f.Name))
+		b.WriteString(canonicalName(f.Name))
 		b.WriteString(": ")
 		b.WriteString(f.Value)
 		b.WriteString("\r\n")
@@ -172,15 +170,15 @@
 	return b.Bytes()
 }
 
-// spellings are those that the usual capitals of words would not give.
-var spellings = map[string]string{
+// canonicalNames holds the names that capitalizing each word would spell wrongly.
+var canonicalNames = map[string]string{
 	"call-id": "Call-ID", "cseq": "CSeq", "www-authenticate": "WWW-Authenticate", "mime-version": "MIME-Version",
 	"rseq": "RSeq", "rack": "RAck", "sip-etag": "SIP-ETag", "sip-if-match": "SIP-If-Match",
 }
 
-// spelling writes a name as people do; names are read without regard to case.
-func spelling(name string) string {
-	if s := spellings[name]; s != "" {
+// canonicalName spells a field name in its usual capitals. Receivers ignore the case.
+func canonicalName(name string) string {
+	if s := canonicalNames[name]; s != "" {
 		return s
 	}
 	b := []byte(name)
@@ -192,8 +190,9 @@
 	return string(b)
 }
 
-// reasons words the status codes that this project answers with.
-var reasons = map[int]string{
+// reasonPhrases are the reason phrases of the status codes that the proxy and the test user
+// agents send.
+var reasonPhrases = map[int]string{
 	100: "Trying", 200: "OK", 400: "Bad Request", 403: "Forbidden", 408: "Request Timeout",
 	413: "Request Entity Too Large", 416: "Unsupported URI Scheme", 420: "Bad Extension", 430: "Flow Failed",
 	481: "Call/Transaction Does Not Exist", 482: "Loop Detected", 483: "Too Many Hops", 487: "Request Terminated",
@@ -203,12 +202,12 @@
 	600: "Busy Everywhere", 603: "Decline",
 }
 
-// Response makes an answer to a request: Via, From, To, Call-ID and CSeq are its own
-// (RFC 3261 section 8.2.6), with tag in To where it has none and code is over 100.
+// Response makes a response to a request. Via, From, To, Call-ID and CSeq are copied from
+// the request (RFC 3261 section 8.2.6). If To has no tag and code is above 100, tag is added.
 func (m *Message) Response(code int, tag string) *Message {
 	r := &Message{
-		Code: code, Reason: reasons[code],
-		Via: m.Via, CallID: m.CallID, CSeq: m.CSeq, CSeqOf: m.CSeqOf, FromTag: m.FromTag, ToTag: m.ToTag,
+		Code: code, Reason: reasonPhrases[code],
+		Via: m.Via, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: m.CSeqMethod, FromTag: m.FromTag, ToTag: m.ToTag,
 	}
 	r.Fields = make([]Field, 0, 8)
 	for _, f := range m.Fields {
@@ -227,10 +226,10 @@
 	return r
 }
 
-// Error is what is wrong with a message, in words for its sender.
+// Error describes what is wrong with a message. The proxy sends it in a Warning field.
 type Error struct {
-	Code  int    // the response that a request deserves; see RFC 3261 section 21
-	Field string // where
+	Code  int    // status code for the response; see RFC 3261 section 21
+	Field string // name of the faulty field; "" if none
 	Text  string
 }
 
@@ -242,18 +241,18 @@
 	return e.Field + ": " + e.Text
 }
 
-func bad(field, format string, args ...any) error {
+func badRequest(field, format string, args ...any) error {
 	return &Error{400, field, fmt.Sprintf(format, args...)}
 }
 
-// tokenChar tells the characters of a token (RFC 3261 section 25.1).
-func tokenChar(c byte) bool {
+// isTokenChar reports whether c may occur in a token (RFC 3261 section 25.1).
+func isTokenChar(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-.!%*_+`'~", c) >= 0
 }
 
 func isToken(s string) bool {
 	for i := range len(s) {
-		if !tokenChar(s[i]) {
+		if !isTokenChar(s[i]) {
 			return false
 		}
 	}
--- a/internal/sip/message/parse.go
+++ b/internal/sip/message/parse.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// Parse reads one whole message, as a datagram holds it; what follows a body of its
-// stated length is dropped (RFC 3261 section 18.3). The message keeps none of data.
+// Parse parses one complete message, as received in a datagram. Bytes after a body of the
+// stated Content-Length are discarded (RFC 3261 section 18.3). The message does not retain
+// data.
 //
-// Beside an error it gives what could be read, if that is a request and enough for a
-// response: see Answerable.
+// Along with an error, Parse may return the part that it could read. Answerable reports
+// whether that is enough for a response.
 func Parse(data []byte) (*Message, error) {
 	data = bytes.TrimLeft(data, "\r\n") // RFC 3261 section 7.5
-	end := headEnd(data)
+	end := headerEnd(data)
 	if end < 0 {
-		return nil, bad("", "no empty line ends the header")
+		return nil, badRequest("", "no empty line ends the header")
 	}
-	m, length, err := head(data[:end])
+	m, length, err := parseHeader(data[:end])
 	if m == nil {
 		return nil, err
 	}
@@ -26,7 +27,7 @@
 	if length >= 0 {
 		if length > len(body) {
 			if err == nil {
-				err = bad("Content-Length", "%d, but %d bytes follow", length, len(body))
+				err = badRequest("Content-Length", "%d, but %d bytes follow", length, len(body))
 			}
 			return m, err
 		}
@@ -38,17 +39,18 @@
 	return m, err
 }
 
-// headEnd gives where a header with its empty line ends; -1 if it does not.
-func headEnd(data []byte) int {
+// headerEnd returns the offset behind the empty line that ends the header, or -1.
+func headerEnd(data []byte) int {
 	if i := bytes.Index(data, []byte("\r\n\r\n")); i >= 0 {
 		return i + 4
 	}
 	return -1
 }
 
-// head reads a start line and fields. length is -1 where none is told. Only the first
-// error is told; the message is nil when not even its kind is known.
-func head(data []byte) (m *Message, length int, err error) {
+// parseHeader parses a start line and the fields. length is the Content-Length, or -1 if
+// there is none. Only the first error is returned. The message is nil if the start line does
+// not show whether it is a request or a response.
+func parseHeader(data []byte) (m *Message, length int, err error) {
 	length = -1
 	note := func(e error) {
 		if err == nil {
@@ -57,7 +59,7 @@
 	}
 	text := string(data[:len(data)-4])
 	start, rest, _ := strings.Cut(text, "\r\n")
-	m, e := startLine(start)
+	m, e := parseStartLine(start)
 	if m == nil {
 		return nil, length, e
 	}
@@ -70,62 +72,62 @@
 			var more string
 			more, rest, _ = strings.Cut(rest, "\r\n")
 			line = strings.TrimRight(line, " \t") + " " + strings.TrimLeft(more, " \t")
-			if len(line) > MostLine {
+			if len(line) > MaxLineBytes {
 				break
 			}
 		}
-		if len(line) > MostLine {
-			return m, length, bad("", "a line of over %d bytes", MostLine)
+		if len(line) > MaxLineBytes {
+			return m, length, badRequest("", "a line of over %d bytes", MaxLineBytes)
 		}
-		if len(m.Fields) >= MostFields {
-			return m, length, bad("", "over %d header fields", MostFields)
+		if len(m.Fields) >= MaxFields {
+			return m, length, badRequest("", "over %d header fields", MaxFields)
 		}
-		note(m.field(line))
+		note(m.addFieldLine(line))
 	}
-	note(m.understand(&length))
+	note(m.parseFields(&length))
 	return m, length, err
 }
 
-func startLine(line string) (*Message, error) {
-	if len(line) > MostLine {
-		return nil, bad("", "a start line of over %d bytes", MostLine)
+func parseStartLine(line string) (*Message, error) {
+	if len(line) > MaxLineBytes {
+		return nil, badRequest("", "a start line of over %d bytes", MaxLineBytes)
 	}
 	if i := strings.IndexFunc(line, func(r rune) bool { return r < ' ' || r == 0x7f }); i >= 0 {
-		return nil, bad("", "a control character in the start line")
+		return nil, badRequest("", "a control character in the start line")
 	}
 	if version, rest, ok := strings.Cut(line, " "); ok && len(version) > 4 && strings.EqualFold(version[:4], "SIP/") {
 		code, reason, _ := strings.Cut(rest, " ")
 		n, err := strconv.Atoi(code)
 		switch {
 		case !strings.EqualFold(version, "SIP/2.0"):
-			return nil, bad("", "a response of version %q", version)
+			return nil, badRequest("", "a response of version %q", version)
 		case err != nil || len(code) != 3 || n < 100 || n > 699:
-			return nil, bad("", "no status code: %q", code)
+			return nil, badRequest("", "no status code: %q", code)
 		}
 		return &Message{Code: n, Reason: reason}, nil
 	}
 	method, rest, ok := strings.Cut(line, " ")
 	if !ok || !isToken(method) || !strings.Contains(strings.ToUpper(rest), " SIP/") {
-		return nil, bad("", "no start line of SIP")
+		return nil, badRequest("", "no start line of SIP")
 	}
 	uri, version, _ := cutLast(rest, " ")
 	m := &Message{Method: method, URI: uri}
 	scheme, _, ok := strings.Cut(uri, ":")
 	switch {
 	case len(version) < 4 || !strings.EqualFold(version[:4], "SIP/"):
-		return m, bad("", "the start line does not end with its version")
+		return m, badRequest("", "the start line does not end with its version")
 	case !strings.EqualFold(version, "SIP/2.0"):
 		return m, &Error{505, "", "version " + version}
 	case uri == "" || strings.ContainsAny(uri, " \t<>\""):
-		return m, bad("Request-URI", "%q can't be one", uri)
+		return m, badRequest("Request-URI", "%q can't be one", uri)
 	case !ok || !isToken(scheme):
-		return m, bad("Request-URI", "no scheme")
+		return m, badRequest("Request-URI", "no scheme")
 	case !strings.EqualFold(scheme, "sip") && !strings.EqualFold(scheme, "sips") && !strings.EqualFold(scheme, "tel"):
 		return m, &Error{416, "Request-URI", "scheme " + scheme}
 	}
 	if !strings.EqualFold(scheme, "tel") {
 		if _, err := ParseURI(uri); err != nil {
-			return m, bad("Request-URI", "%v", err)
+			return m, badRequest("Request-URI", "%v", err)
 		}
 	}
 	return m, nil
@@ -139,27 +141,27 @@
 	return s[:i], s[i+len(sep):], true
 }
 
-// field adds one line.
-func (m *Message) field(line string) error {
+// addFieldLine parses one unfolded header line and adds its field or fields.
+func (m *Message) addFieldLine(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	name = strings.ToLower(strings.TrimRight(name, " \t"))
 	if !ok || !isToken(name) {
-		return bad("", "a line that is no header field")
+		return badRequest("", "a line that is no header field")
 	}
-	if long := compact[name]; long != "" {
+	if long := compactForms[name]; long != "" {
 		name = long
 	}
 	value = strings.Trim(value, " \t")
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
-			return bad(spelling(name), "a control character")
+			return badRequest(canonicalName(name), "a control character")
 		}
 	}
 	switch name {
 	case "via", "route", "record-route":
 		for _, one := range split(value, ',') {
-			if len(m.Fields) >= MostFields {
-				return bad("", "over %d header fields", MostFields)
+			if len(m.Fields) >= MaxFields {
+				return badRequest("", "over %d header fields", MaxFields)
 			}
 			m.Fields = append(m.Fields, Field{name, one})
 		}
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// split cuts a list at a separator that stands neither in quotes nor in <>.
+// split splits a list at separators that are neither quoted nor within <>.
 func split(s string, sep byte) (parts []string) {
 	quoted, angle, from := false, false, 0
 	for i := 0; i < len(s); i++ {
@@ -191,18 +193,18 @@
 	return append(parts, strings.Trim(s[from:], " \t"))
 }
 
-// once are fields of which a message has one, or one at most. Two of them may be read
-// as either by whoever stands behind, so none passes.
-var once = []string{"from", "to", "call-id", "cseq", "max-forwards", "content-length", "content-type", "expires"}
+// singletonFields may occur only once in a message. A duplicate is an error, because the
+// next hop might use either of the two values.
+var singletonFields = []string{"from", "to", "call-id", "cseq", "max-forwards", "content-length", "content-type", "expires"}
 
-// understand reads what a proxy goes by.
-func (m *Message) understand(length *int) (err error) {
+// parseFields parses and validates the fields that the proxy acts on.
+func (m *Message) parseFields(length *int) (err error) {
 	note := func(e error) {
 		if err == nil && e != nil {
 			err = e
 		}
 	}
-	for _, name := range once {
+	for _, name := range singletonFields {
 		n := 0
 		for _, f := range m.Fields {
 			if f.Name == name {
@@ -210,11 +212,11 @@
 			}
 		}
 		if n > 1 {
-			note(bad(spelling(name), "given %d times", n))
+			note(badRequest(canonicalName(name), "given %d times", n))
 		}
 	}
 	if via, ok := m.Get("via"); !ok {
-		note(bad("Via", "missing"))
+		note(badRequest("Via", "missing"))
 	} else {
 		v, e := ParseVia(via)
 		m.Via = v
@@ -222,22 +224,22 @@
 	}
 	var ok bool
 	if m.CallID, ok = m.Get("call-id"); !ok || m.CallID == "" || strings.ContainsAny(m.CallID, " \t") {
-		note(bad("Call-ID", "missing or with a space"))
+		note(badRequest("Call-ID", "missing or with a space"))
 	}
 	if cseq, ok := m.Get("cseq"); !ok {
-		note(bad("CSeq", "missing"))
+		note(badRequest("CSeq", "missing"))
 	} else {
 		number, method, _ := strings.Cut(strings.ReplaceAll(cseq, "\t", " "), " ")
 		method = strings.Trim(method, " ")
 		n, e := strconv.ParseUint(number, 10, 31) // RFC 3261 section 8.1.1.5: below 2^31
-		m.CSeq, m.CSeqOf = uint32(n), method
+		m.CSeq, m.CSeqMethod = uint32(n), method
 		switch {
 		case e != nil || number[0] == '+':
-			note(bad("CSeq", "%q is no number below 2^31", number))
+			note(badRequest("CSeq", "%q is no number below 2^31", number))
 		case !isToken(method):
-			note(bad("CSeq", "no method"))
-		case m.Request() && method != m.Method:
-			note(bad("CSeq", "of method %s in a %s", method, m.Method))
+			note(badRequest("CSeq", "no method"))
+		case m.IsRequest() && method != m.Method:
+			note(badRequest("CSeq", "of method %s in a %s", method, m.Method))
 		}
 	}
 	for _, side := range []struct {
@@ -246,12 +248,12 @@
 	}{{"from", &m.FromTag}, {"to", &m.ToTag}} {
 		value, ok := m.Get(side.name)
 		if !ok {
-			note(bad(spelling(side.name), "missing"))
+			note(badRequest(canonicalName(side.name), "missing"))
 			continue
 		}
 		a, e := ParseAddress(value)
 		if e != nil {
-			note(bad(spelling(side.name), "%v", e))
+			note(badRequest(canonicalName(side.name), "%v", e))
 			continue
 		}
 		*side.tag, _ = param(a.Params, "tag")
@@ -259,19 +261,19 @@
 	for _, name := range []string{"route", "record-route"} {
 		for _, value := range m.All(name) {
 			if _, e := ParseAddress(value); e != nil || !strings.Contains(value, "<") {
-				note(bad(spelling(name), "%q is no name-addr", value))
+				note(badRequest(canonicalName(name), "%q is no name-addr", value))
 			}
 		}
 	}
 	if value, ok := m.Get("max-forwards"); ok {
-		if n, e := digits(value, 255); e != nil || n > 255 {
-			note(bad("Max-Forwards", "%q is not 0 to 255", value))
+		if n, e := parseDecimal(value, 255); e != nil || n > 255 {
+			note(badRequest("Max-Forwards", "%q is not 0 to 255", value))
 		}
 	}
 	if value, ok := m.Get("content-length"); ok {
-		n, e := digits(value, 1<<30)
+		n, e := parseDecimal(value, 1<<30)
 		if e != nil {
-			note(bad("Content-Length", "%v", e))
+			note(badRequest("Content-Length", "%v", e))
 		} else {
 			*length = n
 		}
@@ -279,8 +281,8 @@
 	return err
 }
 
-// digits reads a plain decimal; a sign or anything else is none.
-func digits(s string, most int) (int, error) {
+// parseDecimal parses an unsigned decimal number without a sign.
+func parseDecimal(s string, most int) (int, error) {
 	if s == "" || len(s) > 10 || strings.Trim(s, "0123456789") != "" {
 		return 0, errors.New("no number in digits alone")
 	}
@@ -291,20 +293,21 @@
 	return n, nil
 }
 
-// MaxForwards gives the hops that a request has left; -1 where it does not tell.
+// MaxForwards returns the number of hops that a request has left, or -1 if the field is
+// missing or invalid.
 func (m *Message) MaxForwards() int {
 	if value, ok := m.Get("max-forwards"); ok {
-		if n, err := digits(value, 255); err == nil {
+		if n, err := parseDecimal(value, 255); err == nil {
 			return n
 		}
 	}
 	return -1
 }
 
-// Answerable tells whether enough of a broken request could be read for a response
-// that its sender will know as one to it.
+// Answerable reports whether enough of a malformed request could be parsed for a response
+// that its sender can match to it.
 func (m *Message) Answerable() bool {
 	_, from := m.Get("from")
 	_, to := m.Get("to")
-	return m != nil && m.Request() && m.Method != Ack && m.Via.Host != "" && m.CallID != "" && m.CSeqOf != "" && from && to
+	return m != nil && m.IsRequest() && m.Method != Ack && m.Via.Host != "" && m.CallID != "" && m.CSeqMethod != "" && from && to
 }
--- a/internal/sip/message/stream.go
+++ b/internal/sip/message/stream.go
@@ -8,53 +8,53 @@
 	"io"
 )
 
-// ErrTooLarge is a message on a stream that is longer than it may be. What follows it
-// can't be found, so the stream is of no further use.
+// ErrTooLarge reports a message on a stream whose header exceeds the size limit. The start
+// of the next message is unknown, so the stream can't be used any more.
 var ErrTooLarge = errors.New("a message larger than is taken")
 
-// Reader takes messages from a stream (RFC 3261 section 18.3).
+// Reader reads messages from a stream (RFC 3261 section 18.3).
 type Reader struct {
-	in   *bufio.Reader
-	most int
-	head []byte
+	in       *bufio.Reader
+	maxBytes int
+	header   []byte
 }
 
-// NewReader reads messages of up to most bytes.
+// NewReader makes a Reader for messages of up to most bytes.
 func NewReader(r io.Reader, most int) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 2<<10), most: most}
+	return &Reader{in: bufio.NewReaderSize(r, 2<<10), maxBytes: most}
 }
 
-// Next gives the next message. An error from the stream is wrapped; after any error but
-// *Error the stream is of no further use, and neither is it after an *Error, as the
-// message's length may be at fault. A keep-alive (an empty line, RFC 5626 section 3.5.1)
-// gives no message and no error.
+// Next returns the next message. An error from the stream is wrapped. After any error the
+// stream can't be used any more; this includes an *Error, since the message's length may be
+// wrong. For a keep-alive (an empty line, RFC 5626 section 3.5.1) Next returns neither a
+// message nor an error.
 func (r *Reader) Next() (*Message, error) {
-	r.head = r.head[:0]
-	for !bytes.HasSuffix(r.head, []byte("\r\n\r\n")) {
+	r.header = r.header[:0]
+	for !bytes.HasSuffix(r.header, []byte("\r\n\r\n")) {
 		line, err := r.in.ReadSlice('\n')
-		if len(r.head)+len(line) > r.most {
+		if len(r.header)+len(line) > r.maxBytes {
 			return nil, ErrTooLarge
 		}
-		r.head = append(r.head, line...)
+		r.header = append(r.header, line...)
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			if len(r.head) > 0 && errors.Is(err, io.EOF) {
+			if len(r.header) > 0 && errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, fmt.Errorf("read: %w", err)
 		}
-		if len(bytes.Trim(r.head, "\r\n")) == 0 && len(line) > 0 && line[len(line)-1] == '\n' {
-			return nil, nil // an empty line before a message
+		if len(bytes.Trim(r.header, "\r\n")) == 0 && len(line) > 0 && line[len(line)-1] == '\n' {
+			return nil, nil // keep-alive, or an empty line before a message
 		}
 	}
-	m, length, err := head(r.head)
+	m, length, err := parseHeader(r.header)
 	switch {
 	case m == nil:
 		return nil, err
 	case err != nil:
 		return m, err
 	case length < 0:
-		return m, bad("Content-Length", "missing on a stream")
-	case len(r.head)+length > r.most:
+		return m, badRequest("Content-Length", "missing on a stream")
+	case len(r.header)+length > r.maxBytes:
 		return m, &Error{513, "Content-Length", "a message larger than is taken"}
 	}
 	if length > 0 {
--- a/internal/sip/message/values.go
+++ b/internal/sip/message/values.go
@@ -9,30 +9,30 @@
 
 // Via is one value of a Via field (RFC 3261 section 20.42).
 type Via struct {
-	Transport string // upper case: UDP, TCP, TLS ...
-	Host      string // of sent-by, without the brackets of an IPv6 address
-	Port      int    // of sent-by; 0 if not told
+	Transport string // in upper case: UDP, TCP, TLS ...
+	Host      string // sent-by host, without the brackets of an IPv6 address
+	Port      int    // sent-by port; 0 if not given
 	Branch    string
-	Rport     bool   // asked for (RFC 3581)
-	raw       string // the value without received and rport
+	Rport     bool   // the client asked for rport (RFC 3581)
+	raw       string // the value without its received and rport parameters
 }
 
-// ParseVia reads one value.
+// ParseVia parses one value of a Via field.
 func ParseVia(value string) (Via, error) {
 	parts := split(value, ';')
 	protocol := strings.Split(parts[0], "/")
 	if len(protocol) != 3 || !strings.EqualFold(strings.Trim(protocol[0], " \t"), "SIP") || strings.Trim(protocol[1], " \t") != "2.0" {
-		return Via{}, bad("Via", "no SIP/2.0 in it")
+		return Via{}, badRequest("Via", "no SIP/2.0 in it")
 	}
 	words := strings.Fields(protocol[2])
 	if len(words) < 2 || !isToken(words[0]) {
-		return Via{}, bad("Via", "no transport and sent-by")
+		return Via{}, badRequest("Via", "no transport and sent-by")
 	}
 	v := Via{Transport: strings.ToUpper(words[0])}
-	sentBy := strings.Join(words[1:], "") // spaces round the colon are allowed
+	sentBy := strings.Join(words[1:], "") // spaces around the colon are allowed
 	host, port, err := hostPort(sentBy)
 	if err != nil {
-		return Via{}, bad("Via", "sent-by: %v", err)
+		return Via{}, badRequest("Via", "sent-by: %v", err)
 	}
 	v.Host, v.Port = host, port
 	raw := []string{"SIP/2.0/" + v.Transport + " " + sentBy}
@@ -41,10 +41,10 @@
 		name, value = strings.ToLower(strings.Trim(name, " \t")), strings.Trim(value, " \t")
 		switch {
 		case !isToken(name):
-			return Via{}, bad("Via", "a parameter without a name")
+			return Via{}, badRequest("Via", "a parameter without a name")
 		case name == "branch":
 			if v.Branch != "" || !isToken(value) {
-				return Via{}, bad("Via", "branch: %q", value)
+				return Via{}, badRequest("Via", "branch: %q", value)
 			}
 			v.Branch = value
 		case name == "rport":
@@ -59,13 +59,14 @@
 	return v, nil
 }
 
-// SentBy gives host and port as a key: the port is always told.
+// SentBy returns host and port as a map key, with the default port filled in.
 func (v Via) SentBy() string {
-	return strings.ToLower(v.Host) + " " + strconv.Itoa(int(v.PortOr()))
+	return strings.ToLower(v.Host) + " " + strconv.Itoa(int(v.EffectivePort()))
 }
 
-// PortOr gives the port of sent-by, or the transport's own where it is not told.
-func (v Via) PortOr() uint16 {
+// EffectivePort returns the port of sent-by, or the transport's default port if it is not
+// given.
+func (v Via) EffectivePort() uint16 {
 	switch {
 	case v.Port != 0:
 		return uint16(v.Port)
@@ -75,9 +76,9 @@
 	return 5060
 }
 
-// Received gives the value with where the request really came from (RFC 3261 section
-// 18.2.1, RFC 3581 section 4).
-func (v Via) Received(from netip.AddrPort) string {
+// WithReceived returns the value with the request's actual source address in received and
+// rport (RFC 3261 section 18.2.1, RFC 3581 section 4).
+func (v Via) WithReceived(from netip.AddrPort) string {
 	value := v.raw
 	if sent, err := netip.ParseAddr(v.Host); err != nil || sent.Unmap() != from.Addr().Unmap() || v.Rport {
 		value += ";received=" + from.Addr().Unmap().String()
@@ -88,7 +89,7 @@
 	return value
 }
 
-// hostPort reads host[:port], the host a name, an IPv4 address or an IPv6 one in
+// hostPort parses host[:port]. The host is a name, an IPv4 address or an IPv6 address in
 // brackets.
 func hostPort(s string) (host string, port int, err error) {
 	rest := ""
@@ -116,22 +117,22 @@
 	if rest[0] != ':' {
 		return "", 0, errors.New("what follows the host is no port")
 	}
-	if port, err = digits(rest[1:], 65535); err != nil || port == 0 {
+	if port, err = parseDecimal(rest[1:], 65535); err != nil || port == 0 {
 		return "", 0, errors.New("no port")
 	}
 	return host, port, nil
 }
 
-// URI is a sip: or sips: URI as far as a proxy looks into it.
+// URI holds the parts of a sip: or sips: URI that the proxy uses.
 type URI struct {
-	Scheme string // lower case
-	User   string // as written, "" for none; without a password
+	Scheme string // in lower case
+	User   string // as written, without a password; "" for none
 	Host   string
 	Port   int
-	Params string // as written, from the first ";" on
+	Params string // as written, from the first ";"
 }
 
-// ParseURI reads one.
+// ParseURI parses a sip: or sips: URI.
 func ParseURI(s string) (URI, error) {
 	scheme, rest, ok := strings.Cut(s, ":")
 	u := URI{Scheme: strings.ToLower(scheme)}
@@ -156,18 +157,19 @@
 	return u, err
 }
 
-// Param gives a URI's parameter; without a value it is "".
+// Param returns the value of a URI parameter, "" for one without a value, and whether it is
+// present.
 func (u URI) Param(name string) (string, bool) { return param(u.Params, name) }
 
 // Address is a name-addr or addr-spec (RFC 3261 section 20.10).
 type Address struct {
 	URI    string
-	Params string // of the field, from the first ";" on
+	Params string // field parameters, from the first ";"
 }
 
-// ParseAddress reads one value of From, To, Contact, Route or Record-Route.
+// ParseAddress parses one value of From, To, Contact, Route or Record-Route.
 func ParseAddress(value string) (Address, error) {
-	if strings.HasPrefix(value, "\"") { // a quoted name may hold anything
+	if strings.HasPrefix(value, "\"") { // a quoted display name may contain any character
 		i := 1
 		for i < len(value) && value[i] != '"' {
 			if value[i] == '\\' {
@@ -209,7 +211,7 @@
 	return a, nil
 }
 
-// param finds a parameter in ";name=value;name".
+// param finds a parameter in a list such as ";name=value;name".
 func param(params, name string) (string, bool) {
 	if params == "" {
 		return "", false
--- a/internal/sip/proxy/bounds_test.go
+++ b/internal/sip/proxy/bounds_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("%d exchanges, refused %v", len(w.m.exchanges), c)
 	}
 	// A call that was set up before the flood.
-	user := w.m.o.Sealer.Seal(w.pin(2), "flood9999", "t9999")
+	user := w.m.o.Sealer.Sign(w.pin(2), "flood9999", "t9999")
 	for n := range 100 {
 		text := fmt.Appendf(nil, "INFO sip:desk@pool SIP/2.0\r\nVia: SIP/2.0/UDP 10.0.0.1;rport;branch=z9hG4bKi%d\r\nRoute: <sip:%s@127.0.0.1:5060;lr>\r\nFrom: <sip:a@b>;tag=t9999\r\nTo: <sip:desk@pool>;tag=d\r\nCall-ID: flood9999\r\nCSeq: %d INFO\r\n\r\n", n, user, n+2)
 		q, err := message.Parse(text)
@@ -98,7 +98,7 @@
 		receive := func(text []byte) {
 			// A response can name a branch only as the Machine chose it.
 			for id := range w.m.branches {
-				if m, err := message.Parse(text); err == nil && !m.Request() && m.Via.Branch == "BRANCH" {
+				if m, err := message.Parse(text); err == nil && !m.IsRequest() && m.Via.Branch == "BRANCH" {
 					m.Via.Branch = w.m.branches[id].id
 					w.m.Receive(w.now, from, m, nil)
 				}
--- a/internal/sip/proxy/branch.go
+++ b/internal/sip/proxy/branch.go
@@ -74,10 +74,10 @@
 	}
 	q.Set("max-forwards", strconv.Itoa(hops-1))
 	if begins(q) {
-		caller := token.Way{Transport: byte(x.from.Transport), Source: x.from.Addr, Port: x.from.Port}
-		pin := token.Pin{Server: server, Caller: caller, Expires: m.o.Wall(now).Add(m.o.DialogFor)}
+		caller := token.ReturnPath{Transport: byte(x.from.Transport), Source: x.from.Addr, Port: x.from.Port}
+		pin := token.Claims{Server: server, Caller: caller, Expires: m.o.Wall(now).Add(m.o.DialogFor)}
 		at, param := m.address(to.Transport)
-		q.Push("record-route", fmt.Sprintf("<sip:%s@%s%s;lr>", m.o.Sealer.Seal(pin, q.CallID, q.FromTag), at, param))
+		q.Push("record-route", fmt.Sprintf("<sip:%s@%s%s;lr>", m.o.Sealer.Sign(pin, q.CallID, q.FromTag), at, param))
 	}
 	b := &branch{exchange: x, request: q, to: to, attempt: attempt, vias: viasOf(x.request)}
 	m.push(b, x.loop)
@@ -304,7 +304,7 @@
 
 // Response takes a response in.
 func (m *Machine) Response(now time.Duration, r *message.Message) {
-	b := m.branches[clientKey(r.CSeqOf, r.Via.Branch)]
+	b := m.branches[clientKey(r.CSeqMethod, r.Via.Branch)]
 	if b == nil || r.CallID != b.request.CallID && b.request.CallID != "" {
 		m.counts.Stray++
 		return
@@ -319,7 +319,7 @@
 		}
 		m.o.Host.Transmit(b.to, "", b.ack)
 	}
-	if x := b.exchange; act&transaction.Pass != 0 && x != nil {
+	if x := b.exchange; act&transaction.Deliver != 0 && x != nil {
 		switch {
 		case r.Code < 200:
 			m.provisional(now, x, b, r)
@@ -413,7 +413,7 @@
 	}
 	to, _ := r.Get("to")
 	from, _ := b.request.Get("from")
-	q := &message.Message{Method: method, URI: uri, CallID: b.request.CallID, CSeq: number, CSeqOf: method}
+	q := &message.Message{Method: method, URI: uri, CallID: b.request.CallID, CSeq: number, CSeqMethod: method}
 	q.Fields = []message.Field{
 		{Name: "max-forwards", Value: "70"}, {Name: "from", Value: from}, {Name: "to", Value: to},
 		{Name: "call-id", Value: b.request.CallID}, {Name: "cseq", Value: strconv.FormatUint(uint64(number), 10) + " " + method},
--- a/internal/sip/proxy/exchange.go
+++ b/internal/sip/proxy/exchange.go
@@ -203,7 +203,7 @@
 		m.respondWith(now, x, 487, 0)
 		return
 	}
-	x.deadline = min(x.deadline, now+m.o.Timing.Patience())
+	x.deadline = min(x.deadline, now+m.o.Timing.TransactionTimeout())
 	m.schedule(x)
 }
 
--- a/internal/sip/proxy/model_test.go
+++ b/internal/sip/proxy/model_test.go
@@ -94,7 +94,7 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), calls: map[string]*callModel{}, asks: map[uint64]*askModel{},
 		tries: map[uint64]*askModel{}, loss: loss, now: time.Second,
 	}
-	sealer, err := token.New([]byte(strings.Repeat("k", token.Least)))
+	sealer, err := token.New([]byte(strings.Repeat("k", token.MinKeySize)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,8 +113,8 @@
 }
 
 // pin is a token's content for a dialog of a caller at a server.
-func (w *world) pin(server uint64) token.Pin {
-	return token.Pin{Server: server, Caller: token.Way{Source: netip.MustParseAddrPort("127.0.0.8:5060")}, Expires: w.m.o.Wall(w.now).Add(time.Hour)}
+func (w *world) pin(server uint64) token.Claims {
+	return token.Claims{Server: server, Caller: token.ReturnPath{Source: netip.MustParseAddrPort("127.0.0.8:5060")}, Expires: w.m.o.Wall(w.now).Add(time.Hour)}
 }
 
 // run runs events and the Machine's timers in order until nothing is left.
@@ -180,12 +180,12 @@
 	if c == nil {
 		return // a ping
 	}
-	if !m.Request() {
+	if !m.IsRequest() {
 		if m.Code >= 200 && to == c.caller {
 			at := &c.finals
-			if m.CSeqOf == message.Cancel {
+			if m.CSeqMethod == message.Cancel {
 				at = &c.cancels
-			} else if m.CSeqOf == message.Bye {
+			} else if m.CSeqMethod == message.Bye {
 				at = new([]int)
 			}
 			if !slices.Contains(*at, m.Code) {
@@ -323,7 +323,7 @@
 		reply(0, 200)
 		if mood := w.mood(q.CallID, n); mood == 3 || mood == 4 { // rings for long: it heeds the CANCEL
 			invite := q.Clone()
-			invite.Method, invite.CSeqOf = message.Invite, message.Invite
+			invite.Method, invite.CSeqMethod = message.Invite, message.Invite
 			invite.Set("cseq", fmt.Sprint(q.CSeq, " ", message.Invite))
 			q = invite
 			reply(ms, 487)
@@ -423,7 +423,7 @@
 }
 
 func (w *world) toCaller(c *callModel, r *message.Message) {
-	if r.CSeqOf != c.method {
+	if r.CSeqMethod != c.method {
 		return
 	}
 	c.client.Response(w.now, r.Code)
@@ -435,7 +435,7 @@
 		return
 	}
 	q := r.Clone()
-	q.Method, q.Code, q.URI, q.CSeqOf = message.Ack, 0, "sip:desk@pool", message.Ack
+	q.Method, q.Code, q.URI, q.CSeqMethod = message.Ack, 0, "sip:desk@pool", message.Ack
 	q.Set("cseq", fmt.Sprint(r.CSeq, " ", message.Ack))
 	q.Set("max-forwards", "70")
 	if r.Code/100 == 2 {
--- a/internal/sip/proxy/proxy.go
+++ b/internal/sip/proxy/proxy.go
@@ -127,7 +127,7 @@
 	Deadlines  [Classes]time.Duration
 	Limits     Limits
 	RetryAfter time.Duration // least; up to as much again is added, so that not all return at once
-	Sealer     *token.Sealer
+	Sealer     *token.Signer
 	DialogFor  time.Duration // how long a token is good for
 	Listen     map[Transport]netip.AddrPort
 	Seed       [32]byte // of branches and tags: not to be guessed
--- a/internal/sip/proxy/receive.go
+++ b/internal/sip/proxy/receive.go
@@ -31,11 +31,11 @@
 		}
 		return
 	}
-	if !q.Request() {
+	if !q.IsRequest() {
 		m.Response(now, q)
 		return
 	}
-	from.Port = q.Via.PortOr()
+	from.Port = q.Via.EffectivePort()
 	key := serverKey(q)
 	x := m.byKey[key]
 	switch {
@@ -86,7 +86,7 @@
 	if q.Method == message.Ack {
 		return
 	}
-	from.Port = q.Via.PortOr()
+	from.Port = q.Via.EffectivePort()
 	m.fixVia(from, q)
 	r := q.Response(code, m.tag(serverKey(q)))
 	if code == 503 {
@@ -103,7 +103,7 @@
 func (m *Machine) refused(cause string) { m.counts.Refused[cause]++ }
 
 // fixVia notes in the topmost Via where a request really came from.
-func (m *Machine) fixVia(from Peer, q *message.Message) { q.Set("via", q.Via.Received(from.Addr)) }
+func (m *Machine) fixVia(from Peer, q *message.Message) { q.Set("via", q.Via.WithReceived(from.Addr)) }
 
 // receiveCancel takes a CANCEL that is no repeat (RFC 3261 section 9.2).
 func (m *Machine) receiveCancel(now time.Duration, from Peer, key string, q *message.Message) {
@@ -218,7 +218,7 @@
 // its trial where callers send nothing that may be tried. name must be new.
 func (m *Machine) Ping(now time.Duration, name string) {
 	at, _ := m.address(UDP)
-	q := &message.Message{Method: message.Options, URI: "sip:ping@" + at.Addr().String(), CallID: name, CSeq: 1, CSeqOf: message.Options, FromTag: name}
+	q := &message.Message{Method: message.Options, URI: "sip:ping@" + at.Addr().String(), CallID: name, CSeq: 1, CSeqMethod: message.Options, FromTag: name}
 	q.Fields = []message.Field{
 		{Name: "from", Value: "<sip:ping@" + at.String() + ">;tag=" + name}, {Name: "to", Value: "<" + q.URI + ">"},
 		{Name: "call-id", Value: name}, {Name: "cseq", Value: "1 " + message.Options},
@@ -257,9 +257,9 @@
 		return Peer{}, false, 481, "no token"
 	}
 	wall := m.o.Wall(now)
-	pin, err := m.o.Sealer.Open(user, q.CallID, q.FromTag, wall)
+	pin, err := m.o.Sealer.Verify(user, q.CallID, q.FromTag, wall)
 	if errors.Is(err, token.ErrForged) && q.ToTag != "" {
-		pin, err = m.o.Sealer.Open(user, q.CallID, q.ToTag, wall)
+		pin, err = m.o.Sealer.Verify(user, q.CallID, q.ToTag, wall)
 		up = true
 	}
 	switch {
@@ -307,7 +307,7 @@
 // takeRoutes takes our own entries off the top of the route (RFC 3261 section 16.4) and
 // gives the token that they held; "" for none.
 func (m *Machine) takeRoutes(q *message.Message) (user string) {
-	if u, err := message.ParseURI(q.URI); err == nil && token.Ours(u.User) && m.listensAt(u) {
+	if u, err := message.ParseURI(q.URI); err == nil && token.HasPrefix(u.User) && m.listensAt(u) {
 		// A strict router stands before us: the target is the last Route.
 		if routes := q.All("route"); len(routes) > 0 {
 			if last, err := message.ParseAddress(routes[len(routes)-1]); err == nil {
@@ -329,7 +329,7 @@
 		if err != nil || !m.ours(a.URI) {
 			return user
 		}
-		if u, _ := message.ParseURI(a.URI); user == "" && token.Ours(u.User) {
+		if u, _ := message.ParseURI(a.URI); user == "" && token.HasPrefix(u.User) {
 			user = u.User
 		}
 		q.Pop("route")
@@ -339,7 +339,7 @@
 // ours tells a URI that leads to this proxy, or to any with its tokens.
 func (m *Machine) ours(uri string) bool {
 	u, err := message.ParseURI(uri)
-	return err == nil && (token.Ours(u.User) || m.listensAt(u))
+	return err == nil && (token.HasPrefix(u.User) || m.listensAt(u))
 }
 
 func (m *Machine) listensAt(u message.URI) bool {
--- a/internal/sip/token/token.go
+++ b/internal/sip/token/token.go
@@ -1,7 +1,8 @@
-// Package token makes and checks the user part of the proxy's Record-Route URI: it
-// names the server that a dialog is at and the way back to its caller, under a keyed
-// hash over them and the dialog's Call-ID and caller's tag. So any instance with the
-// key routes a dialog, restarted or not, and a token of one dialog serves no other.
+// Package token signs and verifies the user part of the proxy's Record-Route URI. A token
+// names the server that handles a dialog and the return path to its caller. Its MAC also
+// covers the dialog's Call-ID and the caller's tag. Any instance that has the key can
+// therefore route the dialog, even after a restart, and a token is valid for its own
+// dialog only.
 package token
 
 import (
@@ -16,51 +17,51 @@
 	"time"
 )
 
-// Least is how many bytes a key has at least.
-const Least = 32
+// MinKeySize is the minimum length of a key in bytes.
+const MinKeySize = 32
 
 const (
 	version = 1
-	macSize = 16 // of HMAC-SHA-256, cut: RFC 2104 section 5 allows half
+	macSize = 16 // HMAC-SHA-256 truncated to half its length, as RFC 2104 section 5 allows
 	prefix  = "o1."
 )
 
-// Way is where a caller can be reached.
-type Way struct {
-	Transport byte           // as the front numbers them
-	Source    netip.AddrPort // its requests came from there
-	Port      uint16         // it says that it takes connections on this one
+// ReturnPath is where a caller can be reached.
+type ReturnPath struct {
+	Transport byte           // numbered as proxy.Transport
+	Source    netip.AddrPort // source address of the caller's requests
+	Port      uint16         // the port on which the caller accepts connections, from its Via
 }
 
-// Pin is what a token holds.
-type Pin struct {
-	Server  uint64 // the pool's id of it
-	Caller  Way
-	Expires time.Time // to the second
+// Claims are the contents of a token.
+type Claims struct {
+	Server  uint64 // the server's ID in the pool
+	Caller  ReturnPath
+	Expires time.Time // Sign rounds it up to a whole minute
 }
 
-// Why a token does not serve.
+// Reasons for which Verify rejects a token.
 var (
 	ErrForged  = errors.New("not signed for this dialog")
 	ErrExpired = errors.New("expired")
 )
 
-// Sealer makes and checks tokens; it does not change and may be shared.
-type Sealer struct{ key []byte }
+// Signer signs and verifies tokens. It is immutable and safe for concurrent use.
+type Signer struct{ key []byte }
 
-// New takes a key of Least bytes or more.
-func New(key []byte) (*Sealer, error) {
-	if len(key) < Least {
-		return nil, fmt.Errorf("%d bytes of key, at least %d are needed", len(key), Least)
+// New makes a Signer from a key of at least MinKeySize bytes.
+func New(key []byte) (*Signer, error) {
+	if len(key) < MinKeySize {
+		return nil, fmt.Errorf("%d bytes of key, at least %d are needed", len(key), MinKeySize)
 	}
-	return &Sealer{append([]byte(nil), key...)}, nil
+	return &Signer{append([]byte(nil), key...)}, nil
 }
 
-// Ours tells whether a user part looks like a token, forged or not.
-func Ours(user string) bool { return strings.HasPrefix(user, prefix) }
+// HasPrefix reports whether a user part has the form of a token. It does not verify it.
+func HasPrefix(user string) bool { return strings.HasPrefix(user, prefix) }
 
-// Seal makes the token of a dialog.
-func (s *Sealer) Seal(p Pin, callID, callerTag string) string {
+// Sign returns the token of a dialog.
+func (s *Signer) Sign(p Claims, callID, callerTag string) string {
 	b := make([]byte, 0, 48+macSize)
 	b = append(b, version)
 	b = binary.BigEndian.AppendUint32(b, uint32(p.Expires.Unix()/60+1))
@@ -73,35 +74,36 @@
 	return prefix + base64.RawURLEncoding.EncodeToString(b)
 }
 
-// Open checks a token; the error is ErrForged or ErrExpired.
-func (s *Sealer) Open(user, callID, callerTag string, now time.Time) (Pin, error) {
+// Verify checks a token's MAC and its expiry. The error is ErrForged or ErrExpired.
+func (s *Signer) Verify(user, callID, callerTag string, now time.Time) (Claims, error) {
 	const fixed = 1 + 4 + 8 + 1 + 2 + 2
 	text, ok := strings.CutPrefix(user, prefix)
 	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if !ok || err != nil || len(b) != fixed+4+macSize && len(b) != fixed+16+macSize || b[0] != version {
-		return Pin{}, ErrForged
+		return Claims{}, ErrForged
 	}
 	held, mac := b[:len(b)-macSize], b[len(b)-macSize:]
 	if !hmac.Equal(mac, s.mac(held, callID, callerTag)) {
-		return Pin{}, ErrForged
+		return Claims{}, ErrForged
 	}
 	addr, _ := netip.AddrFromSlice(held[fixed:])
-	p := Pin{
+	p := Claims{
 		Expires: time.Unix(int64(binary.BigEndian.Uint32(held[1:]))*60, 0),
 		Server:  binary.BigEndian.Uint64(held[5:]),
-		Caller: Way{
+		Caller: ReturnPath{
 			Transport: held[13], Port: binary.BigEndian.Uint16(held[14:]),
 			Source: netip.AddrPortFrom(addr, binary.BigEndian.Uint16(held[16:])),
 		},
 	}
 	if now.After(p.Expires) {
-		return Pin{}, ErrExpired
+		return Claims{}, ErrExpired
 	}
 	return p, nil
 }
 
-// mac hashes what a token holds with its dialog; lengths keep the parts apart.
-func (s *Sealer) mac(held []byte, callID, callerTag string) []byte {
+// mac authenticates a token's contents together with its dialog. Each part is preceded by
+// its length, so that bytes can't move from one part to the next.
+func (s *Signer) mac(held []byte, callID, callerTag string) []byte {
 	h := hmac.New(sha256.New, s.key)
 	for _, part := range []string{string(held), callID, callerTag} {
 		var n [4]byte
--- a/internal/sip/transaction/transaction_test.go
+++ b/internal/sip/transaction/transaction_test.go
@@ -10,11 +10,12 @@
 
 const ms = time.Millisecond
 
-// fires runs a machine's timers and gives when each fired and what it gave.
-func fires(m *Machine, from time.Duration) (at []int64, last Act) {
+// runTimers fires a machine's timers until none is left. It returns the times in
+// milliseconds at which they caused a transmission or the end, and the last action.
+func runTimers(m *Machine, from time.Duration) (at []int64, last Action) {
 	for due := m.Due(); due > 0; due = m.Due() {
 		if due < from {
-			panic("a timer that is due before now")
+			panic("timer due in the past")
 		}
 		from = due
 		if last = m.Fire(due); last&(Transmit|Ended) != 0 {
@@ -24,7 +25,7 @@
 	return at, last
 }
 
-// The schedule of each timer, with the RFC's values.
+// Each timer fires at the times that follow from the RFC's default values.
 func TestTimers(t *testing.T) {
 	const start = 1000 * ms
 	client := func(invite, reliable bool, codes ...int) Machine {
@@ -45,7 +46,7 @@
 		name string
 		m    Machine
 		want []int64
-		last Act
+		last Action
 	}{
 		{"A and B", client(true, false), []int64{1500, 2500, 4500, 8500, 16500, 32500, 33000}, TimedOut | Ended},
 		{"B alone", client(true, true), []int64{33000}, TimedOut | Ended},
@@ -65,41 +66,42 @@
 		{"no J", server(false, true, 200), nil, 0},
 		{"a server that rings", server(true, false, 180), nil, 0},
 	} {
-		at, last := fires(&c.m, start)
+		at, last := runTimers(&c.m, start)
 		if !slices.Equal(at, c.want) || last != c.last {
-			t.Errorf("%s: fired at %v and gave %b, want %v and %b", c.name, at, last, c.want, c.last)
+			t.Errorf("%s: timers fired at %v with last action %b, want %v and %b", c.name, at, last, c.want, c.last)
 		}
 	}
 	m := server(true, false, 486)
 	if m.Ack(start + 700*ms); m.Due() != start+5700*ms || m.State() != Confirmed || m.Request() != 0 {
-		t.Errorf("I is due at %v", m.Due())
+		t.Errorf("timer I is due at %v", m.Due())
 	}
 	for _, codes := range [][]int{nil, {180}} {
 		if m = client(true, false, codes...); true {
 			m.Abandon(start + 1000*ms)
 		}
-		if m.Response(start+2000*ms, 180)&Pass == 0 || m.Due() != start+33000*ms {
-			t.Errorf("abandoned after %v it ends at %v", codes, m.Due())
+		if m.Response(start+2000*ms, 180)&Deliver == 0 || m.Due() != start+33000*ms {
+			t.Errorf("abandoned after responses %v: due at %v", codes, m.Due())
 		}
-		if at, last := fires(&m, start); len(at) != 1 || last != Ended {
-			t.Errorf("abandoned it fired at %v and gave %b", at, last)
+		if at, last := runTimers(&m, start); len(at) != 1 || last != Ended {
+			t.Errorf("abandoned: timers fired at %v with last action %b", at, last)
 		}
 	}
 }
 
-// plain is what the RFCs promise the user, without their machines: the slow model.
-type plain struct {
+// referenceModel tracks what the RFCs guarantee to the transaction user, independently of
+// the state machines.
+type referenceModel struct {
 	invite, server bool
 	final          int
 	ended          bool
 }
 
-// Whatever comes in whichever order: one final goes by, or 2xx only behind a 2xx to an
-// INVITE; nothing comes of an ended machine; every machine ends.
-func TestAgainstThePlainModel(t *testing.T) {
+// Runs random events in random order. A transaction passes on one final response, or
+// further 2xx after a 2xx to an INVITE; a terminated one acts no more; each one terminates.
+func TestAgainstReferenceModel(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		p := plain{invite: rng.IntN(2) == 0, server: rng.IntN(2) == 0}
+		p := referenceModel{invite: rng.IntN(2) == 0, server: rng.IntN(2) == 0}
 		reliable := rng.IntN(2) == 0
 		now := 1000 * ms
 		var m Machine
@@ -108,16 +110,16 @@
 		} else {
 			m = NewClient(now, Standard(), p.invite, reliable)
 		}
-		story := fmt.Sprintf("seed %d, %+v, reliable %v:", seed, p, reliable)
-		see := func(what string, act Act, code int) {
-			story += fmt.Sprintf("\n%v %s %d: %05b, %v", now, what, code, act, m.State())
+		trace := fmt.Sprintf("seed %d, %+v, reliable %v:", seed, p, reliable)
+		record := func(what string, act Action, code int) {
+			trace += fmt.Sprintf("\n%v %s %d: %05b, %v", now, what, code, act, m.State())
 			if p.ended && act != 0 {
-				t.Fatalf("it acts after its end\n%s", story)
+				t.Fatalf("action after termination\n%s", trace)
 			}
-			passed := act&Pass != 0 || p.server && what == "respond" && act&Transmit != 0
+			passed := act&Deliver != 0 || p.server && what == "respond" && act&Transmit != 0
 			if passed && code >= 200 {
 				if p.final != 0 && !(p.invite && p.final/100 == 2 && code/100 == 2) {
-					t.Fatalf("%d behind %d\n%s", code, p.final, story)
+					t.Fatalf("final response %d after %d\n%s", code, p.final, trace)
 				}
 				p.final = code
 			}
@@ -125,43 +127,43 @@
 				p.ended = true
 			}
 			if p.ended != (m.State() == Terminated) || p.ended && m.Due() != 0 {
-				t.Fatalf("ended: %v, due %v\n%s", p.ended, m.Due(), story)
+				t.Fatalf("terminated: %v, next timer due at %v\n%s", p.ended, m.Due(), trace)
 			}
 			if act&Transmit != 0 && reliable && what == "timer" && !(p.server && p.invite) {
-				t.Fatalf("sent again over what loses nothing\n%s", story)
+				t.Fatalf("retransmission on a reliable transport\n%s", trace)
 			}
 		}
 		for range 30 {
 			now += time.Duration(rng.IntN(3000)) * ms
 			for due := m.Due(); due > 0 && due <= now; due = m.Due() {
-				see("timer", m.Fire(due), 0)
+				record("timer", m.Fire(due), 0)
 			}
 			code := []int{100, 180, 200, 202, 404, 503, 603}[rng.IntN(7)]
 			switch {
 			case !p.server:
-				see("response", m.Response(now, code), code)
+				record("response", m.Response(now, code), code)
 			case rng.IntN(3) == 0:
-				see("request", m.Request(), 0)
+				record("request", m.Request(), 0)
 			case rng.IntN(3) == 0:
-				see("ack", m.Ack(now), 0)
+				record("ack", m.Ack(now), 0)
 			default:
-				see("respond", m.Respond(now, code), code)
+				record("respond", m.Respond(now, code), code)
 			}
 		}
 		if !p.server {
-			m.Abandon(now) // else an INVITE may ring for ever: its timer C is the user's
+			m.Abandon(now) // otherwise an INVITE may ring for ever, as timer C belongs to the transaction user
 		} else if p.final == 0 {
-			see("respond", m.Respond(now, 500), 500)
+			record("respond", m.Respond(now, 500), 500)
 		}
 		for due := m.Due(); due > 0; due = m.Due() {
 			now = due
-			see("timer", m.Fire(due), 0)
+			record("timer", m.Fire(due), 0)
 		}
 		if m.State() != Terminated {
-			t.Fatalf("it does not end\n%s", story)
+			t.Fatalf("transaction does not terminate\n%s", trace)
 		}
 		if m.Fail() != 0 {
-			t.Fatal("it ends twice")
+			t.Fatal("Fail acted on a terminated transaction")
 		}
 	}
 }
