--- a/internal/sip/check.go
+++ b/internal/sip/check.go
@@ -14,7 +14,8 @@
 	"otterstep/internal/sip/transaction"
 )
 
-// CheckTarget reads what Check asks: "udp:127.0.0.1:5060", or tcp.
+// CheckTarget validates a target for Check, such as "udp:127.0.0.1:5060" or
+// "tcp:127.0.0.1:5060".
 func CheckTarget(target string) error {
 	_, _, err := checkTarget(target)
 	return err
@@ -23,13 +24,13 @@
 func checkTarget(target string) (network, addr string, err error) {
 	network, addr, _ = strings.Cut(target, ":")
 	if _, err := netip.ParseAddrPort(addr); err != nil || network != "udp" && network != "tcp" {
-		return "", "", fmt.Errorf("%q is no place such as \"udp:127.0.0.1:5060\"", target)
+		return "", "", fmt.Errorf("%q is not a target such as \"udp:127.0.0.1:5060\"", target)
 	}
 	return network, addr, nil
 }
 
-// Check asks a SIP front for its OPTIONS (RFC 3261 section 11) and gives an error unless
-// it answers 200 before ctx ends.
+// Check sends an OPTIONS request to a SIP front (RFC 3261 section 11). It returns an error
+// unless the front answers 200 before ctx ends.
 func Check(ctx context.Context, target string) error {
 	network, addr, err := checkTarget(target)
 	if err != nil {
@@ -61,7 +62,7 @@
 			for wait := transaction.Standard().T1; ; wait *= 2 {
 				select {
 				case <-time.After(wait):
-					_, _ = conn.Write(text) // a refusal shows at the read
+					_, _ = conn.Write(text) // an error shows at the read
 				case <-ended:
 					return
 				}
@@ -73,7 +74,7 @@
 	case err != nil:
 		return fmt.Errorf("SIP: no answer to OPTIONS: %w", err)
 	case r.CallID != id:
-		return errors.New("SIP: an answer to something else")
+		return errors.New("SIP: response has the Call-ID of another request")
 	case r.Code != 200:
 		return fmt.Errorf("SIP: OPTIONS was answered %d %s", r.Code, r.Reason)
 	}
--- a/internal/sip/config.go
+++ b/internal/sip/config.go
@@ -17,29 +17,29 @@
 	"otterstep/policy"
 )
 
-// Config is the table [sip] of the operator's file. Without a listener the front is off.
+// Config is the [sip] table of the operator's file. Without a listener the front is disabled.
 type Config struct {
-	UDP      string `toml:"udp"` // listeners, host:port, the host an address; "" for none
+	UDP      string `toml:"udp"` // listeners as address:port; "" for none
 	TCP      string `toml:"tcp"`
 	TLS      string `toml:"tls"`
-	Cert     string `toml:"cert"`      // of the TLS listener: files in PEM
+	Cert     string `toml:"cert"`      // certificate and key of the TLS listener: PEM files
 	Key      string `toml:"key"`       //
-	ClientCA string `toml:"client_ca"` // callers must show a certificate of it; "" for none
+	ClientCA string `toml:"client_ca"` // callers need a certificate issued by it; "" for no check
 
-	TokenKey   string            `toml:"token_key"`   // a file of 32 bytes or more, the same at all instances
-	DialogFor  tomlfile.Duration `toml:"dialog_for"`  // how long a dialog is routed
-	Model      string            `toml:"model"`       // servers are those of this model in discovery's list
-	Servers    []listed.Server   `toml:"server"`      // or these
-	Instances  int               `toml:"instances"`   // that share the servers, this one included
-	RetryAfter tomlfile.Duration `toml:"retry_after"` // least advice to callers refused; at most twice that is given
-	Ping       tomlfile.Duration `toml:"ping"`        // how often it is looked whether a server is due its trial, an OPTIONS
-	Drain      tomlfile.Duration `toml:"drain"`       // a node told to end waits so long for calls being set up
+	TokenKey   string            `toml:"token_key"`   // file with at least 32 bytes, the same at all instances
+	DialogFor  tomlfile.Duration `toml:"dialog_for"`  // how long the requests of a dialog are routed
+	Model      string            `toml:"model"`       // take the servers of this model from discovery's list
+	Servers    []listed.Server   `toml:"server"`      // or list them here
+	Instances  int               `toml:"instances"`   // number of instances that share the servers, including this one
+	RetryAfter tomlfile.Duration `toml:"retry_after"` // minimum Retry-After in refusals; up to twice as long is sent
+	Ping       tomlfile.Duration `toml:"ping"`        // interval for checking whether a server is due its trial, an OPTIONS
+	Drain      tomlfile.Duration `toml:"drain"`       // how long a node that shuts down waits for calls being set up
 
 	Upstream struct {
 		Transport string `toml:"transport"` // to the servers: udp, tcp or tls
-		CA        string `toml:"ca"`        // their certificates are of it
-		Name      string `toml:"name"`      // and are for this name
-		Cert      string `toml:"cert"`      // shown to them, if any
+		CA        string `toml:"ca"`        // issuer of the servers' certificates
+		Name      string `toml:"name"`      // expected name in the servers' certificates
+		Cert      string `toml:"cert"`      // client certificate for the servers; "" for none
 		Key       string `toml:"key"`
 	} `toml:"upstream"`
 
@@ -48,7 +48,7 @@
 		PerSource    int               `toml:"per_source"`
 		Connections  int               `toml:"connections"`
 		Message      tomlfile.Size     `toml:"message"`
-		Idle         tomlfile.Duration `toml:"idle"` // a connection without a message for so long is closed
+		Idle         tomlfile.Duration `toml:"idle"` // connections without a message for this long are closed
 	} `toml:"limits"`
 
 	Class struct {
@@ -60,24 +60,24 @@
 	} `toml:"class"`
 }
 
-// Class says what one kind of request may take.
+// Class holds the time limits of a request class.
 type Class struct {
-	Aim      tomlfile.Duration `toml:"aim"`      // of an INVITE: until the server rings
-	Deadline tomlfile.Duration `toml:"deadline"` // the final response is given by then
-	// Servers drop a repeat of the same Call-ID and CSeq for so long, so that it may be
-	// tried again. 0: they don't.
+	Aim      tomlfile.Duration `toml:"aim"`      // for an INVITE: time until the server rings
+	Deadline tomlfile.Duration `toml:"deadline"` // time until the final response
+	// How long servers drop a repeated request with the same Call-ID and CSeq, so that it
+	// may be retried. 0: they don't.
 	RepeatsDropped tomlfile.Duration `toml:"repeats_dropped"`
 }
 
-// On tells whether the operator has switched the front on.
+// On reports whether the front is enabled.
 func (c *Config) On() bool { return c.UDP != "" || c.TCP != "" || c.TLS != "" }
 
-// classes gives the classes in the order of proxy.Class.
-func (c *Config) classes() [proxy.Classes]*Class {
-	return [proxy.Classes]*Class{&c.Class.Invite, &c.Class.Register, &c.Class.Subscribe, &c.Class.Options, &c.Class.Other}
+// classes returns the classes in the order of proxy.Class.
+func (c *Config) classes() [proxy.NumClasses]*Class {
+	return [proxy.NumClasses]*Class{&c.Class.Invite, &c.Class.Register, &c.Class.Subscribe, &c.Class.Options, &c.Class.Other}
 }
 
-// Check puts in defaults and notes all that is wrong at f.
+// Check fills in defaults and reports all errors to f.
 func (c *Config) Check(f *tomlfile.File) {
 	if !c.On() {
 		if c.Model != "" || len(c.Servers) > 0 || c.TokenKey != "" {
@@ -85,7 +85,7 @@
 		}
 		return
 	}
-	least := func(key string, d *tomlfile.Duration, value, least time.Duration) {
+	defaultDuration := func(key string, d *tomlfile.Duration, value, least time.Duration) {
 		if d.Duration == 0 {
 			d.Duration = value
 		}
@@ -93,7 +93,7 @@
 			f.Bad("sip."+key, "%v, at least %v is needed", d.Duration, least)
 		}
 	}
-	count := func(key string, n *int, value, least int) {
+	defaultCount := func(key string, n *int, value, least int) {
 		if *n == 0 {
 			*n = value
 		}
@@ -108,41 +108,41 @@
 		if at, err := netip.ParseAddrPort(l.at); err != nil {
 			f.Bad("sip."+l.key, "%q is no address and port, as in \"127.0.0.1:5060\"; there are no name look-ups", l.at)
 		} else if at.Addr().IsUnspecified() {
-			f.Bad("sip."+l.key, "%q: other elements must be told an address that leads here, so it can't be unspecified", l.at)
+			f.Bad("sip."+l.key, "%q: peers need an address that leads here, so it can't be unspecified", l.at)
 		}
 	}
 	longest := time.Duration(0)
-	defaults := [proxy.Classes][2]time.Duration{
-		proxy.Calls: {4 * time.Second, 90 * time.Second}, proxy.Registers: {time.Second, 8 * time.Second},
-		proxy.Subscribes: {time.Second, 8 * time.Second}, proxy.Pings: {time.Second, 4 * time.Second},
-		proxy.Others: {time.Second, 8 * time.Second},
+	defaults := [proxy.NumClasses][2]time.Duration{
+		proxy.ClassInvite: {4 * time.Second, 90 * time.Second}, proxy.ClassRegister: {time.Second, 8 * time.Second},
+		proxy.ClassSubscribe: {time.Second, 8 * time.Second}, proxy.ClassOptions: {time.Second, 4 * time.Second},
+		proxy.ClassOther: {time.Second, 8 * time.Second},
 	}
 	for i, class := range c.classes() {
 		key := "class." + proxy.Class(i).String()
-		least(key+".aim", &class.Aim, defaults[i][0], time.Millisecond)
-		least(key+".deadline", &class.Deadline, defaults[i][1], class.Aim.Duration)
+		defaultDuration(key+".aim", &class.Aim, defaults[i][0], time.Millisecond)
+		defaultDuration(key+".deadline", &class.Deadline, defaults[i][1], class.Aim.Duration)
 		longest = max(longest, class.Deadline.Duration)
-		if i == int(proxy.Calls) && class.RepeatsDropped.Duration > 0 {
-			f.Bad("sip."+key+".repeats_dropped", "an INVITE rings a phone, so it is never repeated")
+		if i == int(proxy.ClassInvite) && class.RepeatsDropped.Duration > 0 {
+			f.Bad("sip."+key+".repeats_dropped", "an INVITE may already have rung a phone, so it is never retried")
 		}
 	}
-	least("dialog_for", &c.DialogFor, 24*time.Hour, time.Minute)
-	least("retry_after", &c.RetryAfter, 5*time.Second, time.Second)
-	least("ping", &c.Ping, 200*time.Millisecond, 10*time.Millisecond)
-	least("drain", &c.Drain, 10*time.Second, 0)
-	least("limits.idle", &c.Limits.Idle, max(5*time.Minute, longest), longest)
-	count("limits.transactions", &c.Limits.Transactions, 20_000, 4)
-	count("limits.per_source", &c.Limits.PerSource, 5_000, 1)
-	count("limits.connections", &c.Limits.Connections, 512, 1)
-	count("limits.message", &c.Limits.Message.Bytes, 16<<10, 1<<10)
-	count("instances", &c.Instances, 1, 1)
+	defaultDuration("dialog_for", &c.DialogFor, 24*time.Hour, time.Minute)
+	defaultDuration("retry_after", &c.RetryAfter, 5*time.Second, time.Second)
+	defaultDuration("ping", &c.Ping, 200*time.Millisecond, 10*time.Millisecond)
+	defaultDuration("drain", &c.Drain, 10*time.Second, 0)
+	defaultDuration("limits.idle", &c.Limits.Idle, max(5*time.Minute, longest), longest)
+	defaultCount("limits.transactions", &c.Limits.Transactions, 20_000, 4)
+	defaultCount("limits.per_source", &c.Limits.PerSource, 5_000, 1)
+	defaultCount("limits.connections", &c.Limits.Connections, 512, 1)
+	defaultCount("limits.message", &c.Limits.Message.Bytes, 16<<10, 1<<10)
+	defaultCount("instances", &c.Instances, 1, 1)
 	if most := 60 << 10; c.Limits.Message.Bytes > most {
 		f.Bad("sip.limits.message", "%d bytes, a datagram holds no more than %d", c.Limits.Message.Bytes, most)
 	}
 	if c.Upstream.Transport == "" {
 		c.Upstream.Transport = "udp"
 	}
-	switch transport, ok := transports[c.Upstream.Transport]; {
+	switch transport, ok := transportByName[c.Upstream.Transport]; {
 	case !ok:
 		f.Bad("sip.upstream.transport", "%q is none of udp, tcp and tls", c.Upstream.Transport)
 	case transport == proxy.UDP && c.UDP == "":
@@ -155,7 +155,7 @@
 		f.Bad("sip.model", "servers come from discovery's list or from [[sip.server]], not from both")
 	}
 	listed.Check(f, "sip.server", c.Servers)
-	if _, err := c.sealer(); err != nil {
+	if _, err := c.signer(); err != nil {
 		f.Bad("sip.token_key", "%v", err)
 	}
 	if _, err := c.serverTLS(); err != nil {
@@ -166,10 +166,10 @@
 	}
 }
 
-var transports = map[string]proxy.Transport{"udp": proxy.UDP, "tcp": proxy.TCP, "tls": proxy.TLS}
+var transportByName = map[string]proxy.Transport{"udp": proxy.UDP, "tcp": proxy.TCP, "tls": proxy.TLS}
 
-// sealer reads the tokens' key.
-func (c *Config) sealer() (*token.Signer, error) {
+// signer makes a Signer from the token key file.
+func (c *Config) signer() (*token.Signer, error) {
 	if c.TokenKey == "" {
 		return nil, errors.New("none given: a file of 32 random bytes or more, the same at all instances, as with head -c 32 /dev/urandom")
 	}
@@ -180,8 +180,8 @@
 	return token.New(key)
 }
 
-// secretMost bounds a file that holds a key.
-const secretMost = 64 << 10
+// maxSecretBytes limits the size of a key file.
+const maxSecretBytes = 64 << 10
 
 func readSecret(path string) ([]byte, error) {
 	file, err := os.Open(path)
@@ -189,15 +189,15 @@
 		return nil, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, secretMost+1))
-	if err == nil && len(text) > secretMost {
-		err = fmt.Errorf("%s: over %d bytes", path, secretMost)
+	text, err := io.ReadAll(io.LimitReader(file, maxSecretBytes+1))
+	if err == nil && len(text) > maxSecretBytes {
+		err = fmt.Errorf("%s: over %d bytes", path, maxSecretBytes)
 	}
 	return text, err
 }
 
-// serverTLS is what the TLS listener shows and asks for; nil without one. Phones of
-// today don't all know TLS 1.3.
+// serverTLS returns the TLS listener's configuration, or nil if there is none. It allows TLS
+// 1.2, since not all phones support TLS 1.3.
 func (c *Config) serverTLS() (*tls.Config, error) {
 	if c.TLS == "" {
 		return nil, nil
@@ -214,7 +214,8 @@
 	return t, err
 }
 
-// clientTLS is how TLS servers are met; nil where they are not.
+// clientTLS returns the TLS configuration for connections to servers, or nil if they don't
+// use TLS.
 func (c *Config) clientTLS() (*tls.Config, error) {
 	if c.Upstream.Transport != "tls" {
 		return nil, nil
@@ -222,24 +223,24 @@
 	return tlsfile.Client(c.Upstream.CA, c.Upstream.Name, c.Upstream.Cert, c.Upstream.Key)
 }
 
-// grain is the signalling time below which servers are alike: a caller notices none of
-// it, and a server that has not let hear of itself four grains after its INVITE is
-// silent, though a lost datagram is sent again only after T1, 500 ms.
-const grain = 100 * time.Millisecond
+// latencyGrain is the difference in signalling time below which servers count as equally fast,
+// since callers don't notice it. A server that has sent nothing four grains after its INVITE
+// counts as silent, although a lost datagram is retransmitted only after T1, 500 ms.
+const latencyGrain = 100 * time.Millisecond
 
-// settings are the pool's, for its decision module.
+// settings returns the pool's settings for the decision module.
 func (c *Config) settings() policy.Settings {
 	s := policy.Defaults()
 	s.Nodes = c.Instances
 	s.Limits = policy.Limits{MaxAttempts: 3, Cancel: true, MaxRetryAfter: c.RetryAfter.Duration}
-	worth := [proxy.Classes]float64{proxy.Calls: 10, proxy.Registers: 2, proxy.Subscribes: 1, proxy.Pings: 1, proxy.Others: 1}
+	worth := [proxy.NumClasses]float64{proxy.ClassInvite: 10, proxy.ClassRegister: 2, proxy.ClassSubscribe: 1, proxy.ClassOptions: 1, proxy.ClassOther: 1}
 	for i, class := range c.classes() {
 		p := policy.Class{
-			Aim: class.Aim.Duration, Deadline: class.Deadline.Duration, Worth: worth[i], LateWorth: 0.5, Grain: grain,
-			Effect: policy.Unsafe, Parked: i == int(proxy.Calls),
+			Aim: class.Aim.Duration, Deadline: class.Deadline.Duration, Worth: worth[i], LateWorth: 0.5, Grain: latencyGrain,
+			Effect: policy.Unsafe, Parked: i == int(proxy.ClassInvite),
 		}
 		switch {
-		case i == int(proxy.Pings):
+		case i == int(proxy.ClassOptions):
 			p.Effect = policy.Safe
 		case class.RepeatsDropped.Duration > 0:
 			p.Effect, p.Scope, p.Window = policy.Keyed, policy.ScopeAll, class.RepeatsDropped.Duration
--- a/internal/sip/datagrams.go
+++ b/internal/sip/datagrams.go
@@ -14,19 +14,20 @@
 	"otterstep/internal/sip/message"
 )
 
-// datagrams is the UDP socket. It has the kernel keep ICMP errors with what they are
-// about (ip(7), IP_RECVERR), so that a refusal is held against the one request that was
-// refused, and not against what reached the server before it.
-type datagrams struct {
+// udpSocket is the UDP socket. It has the kernel queue ICMP errors with the datagrams that
+// caused them (ip(7), IP_RECVERR), so that only the refused request fails, and not earlier
+// ones that reached the server.
+type udpSocket struct {
 	*net.UDPConn
 	raw  syscall.RawConn
 	addr netip.AddrPort
 }
 
-// socketBuffer is what the kernel should hold for the socket while the node is busy.
-const socketBuffer = 1 << 20
+// receiveBufferBytes is the requested size of the kernel's receive buffer, for times when the node
+// is busy.
+const receiveBufferBytes = 1 << 20
 
-func listenUDP(at string) (*datagrams, error) {
+func listenUDP(at string) (*udpSocket, error) {
 	addr, err := netip.ParseAddrPort(at)
 	if err != nil {
 		return nil, err
@@ -35,9 +36,9 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &datagrams{UDPConn: conn, addr: conn.LocalAddr().(*net.UDPAddr).AddrPort()}
-	// The kernel gives less where its limit is lower; that is no error.
-	_ = conn.SetReadBuffer(socketBuffer)
+	d := &udpSocket{UDPConn: conn, addr: conn.LocalAddr().(*net.UDPAddr).AddrPort()}
+	// The kernel silently caps the size at its limit.
+	_ = conn.SetReadBuffer(receiveBufferBytes)
 	if d.raw, err = conn.SyscallConn(); err == nil {
 		level, option := unix.IPPROTO_IP, unix.IP_RECVERR
 		if addr.Addr().Is6() && !addr.Addr().Is4In6() {
@@ -48,44 +49,45 @@
 	}
 	if err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("have errors told: %w", err)
+		return nil, fmt.Errorf("enable the socket's error queue: %w", err)
 	}
 	return d, nil
 }
 
-// receive waits for a datagram, or for word of refused ones. The error is that of a
-// closed socket.
-func (d *datagrams) receive(buf []byte) (n int, from netip.AddrPort, refused []string, err error) {
+// receive waits for a datagram, or for reports of refused ones. It returns an error only if
+// the socket is closed.
+func (d *udpSocket) receive(buf []byte) (n int, from netip.AddrPort, refused []string, err error) {
 	n, from, err = d.ReadFromUDPAddrPort(buf)
 	var told syscall.Errno
-	if errors.As(err, &told) { // an ICMP error shows at whatever call comes next
-		return 0, netip.AddrPort{}, d.refused(), nil
+	if errors.As(err, &told) { // the kernel reports an ICMP error at the next call of any kind
+		return 0, netip.AddrPort{}, d.readErrorQueue(), nil
 	}
 	return n, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), nil, err
 }
 
-// sendTries bounds how often a datagram is offered while calls return errors that are
-// about earlier ones.
-const sendTries = 4
+// maxSendTries bounds the retries of a send while calls return errors that belong to earlier
+// datagrams.
+const maxSendTries = 4
 
-// send sends a datagram. It gives requests that turned out to be refused meanwhile.
-func (d *datagrams) send(to netip.AddrPort, text []byte) (refused []string, err error) {
-	for range sendTries {
+// send sends a datagram. It also returns the requests that were reported as refused
+// meanwhile.
+func (d *udpSocket) send(to netip.AddrPort, text []byte) (refused []string, err error) {
+	for range maxSendTries {
 		_, err = d.WriteToUDPAddrPort(text, to)
 		if !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, syscall.EHOSTUNREACH) && !errors.Is(err, syscall.ENETUNREACH) {
 			return refused, err
 		}
-		refused = append(refused, d.refused()...)
+		refused = append(refused, d.readErrorQueue()...)
 	}
 	return refused, err
 }
 
-// refused empties the socket's queue of errors and gives the transactions of those
+// readErrorQueue empties the socket's error queue and returns the client transactions of the
 // requests that a host has refused.
-func (d *datagrams) refused() (ids []string) {
-	const fixed = 16 // of struct sock_extended_err
+func (d *udpSocket) readErrorQueue() (ids []string) {
+	const fixed = 16 // size of struct sock_extended_err
 	buf, oob := make([]byte, 4<<10), make([]byte, 512)
-	// A closed socket has no errors left to tell.
+	// Control fails only on a closed socket, which has no errors left to read.
 	_ = d.raw.Control(func(fd uintptr) {
 		for {
 			n, oobn, _, _, err := unix.Recvmsg(int(fd), buf, oob, unix.MSG_ERRQUEUE|unix.MSG_DONTWAIT)
@@ -115,8 +117,8 @@
 	return ids
 }
 
-// transactionOf names the client transaction of a request that came back, perhaps cut
-// short; "" for a response.
+// transactionOf returns the client transaction of a request from the error queue, which may
+// be truncated; "" for a response.
 func transactionOf(text []byte) string {
 	start, rest, _ := bytes.Cut(text, []byte("\r\n"))
 	method, _, _ := bytes.Cut(start, []byte(" "))
--- a/internal/sip/hard_test.go
+++ b/internal/sip/failure_test.go
@@ -21,24 +21,24 @@
 	"otterstep/policy"
 )
 
-// soon sets the time that an INVITE may take.
-func soon(d time.Duration) func(*Config) {
+// inviteDeadline sets the deadline of the class of INVITE.
+func inviteDeadline(d time.Duration) func(*Config) {
 	return func(c *Config) { c.Class.Invite.Deadline.Duration = d }
 }
 
-// invites gives how many INVITE transactions of a call all servers have seen.
-func (d *desk) invites(tx *sipua.Transaction) (n int) {
+// countInvites returns how many INVITE transactions of a call all servers have received.
+func (d *testFront) countInvites(tx *sipua.Transaction) (n int) {
 	for _, s := range d.servers {
 		n += s.Count("INVITE", tx.CallID)
 	}
 	return n
 }
 
-// await waits until the front's state is as wanted.
-func (d *desk) await(what string, ok func(View) bool) {
+// await waits until the front's state satisfies ok.
+func (d *testFront) await(what string, ok func(View) bool) {
 	d.t.Helper()
 	var v View
-	for end := time.Now().Add(limit); time.Now().Before(end); {
+	for end := time.Now().Add(waitLimit); time.Now().Before(end); {
 		if v = d.view(); ok(v) {
 			return
 		}
@@ -46,39 +46,40 @@
 	d.t.Fatalf("%s: %+v", what, v)
 }
 
-// A server rings and falls silent: the caller has one final at the deadline and the
-// server a CANCEL. What it answers then is acknowledged and ended, not passed on.
-func TestRingsThenSilent(t *testing.T) {
+// A server sends a provisional response and no final one. The caller gets one final response
+// at the deadline, and the server a CANCEL. A late 2xx is answered with ACK and BYE and is not
+// forwarded.
+func TestNoFinalAfterProvisional(t *testing.T) {
 	for _, transport := range []string{"udp", "tcp"} {
 		for _, provisional := range []int{100, 180} {
 			t.Run(fmt.Sprint(transport, " ", provisional), func(t *testing.T) {
-				told := make(chan struct{}) // a 200 that is there before the 408 went out is passed on, rightly
-				d := open(t, deskOptions{transport: transport, change: soon(300 * time.Millisecond), script: func(c *sipua.Call) {
+				finalSent := make(chan struct{}) // a 200 that arrives before the 408 is sent is rightly forwarded
+				d := startTestFront(t, testFrontOptions{transport: transport, modify: inviteDeadline(300 * time.Millisecond), script: func(c *sipua.Call) {
 					c.Reply(provisional)
-					if c.Cancelled(limit) {
+					if c.Cancelled(waitLimit) {
 						select {
-						case <-told:
-						case <-time.After(limit):
+						case <-finalSent:
+						case <-time.After(waitLimit):
 						}
 						c.Reply(200)
 					}
 				}})
 				tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 				began := time.Now()
-				one(t, tx, 408)
-				close(told)
-				if took := time.Since(began); took > limit/2 {
+				expectFinal(t, tx, 408)
+				close(finalSent)
+				if took := time.Since(began); took > waitLimit/2 {
 					t.Errorf("after %v", took)
 				}
 				s := d.servers[0]
 				for _, method := range []string{"CANCEL", "ACK", "BYE"} {
-					if !s.Await(method, tx.CallID, 1, limit) {
+					if !s.Await(method, tx.CallID, 1, waitLimit) {
 						t.Errorf("no %s", method)
 					}
 				}
-				one(t, tx, 408)
+				expectFinal(t, tx, 408)
 				v := d.view()
-				if end := map[int]string{100: "stalled", 180: "rang out"}[provisional]; v.Late != 1 || v.Pool.Counts[proxy.Calls][2] != 1 {
+				if end := map[int]string{100: "stalled", 180: "rang out"}[provisional]; v.Late != 1 || v.Pool.Counts[proxy.ClassInvite][2] != 1 {
 					t.Errorf("%s: %+v, %v", end, v.View, v.Pool.Counts)
 				}
 			})
@@ -86,92 +87,92 @@
 	}
 }
 
-// A server that says nothing at all gets no CANCEL, as it has let nothing hear (RFC 3261
-// section 9.1), unless it does so later.
-func TestSilent(t *testing.T) {
+// A server that has sent no provisional response gets no CANCEL until it sends one (RFC 3261
+// section 9.1).
+func TestNoResponse(t *testing.T) {
 	wake := make(chan struct{})
-	d := open(t, deskOptions{change: soon(300 * time.Millisecond), script: func(c *sipua.Call) {
+	d := startTestFront(t, testFrontOptions{modify: inviteDeadline(300 * time.Millisecond), script: func(c *sipua.Call) {
 		<-wake
 		c.Reply(180)
-		if c.Cancelled(limit) {
+		if c.Cancelled(waitLimit) {
 			c.Reply(487)
 		}
 	}})
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-	one(t, tx, 408)
+	expectFinal(t, tx, 408)
 	s := d.servers[0]
 	if n := s.Count("CANCEL", tx.CallID); n != 0 {
 		t.Errorf("%d CANCELs", n)
 	}
 	close(wake)
-	if !s.Await("CANCEL", tx.CallID, 1, limit) || !s.Await("ACK", tx.CallID, 1, limit) {
-		t.Error("it woke and was not cancelled")
+	if !s.Await("CANCEL", tx.CallID, 1, waitLimit) || !s.Await("ACK", tx.CallID, 1, waitLimit) {
+		t.Error("no CANCEL or ACK after a late provisional response")
 	}
-	one(t, tx, 408)
-	if n := d.invites(tx); n != 1 {
+	expectFinal(t, tx, 408)
+	if n := d.countInvites(tx); n != 1 {
 		t.Errorf("%d INVITEs", n)
 	}
 }
 
-// CANCEL and the final cross in all orders: one final for each of them.
-func TestCancelCrossings(t *testing.T) {
-	d100 := make(chan struct{}) // a server waits on it before it lets hear of itself
+// CANCEL and the final response cross in every order. Each transaction gets one final response.
+func TestCancelRaces(t *testing.T) {
+	d100 := make(chan struct{}) // a server waits on it before its first response
 	ringing := func(c *sipua.Call) {
 		c.Reply(180)
-		if c.Cancelled(limit) {
+		if c.Cancelled(waitLimit) {
 			c.Reply(487)
 		}
 	}
 	for _, c := range []struct {
 		name   string
 		script sipua.Script
-		play   func(d *desk, tx *sipua.Transaction) (cancels []*sipua.Transaction)
+		play   func(d *testFront, tx *sipua.Transaction) (cancels []*sipua.Transaction)
 		want   int
 	}{
-		{"before 100", func(c *sipua.Call) { <-d100; ringing(c) }, func(d *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			d.await("the INVITE is at no server", func(View) bool { return d.invites(tx) == 1 })
+		{"before 100", func(c *sipua.Call) { <-d100; ringing(c) }, func(d *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			d.await("the INVITE reached no server", func(View) bool { return d.countInvites(tx) == 1 })
 			cancel := tx.Cancel()
-			cancel.Final(limit)
+			cancel.Final(waitLimit)
 			d100 <- struct{}{}
 			return []*sipua.Transaction{cancel}
 		}, 487},
-		{"after 180", ringing, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+		{"after 180", ringing, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.Heard(180, waitLimit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
-		{"after 180, heeded by nobody", func(c *sipua.Call) { c.Reply(180) }, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+		{"after 180, heeded by nobody", func(c *sipua.Call) { c.Reply(180) }, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.Heard(180, waitLimit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
 		{"a 200 answers it", func(c *sipua.Call) {
 			c.Reply(180)
-			if c.Cancelled(limit) {
+			if c.Cancelled(waitLimit) {
 				c.Reply(200)
 			}
-		}, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+		}, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.Heard(180, waitLimit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 200},
 		{"a 503 answers it", func(c *sipua.Call) {
 			c.Reply(180)
-			if c.Cancelled(limit) {
+			if c.Cancelled(waitLimit) {
 				c.Reply(503)
 			}
-		}, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+		}, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.Heard(180, waitLimit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
-		{"after 200", sipua.Answer, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Final(limit)
+		{"after 200", sipua.Answer, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.Final(waitLimit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 200},
-		{"twice", ringing, func(_ *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
-			tx.Cancel() // the same transaction: only the later one is on the caller's books
+		{"twice", ringing, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.Heard(180, waitLimit)
+			tx.Cancel() // the same transaction: the caller tracks only the later one
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
-		{"on another connection", ringing, func(d *desk, tx *sipua.Transaction) []*sipua.Transaction {
-			tx.Heard(180, limit)
+		{"on another connection", ringing, func(d *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+			tx.Heard(180, waitLimit)
 			if err := d.caller.Reconnect(d.front.Listen()["tcp"]); err != nil {
 				d.t.Fatal(err)
 			}
@@ -184,40 +185,40 @@
 			}
 			t.Run(c.name+" "+transport, func(t *testing.T) {
 				t.Parallel()
-				d := open(t, deskOptions{transport: transport, servers: 2, change: soon(limit), script: c.script})
+				d := startTestFront(t, testFrontOptions{transport: transport, servers: 2, modify: inviteDeadline(waitLimit), script: c.script})
 				tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 				for _, cancel := range c.play(d, tx) {
-					if cancel.Final(limit) != 200 {
+					if cancel.Final(waitLimit) != 200 {
 						t.Errorf("CANCEL: %q", cancel.Finals())
 					}
 				}
-				one(t, tx, c.want)
-				if n := d.invites(tx); n > 1 {
+				expectFinal(t, tx, c.want)
+				if n := d.countInvites(tx); n > 1 {
 					t.Errorf("%d INVITEs", n)
 				}
-				d.await("something is held", func(v View) bool { return v.Pool.Requests == 0 && v.Pool.Open == 0 })
+				d.await("the pool still holds requests", func(v View) bool { return v.Pool.Requests == 0 && v.Pool.Open == 0 })
 			})
 		}
 	}
-	d := open(t, deskOptions{})
+	d := startTestFront(t, testFrontOptions{})
 	q := sipua.Request{Method: "CANCEL"}
-	one(t, d.caller.Send(q), 481) // of nothing
+	expectFinal(t, d.caller.Send(q), 481) // matches no INVITE
 	invite := d.caller.Send(sipua.Request{Method: "INVITE"})
-	one(t, invite, 200)
-	// Whoever guesses a branch from elsewhere cancels nothing.
+	expectFinal(t, invite, 200)
+	// A CANCEL with the right branch but from another address is rejected.
 	stranger, err := sipua.NewCaller(sipua.Options{Proxy: d.front.Listen()["udp"], Transport: "udp", Addr: "127.0.0.9:0", T1: t1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stranger.Close()
 	q = sipua.Request{Method: "CANCEL", CallID: invite.CallID, Branch: invite.Branch, Via: "SIP/2.0/UDP " + d.caller.Addr() + ";rport;branch=" + invite.Branch}
-	if code := stranger.Send(q).Final(limit); code != 481 {
-		t.Errorf("a stranger's CANCEL: %d", code)
+	if code := stranger.Send(q).Final(waitLimit); code != 481 {
+		t.Errorf("CANCEL from another address: %d", code)
 	}
 }
 
-// Whatever a link loses, doubles or swaps: the server sees an INVITE once, the caller
-// one final.
+// With loss, duplication and reordering, a server receives each INVITE once and the caller one
+// final response.
 func TestLossyLinks(t *testing.T) {
 	seeded := func(seed uint64) func(bool) sipua.Loss {
 		return func(bool) sipua.Loss {
@@ -234,8 +235,8 @@
 		"once":   func(bool) sipua.Loss { return sipua.LoseFirst(1) },
 		"double": func(bool) sipua.Loss { return func(bool, string) (int, bool) { return 2, false } },
 	}
-	// Thrice each way on one hop; on both, a request but INVITE would take longer than the
-	// 64 T1 that RFC 3261 has for it.
+	// Three losses in each direction on one hop. On both hops, a non-INVITE request would take
+	// longer than the 64*T1 that RFC 3261 allows.
 	for _, lossy := range []bool{true, false} {
 		links[fmt.Sprint("thrice, at the caller ", lossy)] = func(caller bool) sipua.Loss {
 			if caller != lossy {
@@ -250,26 +251,26 @@
 	for name, link := range links {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, deskOptions{servers: 2, loss: link})
+			d := startTestFront(t, testFrontOptions{servers: 2, loss: link})
 			var all sync.WaitGroup
 			for n := range 12 {
 				all.Go(func() {
 					if n%4 == 3 {
-						if tx := d.caller.Send(sipua.Request{Method: "OPTIONS"}); tx.Final(limit) != 200 || len(tx.Finals()) != 1 {
+						if tx := d.caller.Send(sipua.Request{Method: "OPTIONS"}); tx.Final(waitLimit) != 200 || len(tx.Finals()) != 1 {
 							t.Errorf("OPTIONS: %q", tx.Finals())
 						}
 						return
 					}
 					tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-					if code := tx.Final(limit); code != 200 {
+					if code := tx.Final(waitLimit); code != 200 {
 						t.Errorf("%d", code)
 					}
 					q := tx.Dialog()
 					q.Method = "BYE"
-					if code := d.caller.Send(q).Final(limit); code != 200 {
+					if code := d.caller.Send(q).Final(waitLimit); code != 200 {
 						t.Errorf("BYE: %d", code)
 					}
-					if n := d.invites(tx); n != 1 || len(tx.Finals()) != 1 {
+					if n := d.countInvites(tx); n != 1 || len(tx.Finals()) != 1 {
 						t.Errorf("%d INVITEs, finals %q", n, tx.Finals())
 					}
 				})
@@ -280,9 +281,9 @@
 	}
 }
 
-// A server fails in each way: the INVITE goes elsewhere only where it is known not to
-// have run; else the failure is the caller's.
-func TestFailuresOfServers(t *testing.T) {
+// An INVITE that fails at a server is retried at another only if it is known not to have run.
+// Otherwise the caller gets the failure.
+func TestServerFailures(t *testing.T) {
 	for _, c := range []struct {
 		name, transport string
 		script          sipua.Script // nil: the server is closed
@@ -306,9 +307,9 @@
 	} {
 		t.Run(c.name+" "+c.transport, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, deskOptions{servers: 2, transport: c.transport, change: func(c *Config) {
-				soon(1500 * time.Millisecond)(c)
-				c.Class.Invite.Aim.Duration = 300 * time.Millisecond // retries wait for a part of it
+			d := startTestFront(t, testFrontOptions{servers: 2, transport: c.transport, modify: func(c *Config) {
+				inviteDeadline(1500 * time.Millisecond)(c)
+				c.Class.Invite.Aim.Duration = 300 * time.Millisecond // retries wait for a fraction of it
 			}})
 			bad := d.servers[0]
 			if c.script == nil {
@@ -320,65 +321,65 @@
 			met, finals := 0, map[int]int{}
 			for range 20 {
 				tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-				code := tx.Final(limit)
+				code := tx.Final(waitLimit)
 				if len(tx.Finals()) != 1 {
-					t.Fatalf("the finals %q", tx.Finals())
+					t.Fatalf("final responses %q", tx.Finals())
 				}
 				finals[code]++
 				seen := d.servers[1].Count("INVITE", tx.CallID)
 				if c.script != nil && bad.Count("INVITE", tx.CallID) > 0 {
 					met++
 					if want := map[bool]int{true: 1}[c.elsewhere]; seen != want {
-						t.Errorf("at the other server %d times, want %d", seen, want)
+						t.Errorf("the other server got the INVITE %d times, want %d", seen, want)
 					}
 					if code != c.final {
-						t.Errorf("ended as %d, want %d", code, c.final)
+						t.Errorf("final response %d, want %d", code, c.final)
 					}
 				} else if code != 200 {
-					t.Errorf("ended as %d with the good server", code)
+					t.Errorf("final response %d from the working server", code)
 				}
 				if met > 1 {
 					break
 				}
 			}
-			if v := d.view(); c.script == nil && v.Ends["refused"] == 0 && v.Pool.Counts[proxy.Calls][0] != 20 || c.script != nil && met == 0 {
-				t.Errorf("the bad server was never met: %+v", v.View)
+			if v := d.view(); c.script == nil && v.Ends["refused"] == 0 && v.Pool.Counts[proxy.ClassInvite][0] != 20 || c.script != nil && met == 0 {
+				t.Errorf("the failing server was never used: %+v", v.View)
 			}
 		})
 	}
 }
 
-// from is a connection that says it comes from an address.
-type from struct {
+// connWithRemote is a connection with a given remote address.
+type connWithRemote struct {
 	net.Conn
 	remote net.Addr
 }
 
-func (c from) RemoteAddr() net.Addr { return c.remote }
+func (c connWithRemote) RemoteAddr() net.Addr { return c.remote }
 
-// half takes a part of the first message and then breaks.
-type half struct{ from }
+// truncatingConn writes half of the first message and then fails.
+type truncatingConn struct{ connWithRemote }
 
-func (h half) Write(b []byte) (int, error) { return len(b) / 2, net.ErrClosed }
+func (h truncatingConn) Write(b []byte) (int, error) { return len(b) / 2, net.ErrClosed }
 
-// A connection that breaks before the last byte has brought the server nothing: the
-// INVITE goes elsewhere.
-func TestBreaksBeforeTheLastByte(t *testing.T) {
-	d := open(t, deskOptions{servers: 2, transport: "tcp"})
+// A connection that breaks before the last byte was written has not delivered the INVITE, so
+// it is retried at another server.
+func TestRetriesAfterPartialWrite(t *testing.T) {
+	d := startTestFront(t, testFrontOptions{servers: 2, transport: "tcp"})
 	to, err := net.ResolveTCPAddr("tcp", d.servers[0].Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	near, far := net.Pipe()
 	defer far.Close()
-	if _, err := d.front.streams.add(half{from{near, to}}, proxy.TCP, true); err != nil {
+	if _, err := d.front.streams.add(truncatingConn{connWithRemote{near, to}}, proxy.TCP, true); err != nil {
 		t.Fatal(err)
 	}
 	for range 50 {
 		tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-		one(t, tx, 200)
+		expectFinal(t, tx, 200)
 		if v := d.view(); v.Ends["refused"] > 0 {
-			if n := d.invites(tx); n != 1 {
+			if n := d.countInvites(tx); n != 1 {
 				t.Errorf("%d INVITEs", n)
 			}
 			return
@@ -387,28 +388,28 @@
 	t.Error("the broken connection was never used")
 }
 
-// list sets the states of the desk's servers.
-func (d *desk) list(change func(entries []policy.Entry)) {
+// updateList applies a changed list of the front's servers.
+func (d *testFront) updateList(change func(entries []policy.Entry)) {
 	entries, addrs := listed.Entries(d.front.config.Servers)
 	change(entries)
 	d.front.Members(policy.ListDelta, entries, addrs)
 }
 
-// A draining server gets no new dialog, and all that belongs to its own; a server that
-// is gone has lost its dialogs; another instance with the key routes them, one without
-// it does not.
-func TestDialogsOutliveDrainsAndRestarts(t *testing.T) {
-	d := open(t, deskOptions{servers: 2})
+// A draining server gets no new dialogs, but the requests of its existing ones. Dialogs at a
+// server that is gone are answered 481. After a restart with the same token key the front still
+// routes dialogs; with another key it does not.
+func TestDialogsSurviveDrainsAndRestarts(t *testing.T) {
+	d := startTestFront(t, testFrontOptions{servers: 2})
 	var call *sipua.Transaction
 	for call == nil || d.servers[0].Count("INVITE", call.CallID) == 0 {
 		call = d.caller.Send(sipua.Request{Method: "INVITE"})
-		one(t, call, 200)
+		expectFinal(t, call, 200)
 	}
 	old := d.servers[0]
-	d.list(func(e []policy.Entry) { e[0].State = policy.Draining })
+	d.updateList(func(e []policy.Entry) { e[0].State = policy.Draining })
 	before := old.Count("INVITE", "")
 	for range 20 {
-		one(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
+		expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
 	}
 	if n := old.Count("INVITE", ""); n != before {
 		t.Errorf("%d new calls at a draining server", n-before)
@@ -418,8 +419,8 @@
 		q := call.Dialog()
 		q.Method, q.Seq = method, seq
 		tx := d.caller.Send(q)
-		one(t, tx, want)
-		if want == 200 && !old.Await(method, call.CallID, 1, limit) {
+		expectFinal(t, tx, want)
+		if want == 200 && !old.Await(method, call.CallID, 1, waitLimit) {
 			t.Errorf("%s did not reach its server", method)
 		}
 	}
@@ -428,22 +429,22 @@
 		t.Errorf("%d INVITEs of the call at its server", n)
 	}
 
-	// The node restarts in mid-call, at its old address.
+	// Restart the node during the call, at the same address.
 	c := d.front.config
 	c.UDP = d.front.Listen()["udp"]
 	d.stop()
 	d.start(c)
 	inside("INFO", 3, 200)
-	d.list(func(e []policy.Entry) { e[0].State = policy.Gone })
+	d.updateList(func(e []policy.Entry) { e[0].State = policy.Gone })
 	inside("UPDATE", 4, 481)
 
-	// A token of another dialog, a changed one, none at all.
+	// The token of another dialog, then no token.
 	q := call.Dialog()
 	q.Method, q.Seq, q.CallID = "BYE", 5, "another"
-	one(t, d.caller.Send(q), 403)
+	expectFinal(t, d.caller.Send(q), 403)
 	q = call.Dialog()
 	q.Method, q.Seq, q.Routes = "BYE", 6, nil
-	one(t, d.caller.Send(q), 481)
+	expectFinal(t, d.caller.Send(q), 481)
 
 	d.stop()
 	if err := os.WriteFile(c.TokenKey, []byte(strings.Repeat("z", 32)), 0o600); err != nil {
@@ -456,30 +457,30 @@
 	}
 }
 
-// A server that came up lately gets few calls in a burst until it has answered some; by
-// what it answers it earns more.
-func TestColdServerIsNotPushedOver(t *testing.T) {
-	d := open(t, deskOptions{servers: 3})
+// A recently started server gets few calls of a burst until it has answered some. Its share
+// then grows with its answers.
+func TestColdServerIsRampedUp(t *testing.T) {
+	d := startTestFront(t, testFrontOptions{servers: 3})
 	ready := make(chan struct{})
 	d.servers[0].Play(func(c *sipua.Call) {
 		<-ready
 		sipua.Answer(c)
 	})
-	d.list(func(e []policy.Entry) { e[0].Started = d.front.now() })
+	d.updateList(func(e []policy.Entry) { e[0].Started = d.front.now() })
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
 			for range 5 {
-				if code := d.caller.Send(sipua.Request{Method: "INVITE"}).Final(limit); code != 200 {
+				if code := d.caller.Send(sipua.Request{Method: "INVITE"}).Final(waitLimit); code != 200 {
 					t.Errorf("%d", code)
 				}
 			}
 		})
 	}
-	if !d.servers[1].Await("INVITE", "", 40, limit) {
-		t.Error("a warm server had no 40 calls")
+	if !d.servers[1].Await("INVITE", "", 40, waitLimit) {
+		t.Error("a warm server did not get 40 calls")
 	}
-	// It starts at a tenth of its capacity; at most six calls are saved up for it.
+	// It starts at a tenth of its capacity and can accumulate a burst of at most six calls.
 	if early := d.servers[0].Count("INVITE", ""); early > 8 {
 		t.Errorf("the cold server had %d calls before it answered one", early)
 	}
@@ -490,15 +491,15 @@
 	}
 }
 
-// With every breaker open a call is refused at once, told when to come back, and taken
-// again once a server has answered a ping.
+// While every breaker is open, a call is refused at once with a Retry-After. Calls are accepted
+// again after a server has answered a ping.
 func TestAllBreakersOpen(t *testing.T) {
-	d := open(t, deskOptions{servers: 2, script: sipua.Decline(500)})
+	d := startTestFront(t, testFrontOptions{servers: 2, script: sipua.Decline(500)})
 	var refused *sipua.Transaction
 	for n := 0; refused == nil; n++ {
 		tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 		began := time.Now()
-		switch code := tx.Final(limit); {
+		switch code := tx.Final(waitLimit); {
 		case code == 503:
 			refused = tx
 			if took := time.Since(began); took > time.Second {
@@ -517,7 +518,7 @@
 	d.await("no breaker closed", func(v View) bool {
 		return v.Pool.Servers[0].Breaker == "closed" && v.Pool.Servers[1].Breaker == "closed"
 	})
-	one(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
+	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
 }
 
 func retryAfter(tx *sipua.Transaction) string {
@@ -529,10 +530,10 @@
 	return ""
 }
 
-// Phones behind a server ring together: each 180 goes through with its own tag, each
-// 2xx too, and a body and unknown fields as they came.
+// A call forks behind a server. Each provisional response and each 2xx is forwarded with its own
+// tag, and unknown fields are unchanged.
 func TestForks(t *testing.T) {
-	d := open(t, deskOptions{script: func(c *sipua.Call) {
+	d := startTestFront(t, testFrontOptions{script: func(c *sipua.Call) {
 		c.ReplyAs(180, "one")
 		c.ReplyAs(183, "two", "X-Odd: a;b, c")
 		c.ReplyAs(180, "three")
@@ -541,7 +542,7 @@
 	}})
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 	s := d.servers[0]
-	if tx.Final(limit) != 200 || !s.Await("ACK", tx.CallID, 2, limit) {
+	if tx.Final(waitLimit) != 200 || !s.Await("ACK", tx.CallID, 2, waitLimit) {
 		t.Fatalf("%q", tx.Finals())
 	}
 	got := map[string]bool{}
@@ -559,16 +560,16 @@
 	}
 }
 
-// Over the bounds a request is answered 503 with a Retry-After that is spread out, and
-// calls in progress go on; nothing grows beyond the bounds.
+// Requests over the limits are answered 503 with a jittered Retry-After. Calls in progress
+// continue, and no state exceeds the limits.
 func TestFloods(t *testing.T) {
-	d := open(t, deskOptions{change: func(c *Config) {
+	d := startTestFront(t, testFrontOptions{modify: func(c *Config) {
 		c.Limits.Transactions, c.Limits.PerSource = 64, 20
-		c.Class.Invite.Deadline.Duration = limit
+		c.Class.Invite.Deadline.Duration = waitLimit
 	}})
 	call := d.caller.Send(sipua.Request{Method: "INVITE"})
-	one(t, call, 200)
-	d.servers[0].Play(func(c *sipua.Call) { c.Reply(100); c.Cancelled(limit) })
+	expectFinal(t, call, 200)
+	d.servers[0].Play(func(c *sipua.Call) { c.Reply(100); c.Cancelled(waitLimit) })
 	waits, sources := map[string]bool{}, 6
 	var lost []*sipua.Transaction
 	for n := range sources {
@@ -579,7 +580,7 @@
 		defer flooder.Close()
 		for range 30 {
 			tx := flooder.Send(sipua.Request{Method: "INVITE"})
-			if tx.First(limit) == 503 {
+			if tx.First(waitLimit) == 503 {
 				waits[retryAfter(tx)] = true
 				lost = append(lost, tx)
 			}
@@ -597,21 +598,21 @@
 		t.Errorf("%v", v.Refused)
 	}
 	if len(waits) < 3 {
-		t.Errorf("all were told %v", waits)
+		t.Errorf("Retry-After values %v, want at least 3", waits)
 	}
 	q := call.Dialog()
 	q.Method = "BYE"
-	one(t, d.caller.Send(q), 200)
+	expectFinal(t, d.caller.Send(q), 200)
 }
 
-// Noise from the network harms nobody: broken requests get a 4xx where one can be sent,
-// and a call goes on.
-func TestNoise(t *testing.T) {
+// Malformed requests are answered with an error status where that is possible, and don't affect
+// a call in progress.
+func TestMalformedInput(t *testing.T) {
 	for _, transport := range []string{"udp", "tcp"} {
 		t.Run(transport, func(t *testing.T) {
-			d := open(t, deskOptions{transport: transport})
+			d := startTestFront(t, testFrontOptions{transport: transport})
 			call := d.caller.Send(sipua.Request{Method: "INVITE"})
-			one(t, call, 200)
+			expectFinal(t, call, 200)
 			noisy, err := sipua.NewCaller(sipua.Options{Proxy: d.front.Listen()[transport], Transport: transport, T1: t1})
 			if err != nil {
 				t.Fatal(err)
@@ -630,7 +631,7 @@
 					i := rng.IntN(len(text))
 					text = append(text[:i:i], text[min(len(text), i+rng.IntN(40)):]...)
 				}
-				if noisy.Raw(text) != nil { // a stream that carried noise is closed
+				if noisy.Raw(text) != nil { // the front closes a stream after malformed input
 					if err := noisy.Reconnect(d.front.Listen()[transport]); err != nil {
 						t.Fatal(err)
 					}
@@ -646,22 +647,22 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if code := c.Send(q).Final(limit); code != want {
+				if code := c.Send(q).Final(waitLimit); code != want {
 					t.Errorf("%d, want %d", code, want)
 				}
 				c.Close()
 			}
 			q := call.Dialog()
 			q.Method = "BYE"
-			one(t, d.caller.Send(q), 200)
+			expectFinal(t, d.caller.Send(q), 200)
 		})
 	}
 }
 
-// Connections over the bound are closed, and what was open goes on.
+// Connections over the limit are closed, and open ones continue to work.
 func TestConnectionsAreBounded(t *testing.T) {
-	d := open(t, deskOptions{transport: "tcp", change: func(c *Config) { c.Limits.Connections = 4 }})
-	one(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200) // two: the caller's and the server's
+	d := startTestFront(t, testFrontOptions{transport: "tcp", modify: func(c *Config) { c.Limits.Connections = 4 }})
+	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200) // uses two connections: the caller's and the server's
 	for range 6 {
 		c, err := net.Dial("tcp", d.front.Listen()["tcp"])
 		if err != nil {
@@ -669,22 +670,23 @@
 		}
 		defer c.Close()
 	}
-	d.await("connections are not bounded", func(v View) bool { return v.Connections == 4 && v.TurnedAway == 4 })
-	one(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
+	d.await("the connection limit does not hold", func(v View) bool { return v.Connections == 4 && v.TurnedAway == 4 })
+	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
 }
 
-// The proxy's own OPTIONS, the agent's check of it, hops and loops.
+// OPTIONS for the proxy itself as in the agent's check, loops and spirals, and the proxy's
+// responses while it drains.
 func TestOptionsHopsAndLoops(t *testing.T) {
-	d := open(t, deskOptions{})
+	d := startTestFront(t, testFrontOptions{})
 	for _, transport := range []string{"udp", "tcp"} {
 		if err := Check(t.Context(), transport+":"+d.front.Listen()[transport]); err != nil {
 			t.Error(err)
 		}
 	}
 	if n := d.servers[0].Count("OPTIONS", ""); n != 0 {
-		t.Errorf("%d of the proxy's own OPTIONS went on", n)
+		t.Errorf("%d OPTIONS for the proxy were forwarded", n)
 	}
-	// Back at the proxy as it left: a loop. With another Request-URI: a spiral.
+	// A request that returns unchanged is a loop; with another Request-URI it is a spiral.
 	d.servers[0].Play(func(c *sipua.Call) {
 		c.Reply(100)
 		uri := c.Request.Recipient.String()
@@ -694,39 +696,39 @@
 			return
 		}
 		via := fmt.Sprintf("Via: SIP/2.0/UDP %s;branch=z9hG4bKback%s\r\nVia:", d.servers[0].Addr(), c.Request.CallID().Value())
-		c.Reply(c.Relay(strings.Replace(text, "Via:", via, 1), d.front.Listen()["udp"], limit))
+		c.Reply(c.Relay(strings.Replace(text, "Via:", via, 1), d.front.Listen()["udp"], waitLimit))
 	})
-	one(t, d.caller.Send(sipua.Request{Method: "INVITE", URI: "sip:loop@pool.invalid"}), 482)
-	one(t, d.caller.Send(sipua.Request{Method: "INVITE", URI: "sip:spiral@pool.invalid"}), 200)
+	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE", URI: "sip:loop@pool.invalid"}), 482)
+	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE", URI: "sip:spiral@pool.invalid"}), 200)
 	if v := d.view(); v.Refused["loop"] != 1 {
 		t.Errorf("%v", v.Refused)
 	}
 	d.front.Drain(t.Context())
 	if err := Check(t.Context(), "udp:"+d.front.Listen()["udp"]); err == nil || !strings.Contains(err.Error(), "503") {
-		t.Errorf("a draining proxy: %v", err)
+		t.Errorf("check of a draining proxy: %v", err)
 	}
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-	one(t, tx, 503)
+	expectFinal(t, tx, 503)
 	if retryAfter(tx) == "" {
 		t.Error("no Retry-After")
 	}
 }
 
-// At its end a node gives those whose calls still ring their one final.
-func TestDrainEndsWhatRings(t *testing.T) {
-	d := open(t, deskOptions{script: func(c *sipua.Call) { c.Reply(180); c.Cancelled(limit) }, change: func(c *Config) { c.Drain.Duration = 300 * time.Millisecond }})
+// At the end of a drain, calls that still ring get their one final response.
+func TestDrainEndsRingingCalls(t *testing.T) {
+	d := startTestFront(t, testFrontOptions{script: func(c *sipua.Call) { c.Reply(180); c.Cancelled(waitLimit) }, modify: func(c *Config) { c.Drain.Duration = 300 * time.Millisecond }})
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-	if !tx.Heard(180, limit) {
-		t.Fatal("it does not ring")
+	if !tx.Heard(180, waitLimit) {
+		t.Fatal("no 180")
 	}
 	d.front.Drain(t.Context())
-	one(t, tx, 408)
-	if !d.servers[0].Await("CANCEL", tx.CallID, 1, limit) {
+	expectFinal(t, tx, 408)
+	if !d.servers[0].Await("CANCEL", tx.CallID, 1, waitLimit) {
 		t.Error("no CANCEL")
 	}
 }
 
-// A call over TLS at both sides; without the right certificates there is none.
+// A call over TLS on both sides. A caller without a valid certificate is rejected.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
 	must := func(err error) {
@@ -753,82 +755,82 @@
 	}
 	more := fmt.Sprintf("tls = \"127.0.0.1:0\"\ncert = %q\nkey = %q\nclient_ca = %q\nupstream.ca = %q\nupstream.name = \"127.0.0.1\"\n",
 		file("node.pem"), file("node.key"), file("ca.pem"), file("ca.pem"))
-	d := open(t, deskOptions{transport: "tls", tls: own, more: more})
+	d := startTestFront(t, testFrontOptions{transport: "tls", tls: own, extraConfig: more})
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
-	one(t, tx, 200)
+	expectFinal(t, tx, 200)
 	q := tx.Dialog()
 	q.Method = "BYE"
-	one(t, d.caller.Send(q), 200)
+	expectFinal(t, d.caller.Send(q), 200)
 	if r := tx.Responses()[len(tx.Responses())-1]; !strings.Contains(r.String(), "transport=tls") {
-		t.Errorf("its dialog leads elsewhere: %v", r)
+		t.Errorf("the dialog is not routed over TLS: %v", r)
 	}
 	stranger, err := tls.Dial("tcp", d.front.Listen()["tls"], &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"})
-	if err == nil { // TLS 1.3 tells a client of its refusal at the first read
+	if err == nil { // with TLS 1.3 a client sees the rejection at its first read
 		_, err = stranger.Read(make([]byte, 1))
 		stranger.Close()
 	}
 	if err == nil {
-		t.Error("a caller without a certificate is served")
+		t.Error("a caller without a certificate was accepted")
 	}
 }
 
-// Shares of the pool that servers of any kind see of the other fronts' requests are
-// settled by tokens: what is inside a dialog needs no list of methods.
+// A request that a strict router has rewritten, with the token in its Request-URI, reaches its
+// server. So does a request by RFC 2543, without a branch in its Via.
 func TestStrictRoutersAndRFC2543(t *testing.T) {
-	d := open(t, deskOptions{})
+	d := startTestFront(t, testFrontOptions{})
 	call := d.caller.Send(sipua.Request{Method: "INVITE"})
-	one(t, call, 200)
+	expectFinal(t, call, 200)
 	q := call.Dialog()
 	route := strings.Trim(q.Routes[0], "<>")
-	q.Method, q.Routes, q.URI = "BYE", []string{"<" + q.URI + ">"}, route // as a strict router before us leaves it
-	one(t, d.caller.Send(q), 200)
-	if !d.servers[0].Await("BYE", call.CallID, 1, limit) {
-		t.Error("it did not arrive")
+	q.Method, q.Routes, q.URI = "BYE", []string{"<" + q.URI + ">"}, route // as rewritten by a strict router before the proxy
+	expectFinal(t, d.caller.Send(q), 200)
+	if !d.servers[0].Await("BYE", call.CallID, 1, waitLimit) {
+		t.Error("the BYE did not reach its server")
 	}
 	old := d.caller.Send(sipua.Request{Method: "OPTIONS", Via: "SIP/2.0/UDP " + d.caller.Addr()})
-	d.await("no OPTIONS of RFC 2543", func(v View) bool { return v.Finals[200] >= 3 && d.servers[0].Count("OPTIONS", old.CallID) == 1 })
+	d.await("the OPTIONS by RFC 2543 was not answered", func(v View) bool { return v.Finals[200] >= 3 && d.servers[0].Count("OPTIONS", old.CallID) == 1 })
 }
 
-// A front that is far behind drops datagrams, which their senders repeat; one side that
-// takes nothing off its connection loses it. Neither holds up the rest.
+// When its event queue is full, a front drops datagrams, which their senders retransmit. A peer
+// that does not read from its connection loses it. Neither blocks other traffic.
 func TestQueuesAreBounded(t *testing.T) {
-	d := open(t, deskOptions{})
+	d := startTestFront(t, testFrontOptions{})
 	resume, stuck := make(chan struct{}), make(chan struct{})
 	d.front.post(func() { close(stuck); <-resume })
 	<-stuck
 	q := sipua.Request{Method: "OPTIONS"}
 	text := d.caller.Write(&q)
-	for end := time.Now().Add(limit); d.front.dropped.Load() == 0; {
+	for end := time.Now().Add(waitLimit); d.front.dropped.Load() == 0; {
 		if err := d.caller.Raw(text); err != nil || time.Now().After(end) {
-			t.Fatalf("nothing is dropped: %v", err)
+			t.Fatalf("no datagram was dropped: %v", err)
 		}
 	}
-	if n := len(d.front.events); n > eventsMost {
-		t.Errorf("%d events wait", n)
+	if n := len(d.front.events); n > maxQueuedEvents {
+		t.Errorf("%d events queued", n)
 	}
 	close(resume)
-	one(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
+	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
 
-	near, far := net.Pipe() // nobody reads at far
+	near, far := net.Pipe() // far is never read
 	defer far.Close()
-	s, err := d.front.streams.add(from{near, &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9}}, proxy.TCP, false)
+	s, err := d.front.streams.add(connWithRemote{near, &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9}}, proxy.TCP, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := 0; d.front.streams.queue(s, outgoing{text: text}); n++ {
-		if n > queueMost+1 {
-			t.Fatalf("%d messages wait on one connection", n)
+		if n > maxQueuedMessages+1 {
+			t.Fatalf("%d messages queued on one connection", n)
 		}
 	}
-	d.await("the connection is held", func(v View) bool { return v.Connections == 0 })
-	one(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
+	d.await("the stalled connection was not closed", func(v View) bool { return v.Connections == 0 })
+	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE"}), 200)
 }
 
-// A REGISTER that failed at one server is tried at another only where the operator says
-// that servers drop its repeats; an OPTIONS always; anything else never.
+// A REGISTER that failed at one server is retried at another only if the configuration says that
+// servers drop repeats. OPTIONS is always retried, other methods never.
 func TestRepeatsByClass(t *testing.T) {
 	for _, dropped := range []time.Duration{0, time.Minute} {
-		d := open(t, deskOptions{servers: 2, change: func(c *Config) { c.Class.Register.RepeatsDropped.Duration = dropped }})
+		d := startTestFront(t, testFrontOptions{servers: 2, modify: func(c *Config) { c.Class.Register.RepeatsDropped.Duration = dropped }})
 		for _, s := range d.servers {
 			for _, method := range []string{"REGISTER", "OPTIONS", "MESSAGE"} {
 				s.Answers(method, 500)
@@ -836,7 +838,7 @@
 		}
 		for method, want := range map[string]int{"REGISTER": map[bool]int{true: 2, false: 1}[dropped > 0], "OPTIONS": 2, "MESSAGE": 1} {
 			tx := d.caller.Send(sipua.Request{Method: method})
-			one(t, tx, 500)
+			expectFinal(t, tx, 500)
 			if n := d.servers[0].Count(method, tx.CallID) + d.servers[1].Count(method, tx.CallID); n != want {
 				t.Errorf("%s went to %d servers, want %d (repeats dropped for %v)", method, n, want, dropped)
 			}
--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -1,6 +1,6 @@
-// Package sip is the SIP front of a node: sockets and a goroutine round the proxy's
-// Machine, and a pool of its own in the core. It is on where the operator's file has a
-// listener for it.
+// Package sip is the SIP front of a node. It runs the sockets, a goroutine that drives the
+// proxy's Machine, and a separate pool in the core. It is enabled if the operator's file
+// configures a listener for it.
 package sip
 
 import (
@@ -24,14 +24,14 @@
 	"otterstep/policy"
 )
 
-// eventsMost bounds what waits for the Machine. Datagrams beyond it are dropped, as
-// their senders repeat them; streams wait.
-const eventsMost = 4096
+// maxQueuedEvents bounds the queue of events for the Machine. When it is full, datagrams are
+// dropped, as their senders retransmit them; streams block.
+const maxQueuedEvents = 4096
 
-// endWait is how long a node that ends waits for servers to heed its last CANCELs.
-const endWait = 500 * time.Millisecond
+// cancelWait is how long a node that shuts down waits for servers to respond to its last CANCELs.
+const cancelWait = 500 * time.Millisecond
 
-// Front carries SIP. Make it with New, then Run it.
+// Front proxies SIP. Make it with New, then call Run.
 type Front struct {
 	config    Config
 	log       *slog.Logger
@@ -39,44 +39,43 @@
 	machine   *proxy.Machine
 	events    chan func()
 	stopped   chan struct{}
-	udp       *datagrams
+	udp       *udpSocket
 	streams   *streams
 	listeners []net.Listener
-	transport proxy.Transport // to the servers
-	dropped   atomic.Int64    // datagrams
-	attempts  atomic.Uint64   // the last one's number
+	transport proxy.Transport // towards the servers
+	dropped   atomic.Int64    // datagrams dropped because the event queue was full
+	attempts  atomic.Uint64   // number of the last attempt
 	pings     uint64
 
-	// The Machine's goroutine alone touches what follows.
-	later   []func() // events that came up within an event
-	waiting map[uint64]waiting
-	asked   map[uint64]asked
-	servers map[policy.ServerID]core.Server
+	// The following fields belong to the Machine's goroutine.
+	deferred        []func() // events to run after the current one
+	pendingAttempts map[uint64]pendingAttempt
+	pendingRequests map[uint64]pendingRequest
+	servers         map[policy.ServerID]core.Server
 }
 
-// waiting is an attempt of the core that the Machine owes an end.
-type waiting struct {
+// pendingAttempt is an attempt of the core for which the Machine has yet to call Finish.
+type pendingAttempt struct {
 	end  chan<- proxy.End
 	turn core.Turn
 }
 
-// asked is a request that the core owes an answer.
-type asked struct {
-	ticket *core.Ticket
-	left   chan struct{}
+// pendingRequest is a request that the core has yet to answer.
+type pendingRequest struct {
+	ticket    *core.Ticket
+	withdrawn chan struct{}
 }
 
-// New opens the listeners and makes the pool; Run carries traffic. The configuration has
-// been checked.
+// New opens the listeners and makes the pool. The configuration must have passed Check.
 func New(c Config, seed uint64, clock core.Clock, log *slog.Logger) (*Front, error) {
 	return newFront(c, seed, clock, transaction.Standard(), log)
 }
 
 func newFront(c Config, seed uint64, clock core.Clock, timing transaction.Timing, log *slog.Logger) (_ *Front, err error) {
 	f := &Front{
-		config: c, log: log, events: make(chan func(), eventsMost), stopped: make(chan struct{}),
-		transport: transports[c.Upstream.Transport],
-		waiting:   map[uint64]waiting{}, asked: map[uint64]asked{}, servers: map[policy.ServerID]core.Server{},
+		config: c, log: log, events: make(chan func(), maxQueuedEvents), stopped: make(chan struct{}),
+		transport:       transportByName[c.Upstream.Transport],
+		pendingAttempts: map[uint64]pendingAttempt{}, pendingRequests: map[uint64]pendingRequest{}, servers: map[policy.ServerID]core.Server{},
 	}
 	defer func() {
 		if err != nil {
@@ -84,14 +83,14 @@
 		}
 	}()
 	options := proxy.Options{
-		Host: f, Timing: timing, RetryAfter: c.RetryAfter.Duration, DialogFor: c.DialogFor.Duration,
+		Host: f, Timing: timing, RetryAfter: c.RetryAfter.Duration, TokenLifetime: c.DialogFor.Duration,
 		Limits: proxy.Limits{Transactions: c.Limits.Transactions, PerSource: c.Limits.PerSource},
-		Listen: map[proxy.Transport]netip.AddrPort{}, Wall: clock.Wall,
+		Listen: map[proxy.Transport]netip.AddrPort{}, WallTime: clock.Wall,
 	}
 	for i, class := range c.classes() {
 		options.Deadlines[i] = class.Deadline.Duration
 	}
-	if options.Sealer, err = c.sealer(); err != nil {
+	if options.Signer, err = c.signer(); err != nil {
 		return nil, fmt.Errorf("sip.token_key: %w", err)
 	}
 	if _, err := crand.Read(options.Seed[:]); err != nil {
@@ -139,7 +138,7 @@
 	return f, nil
 }
 
-// Listen gives where the front takes requests.
+// Listen returns the front's listening addresses by transport.
 func (f *Front) Listen() map[string]string {
 	at := map[string]string{}
 	if f.udp != nil {
@@ -164,7 +163,7 @@
 	}
 }
 
-// Run carries traffic until ctx ends, and returns when all goroutines have.
+// Run serves traffic until ctx ends. It returns after all its goroutines have.
 func (f *Front) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -188,7 +187,7 @@
 	if entries, addrs := listed.Entries(f.config.Servers); len(entries) > 0 {
 		f.Members(policy.ListFull, entries, addrs)
 	}
-	f.log.Info("SIP is served", "listen", f.Listen(), "servers", f.config.Upstream.Transport)
+	f.log.Info("SIP front started", "listen", f.Listen(), "servers", f.config.Upstream.Transport)
 	f.run(ctx)
 }
 
@@ -205,12 +204,12 @@
 		case <-wake.C:
 		}
 		f.machine.Tick(f.now())
-		for len(f.later) > 0 {
-			next := f.later[0]
-			f.later = f.later[1:]
+		for len(f.deferred) > 0 {
+			next := f.deferred[0]
+			f.deferred = f.deferred[1:]
 			next()
 		}
-		f.later = nil
+		f.deferred = nil
 		if due := f.machine.Due(); due > 0 {
 			wake.Reset(max(0, due-f.now()))
 		}
@@ -219,7 +218,7 @@
 
 func (f *Front) now() time.Duration { return f.loop.Clock().Now() }
 
-// post hands an event to the Machine's goroutine; false once it has ended.
+// post queues an event for the Machine's goroutine. It returns false after that has ended.
 func (f *Front) post(event func()) bool {
 	select {
 	case f.events <- event:
@@ -229,9 +228,9 @@
 	}
 }
 
-// Members hands over the pool's list or changes to it, as core.Loop.Members does.
+// Members applies the pool's list or changes to it, as core.Loop.Members does.
 func (f *Front) Members(kind policy.ListKind, entries []policy.Entry, addrs []string) {
-	// The Machine first: dialogs begin where the loop sends.
+	// The Machine must learn of servers before the core's loop starts dialogs at them.
 	f.post(func() {
 		if kind == policy.ListFull || kind == policy.ListCached {
 			clear(f.servers)
@@ -249,32 +248,32 @@
 				list[uint64(id)] = peer
 			}
 		}
-		f.machine.Servers(list)
+		f.machine.SetServers(list)
 	})
 	f.loop.Members(kind, entries, addrs)
 }
 
-// peer reads a server's address.
+// peer parses a server's address.
 func (f *Front) peer(addr string) (proxy.Peer, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return proxy.Peer{}, fmt.Errorf("a server's address: %w", err)
+		return proxy.Peer{}, fmt.Errorf("server address: %w", err)
 	}
 	return proxy.Peer{Transport: f.transport, Addr: at}, nil
 }
 
-// Drain refuses requests outside dialogs from now on and waits until those taken have
-// their final responses, or for the configured time; the rest get theirs at its end.
+// Drain refuses new requests outside dialogs. It waits until all accepted requests have their
+// final responses, for at most the configured time, and then ends the remaining ones.
 func (f *Front) Drain(ctx context.Context) {
 	f.post(f.machine.Drain)
-	f.wait(ctx, f.config.Drain.Duration, func(v View) bool { return v.Unanswered == 0 })
-	f.post(func() { f.machine.End(f.now()) })
-	// The servers' last words on what was cancelled are acknowledged.
-	f.wait(ctx, endWait, func(v View) bool { return v.Clients["calling"]+v.Clients["proceeding"] == 0 })
+	f.waitUntil(ctx, f.config.Drain.Duration, func(v View) bool { return v.Unanswered == 0 })
+	f.post(func() { f.machine.ExpireAll(f.now()) })
+	// Wait for the final responses to cancelled requests, so that they are acknowledged.
+	f.waitUntil(ctx, cancelWait, func(v View) bool { return v.Clients["calling"]+v.Clients["proceeding"] == 0 })
 }
 
-// wait looks at the front until ok holds, or for d at most.
-func (f *Front) wait(ctx context.Context, d time.Duration, ok func(View) bool) {
+// waitUntil polls the front's state until ok holds, for at most d.
+func (f *Front) waitUntil(ctx context.Context, d time.Duration, ok func(View) bool) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	every := time.NewTicker(20 * time.Millisecond)
@@ -291,8 +290,8 @@
 	}
 }
 
-// ping has an OPTIONS sent when a server that was out is due its trial: an INVITE may not
-// be that, and a pool that gets nothing else would never learn that the server is back.
+// ping sends an OPTIONS when a server's breaker is due a trial. An INVITE must not serve as a
+// trial, so a pool that gets nothing else would never detect that the server has recovered.
 func (f *Front) ping(ctx context.Context) {
 	every := time.NewTicker(f.config.Ping.Duration)
 	defer every.Stop()
@@ -318,16 +317,16 @@
 	}
 }
 
-// ---- the core's side
+// ---- interface to the core
 
-// call is an exchange as the core sees it.
-type call struct {
+// coreMessage implements core.Message for an exchange.
+type coreMessage struct {
 	front *Front
 	id    uint64
 }
 
 // Attempt implements core.Message.
-func (c call) Attempt(ctx context.Context, to core.Server, _ time.Time, turn core.Turn) core.Reply {
+func (c coreMessage) Attempt(ctx context.Context, to core.Server, _ time.Time, turn core.Turn) core.Reply {
 	f := c.front
 	peer, err := f.peer(to.Addr)
 	if err == nil && f.transport.Reliable() {
@@ -335,14 +334,14 @@
 	}
 	switch {
 	case errors.Is(err, errNoConnections), ctx.Err() != nil:
-		return core.Reply{Status: policy.Moot} // says nothing of the server
+		return core.Reply{Status: policy.Moot} // no evidence about the server
 	case err != nil:
 		return core.Reply{Status: policy.ConnectFailed}
 	}
 	end := make(chan proxy.End, 1)
 	attempt := f.attempts.Add(1)
 	if !f.post(func() {
-		f.waiting[attempt] = waiting{end, turn}
+		f.pendingAttempts[attempt] = pendingAttempt{end, turn}
 		f.machine.Attempt(f.now(), c.id, attempt, uint64(to.ID), peer, turn.Begin)
 	}) {
 		return core.Reply{Status: policy.Moot}
@@ -352,7 +351,7 @@
 		return core.Reply{Status: proxy.Outcomes[e].Status}
 	case <-ctx.Done():
 		f.post(func() {
-			delete(f.waiting, attempt)
+			delete(f.pendingAttempts, attempt)
 			f.machine.Abandon(f.now(), attempt)
 		})
 	case <-f.stopped:
@@ -361,69 +360,69 @@
 }
 
 // Submit implements proxy.Host.
-func (f *Front) Submit(a proxy.Ask) {
+func (f *Front) Submit(a proxy.RoutingRequest) {
 	answers := make(chan core.Answer, 1)
 	ticket, ok := f.loop.Submit(core.Request{
 		Request: policy.Request{Class: int(a.Class), Key: a.Key}, Name: a.Name, Deadline: a.Deadline,
-		Message: call{f, a.ID}, Answers: answers,
+		Message: coreMessage{f, a.ID}, Answers: answers,
 	})
 	if !ok {
-		f.later = append(f.later, func() { f.machine.Answer(f.now(), a.ID, proxy.AnswerRefused, 0) })
+		f.deferred = append(f.deferred, func() { f.machine.Answer(f.now(), a.ID, proxy.AnswerRefused, 0) })
 		return
 	}
-	q := asked{ticket, make(chan struct{})}
-	f.asked[a.ID] = q
+	q := pendingRequest{ticket, make(chan struct{})}
+	f.pendingRequests[a.ID] = q
 	go func() {
 		var answer core.Answer
 		select {
 		case answer = <-answers:
-		case <-q.left:
+		case <-q.withdrawn:
 			return
 		case <-f.stopped:
 			return
 		}
 		f.post(func() {
-			if _, waits := f.asked[a.ID]; waits {
-				delete(f.asked, a.ID)
-				f.machine.Answer(f.now(), a.ID, answered[answer.Kind], answer.RetryAfter)
+			if _, waits := f.pendingRequests[a.ID]; waits {
+				delete(f.pendingRequests, a.ID)
+				f.machine.Answer(f.now(), a.ID, answerOf[answer.Kind], answer.RetryAfter)
 			}
 		})
 	}()
 }
 
-// answered gives the core's words in the Machine's.
-var answered = [core.Kinds]proxy.Answer{
+// answerOf maps the core's answers to the Machine's.
+var answerOf = [core.Kinds]proxy.Answer{
 	core.Served: proxy.AnswerServed, core.Refused: proxy.AnswerRefused, core.Failed: proxy.AnswerFailed,
 	core.Overdue: proxy.AnswerOverdue, core.Duplicate: proxy.AnswerDuplicate, core.Left: proxy.AnswerServed,
 }
 
-// Leave implements proxy.Host.
-func (f *Front) Leave(id uint64) {
-	if q, ok := f.asked[id]; ok {
-		delete(f.asked, id)
-		close(q.left)
+// Withdraw implements proxy.Host.
+func (f *Front) Withdraw(id uint64) {
+	if q, ok := f.pendingRequests[id]; ok {
+		delete(f.pendingRequests, id)
+		close(q.withdrawn)
 		f.loop.Leave(q.ticket)
 	}
 }
 
 // Finish implements proxy.Host.
 func (f *Front) Finish(attempt uint64, e proxy.End) {
-	if w, ok := f.waiting[attempt]; ok {
-		delete(f.waiting, attempt)
+	if w, ok := f.pendingAttempts[attempt]; ok {
+		delete(f.pendingAttempts, attempt)
 		w.end <- e
 	}
 }
 
-// Taken implements proxy.Host.
-func (f *Front) Taken(attempt uint64) {
-	if w, ok := f.waiting[attempt]; ok {
+// Accepted implements proxy.Host.
+func (f *Front) Accepted(attempt uint64) {
+	if w, ok := f.pendingAttempts[attempt]; ok {
 		w.turn.Taken()
 	}
 }
 
 // Started implements proxy.Host.
 func (f *Front) Started(attempt uint64) {
-	if w, ok := f.waiting[attempt]; ok {
+	if w, ok := f.pendingAttempts[attempt]; ok {
 		w.turn.Started()
 	}
 }
@@ -447,19 +446,20 @@
 	}
 }
 
-// failed tells the Machine that a message could not be delivered, after the present event.
+// failed reports to the Machine, after the current event, that a message could not be
+// delivered.
 func (f *Front) failed(id string, ran bool) {
 	if id != "" {
-		f.later = append(f.later, func() { f.machine.Failed(f.now(), id, ran) })
+		f.deferred = append(f.deferred, func() { f.machine.DeliveryFailed(f.now(), id, ran) })
 	}
 }
 
-// receive hands a message from a stream to the Machine.
+// receive queues a message from a stream for the Machine.
 func (f *Front) receive(from proxy.Peer, m *message.Message, err error) {
 	f.post(func() { f.machine.Receive(f.now(), from, m, err) })
 }
 
-// readDatagrams hands datagrams to the Machine until the socket is closed.
+// readDatagrams queues datagrams for the Machine until the socket is closed.
 func (f *Front) readDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -468,7 +468,7 @@
 			return
 		}
 		for _, id := range refused {
-			f.post(func() { f.machine.Failed(f.now(), id, false) })
+			f.post(func() { f.machine.DeliveryFailed(f.now(), id, false) })
 		}
 		if n == 0 || !from.IsValid() {
 			continue
--- a/internal/sip/front_test.go
+++ b/internal/sip/front_test.go
@@ -22,14 +22,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// limit is far above anything that a test waits for in vain.
-const limit = 10 * time.Second
+// waitLimit is far longer than any wait of a passing test.
+const waitLimit = 10 * time.Second
 
-// t1 makes retransmissions come soon.
+// t1 is a short T1 for quick retransmissions.
 const t1 = 20 * time.Millisecond
 
-// desk is a front with its servers and one caller.
-type desk struct {
+// testFront is a front with its servers and one caller.
+type testFront struct {
 	t       testing.TB
 	front   *Front
 	servers []*sipua.Server
@@ -38,20 +38,20 @@
 	stop    func()
 }
 
-type deskOptions struct {
-	servers   int
-	transport string // both sides
-	change    func(*Config)
-	script    sipua.Script
-	tls       *tls.Config // of the stand-ins
-	more      string      // of the configuration
-	loss      func(caller bool) sipua.Loss
-	key       string
-	timing    transaction.Timing // short times if not given
+type testFrontOptions struct {
+	servers     int
+	transport   string // of callers and servers
+	modify      func(*Config)
+	script      sipua.Script
+	tls         *tls.Config // of the stand-in user agents
+	extraConfig string      // appended to the configuration
+	loss        func(caller bool) sipua.Loss
+	key         string
+	timing      transaction.Timing // short times if zero
 }
 
-// config makes a checked configuration from TOML.
-func config(t testing.TB, text string) Config {
+// parseConfig parses and checks a configuration in TOML.
+func parseConfig(t testing.TB, text string) Config {
 	t.Helper()
 	var file struct {
 		SIP Config `toml:"sip"`
@@ -72,7 +72,7 @@
 	return path
 }
 
-func open(t testing.TB, o deskOptions) *desk {
+func startTestFront(t testing.TB, o testFrontOptions) *testFront {
 	t.Helper()
 	if o.servers == 0 {
 		o.servers = 1
@@ -92,11 +92,11 @@
 		}
 		return o.loss(caller)
 	}
-	d := &desk{t: t, timing: o.timing}
+	d := &testFront{t: t, timing: o.timing}
 	if d.timing.T1 == 0 {
 		d.timing = transaction.Timing{T1: t1, T2: 8 * t1, T4: 10 * t1}
 	}
-	text := fmt.Sprintf("[sip]\nudp = \"127.0.0.1:0\"\ntcp = \"127.0.0.1:0\"\ntoken_key = %q\nping = \"20ms\"\nupstream.transport = %q\n%s", o.key, o.transport, o.more)
+	text := fmt.Sprintf("[sip]\nudp = \"127.0.0.1:0\"\ntcp = \"127.0.0.1:0\"\ntoken_key = %q\nping = \"20ms\"\nupstream.transport = %q\n%s", o.key, o.transport, o.extraConfig)
 	for n := range o.servers {
 		s, err := sipua.NewServer(sipua.Options{Transport: o.transport, TLS: o.tls, T1: t1, Loss: loss(false)}, o.script)
 		if err != nil {
@@ -110,9 +110,9 @@
 		d.servers = append(d.servers, s)
 		text += fmt.Sprintf("[[sip.server]]\nname = \"s%d\"\naddress = %q\n", n+1, s.Addr())
 	}
-	c := config(t, text)
-	if o.change != nil {
-		o.change(&c)
+	c := parseConfig(t, text)
+	if o.modify != nil {
+		o.modify(&c)
 	}
 	d.start(c)
 	caller, err := sipua.NewCaller(sipua.Options{Proxy: d.front.Listen()[o.transport], Transport: o.transport, TLS: o.tls, T1: t1, Loss: loss(true)})
@@ -124,8 +124,8 @@
 	return d
 }
 
-// start runs a front in d until the test's end or d.stop.
-func (d *desk) start(c Config) {
+// start runs a front until the end of the test or until d.stop is called.
+func (d *testFront) start(c Config) {
 	d.t.Helper()
 	f, err := newFront(c, 1, core.NewClock(), d.timing, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -140,11 +140,10 @@
 	d.stop = func() { cancel(); <-ended }
 	d.t.Cleanup(d.stop)
 	d.front = f
-	d.await("the list is not in place", func(v View) bool { return v.Pool.Members == len(c.Servers) })
+	d.await("the server list is not applied", func(v View) bool { return v.Pool.Members == len(c.Servers) })
 }
 
-// view asks the front.
-func (d *desk) view() View {
+func (d *testFront) view() View {
 	d.t.Helper()
 	v, err := d.front.Inspect(d.t.Context())
 	if err != nil {
@@ -153,56 +152,56 @@
 	return v
 }
 
-// one checks that a transaction has exactly one final response, of a code.
-func one(t *testing.T, tx *sipua.Transaction, code int) {
+// expectFinal checks that a transaction has exactly one final response, with the given code.
+func expectFinal(t *testing.T, tx *sipua.Transaction, code int) {
 	t.Helper()
-	if got := tx.Final(limit); got != code {
+	if got := tx.Final(waitLimit); got != code {
 		t.Fatalf("%s ended with %d, want %d", tx.Method, got, code)
 	}
 	if f := tx.Finals(); len(f) != 1 {
-		t.Fatalf("%s has the finals %q, want one", tx.Method, f)
+		t.Fatalf("%s has the final responses %q, want one", tx.Method, f)
 	}
 }
 
-// The whole of a call, over each transport: ring, answer, re-INVITE, BYE from either side.
+// A complete call over each transport: ringing, answer, re-INVITE, and BYE from either side.
 func TestCall(t *testing.T) {
 	for _, transport := range []string{"udp", "tcp"} {
 		t.Run(transport, func(t *testing.T) {
-			d := open(t, deskOptions{transport: transport})
+			d := startTestFront(t, testFrontOptions{transport: transport})
 			invite := d.caller.Send(sipua.Request{Method: "INVITE"})
-			one(t, invite, 200)
-			if !invite.Heard(180, limit) {
+			expectFinal(t, invite, 200)
+			if !invite.Heard(180, waitLimit) {
 				t.Error("no 180")
 			}
 			s := d.servers[0]
-			if !s.Await("ACK", invite.CallID, 1, limit) {
+			if !s.Await("ACK", invite.CallID, 1, waitLimit) {
 				t.Error("the ACK did not arrive")
 			}
 			q := invite.Dialog()
 			q.Method = "INVITE"
-			one(t, d.caller.Send(q), 200)
+			expectFinal(t, d.caller.Send(q), 200)
 			q.Method, q.Seq, q.Branch = "BYE", q.Seq+1, ""
-			one(t, d.caller.Send(q), 200)
+			expectFinal(t, d.caller.Send(q), 200)
 			if n := s.Count("BYE", invite.CallID); n != 1 {
 				t.Errorf("%d BYEs", n)
 			}
 			s.Play(func(c *sipua.Call) {
 				c.Reply(200)
-				if c.Acked(limit) {
+				if c.Acked(waitLimit) {
 					c.Bye()
 				}
 			})
 			back := d.caller.Send(sipua.Request{Method: "INVITE"})
-			one(t, back, 200)
-			if !d.caller.AwaitAsked("BYE", back.CallID, limit) || !s.Await("200", back.CallID, 1, limit) {
+			expectFinal(t, back, 200)
+			if !d.caller.AwaitAsked("BYE", back.CallID, waitLimit) || !s.Await("200", back.CallID, 1, waitLimit) {
 				t.Error("a BYE from the server did not go through")
 			}
 			for _, method := range []string{"REGISTER", "OPTIONS", "SUBSCRIBE", "MESSAGE"} {
-				one(t, d.caller.Send(sipua.Request{Method: method}), 200)
+				expectFinal(t, d.caller.Send(sipua.Request{Method: method}), 200)
 			}
 			d.await("counts", func(v View) bool {
 				return v.Dialogs == 2 && v.Byes == 2 && v.Requests == 6 && v.Inside == 3 && v.Ends["success"] == 9 && v.Stray == 0 &&
-					v.Pool.Requests == 0 && v.Pool.Counts[proxy.Calls][core.Served] == 2
+					v.Pool.Requests == 0 && v.Pool.Counts[proxy.ClassInvite][core.Served] == 2
 			})
 		})
 	}
--- a/internal/sip/inspect.go
+++ b/internal/sip/inspect.go
@@ -9,24 +9,24 @@
 	"otterstep/internal/sip/proxy"
 )
 
-// View is the front's state for those who look on.
+// View is a snapshot of the front's state for inspection.
 type View struct {
 	proxy.View
 	Pool        core.View
 	Listen      map[string]string
-	Dropped     int64 // datagrams, as the front was too far behind
+	Dropped     int64 // datagrams dropped because the event queue was full
 	Connections int
-	TurnedAway  int64 // connections beyond the bound
+	TurnedAway  int64 // connections rejected because of the limit
 }
 
 // Inspect copies the state of the front and of its pool.
 func (f *Front) Inspect(ctx context.Context) (View, error) {
 	pool, err := f.loop.Inspect(ctx)
 	if err != nil {
-		return View{}, fmt.Errorf("the pool of SIP: %w", err)
+		return View{}, fmt.Errorf("SIP pool: %w", err)
 	}
 	v := View{Pool: pool, Listen: f.Listen(), Dropped: f.dropped.Load()}
-	v.Connections, v.TurnedAway = f.streams.count()
+	v.Connections, v.TurnedAway = f.streams.counts()
 	copied := make(chan struct{})
 	select {
 	case f.events <- func() { v.View = f.machine.Inspect(); close(copied) }:
--- a/internal/sip/proxy/bounds_test.go
+++ b/internal/sip/proxy/bounds_test.go
@@ -11,13 +11,13 @@
 	"otterstep/internal/sip/message"
 )
 
-// A flood of calls from invented sources fills its part of the table and no more; a
-// request inside a dialog still finds room, and all of it is free again in the end.
+// A flood of calls from spoofed sources fills only the part of the table meant for requests
+// outside dialogs. Requests inside a dialog still get their part. All state is freed at the end.
 func TestSpoofedFloodIsBounded(t *testing.T) {
-	w := newWorld(t, 1, 0)
-	w.m.o.Limits = Limits{Transactions: 200, PerSource: 10}
-	quiet := &quietHost{world: w}
-	w.m.o.Host = quiet
+	w := newSimulation(t, 1, 0)
+	w.m.options.Limits = Limits{Transactions: 200, PerSource: 10}
+	quiet := &discardHost{simulation: w}
+	w.m.options.Host = quiet
 	receive := func(n int, method, extra string) {
 		text := fmt.Appendf(nil, "%s sip:desk@pool SIP/2.0\r\nVia: SIP/2.0/UDP 10.0.0.1;rport;branch=z9hG4bK%d%s\r\nFrom: <sip:a@b>;tag=t%d\r\nTo: <sip:desk@pool>%s\r\nCall-ID: flood%d\r\nCSeq: 1 %s\r\n\r\n",
 			method, n, method, n, extra, n, method)
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Ten from each of many addresses of IPv6, of which 65,536 are one /64.
+		// Many IPv6 addresses, with 40 requests from each /64.
 		addr := [16]byte{0x20, 1, 0xd, 0xb8, 0, 0, byte(n / 40), 0, 0, 0, 0, 0, 0, 0, 0, byte(n)}
 		w.m.Receive(w.now, Peer{Transport: UDP, Addr: netip.AddrPortFrom(netip.AddrFrom16(addr), 5060)}, q, nil)
 	}
@@ -38,8 +38,8 @@
 	if c := w.m.counts.Refused; c["source"] == 0 || c["transactions"] == 0 || len(w.m.exchanges) != 150 {
 		t.Errorf("%d exchanges, refused %v", len(w.m.exchanges), c)
 	}
-	// A call that was set up before the flood.
-	user := w.m.o.Sealer.Sign(w.pin(2), "flood9999", "t9999")
+	// A call that was established before the flood.
+	user := w.m.options.Signer.Sign(w.claims(2), "flood9999", "t9999")
 	for n := range 100 {
 		text := fmt.Appendf(nil, "INFO sip:desk@pool SIP/2.0\r\nVia: SIP/2.0/UDP 10.0.0.1;rport;branch=z9hG4bKi%d\r\nRoute: <sip:%s@127.0.0.1:5060;lr>\r\nFrom: <sip:a@b>;tag=t9999\r\nTo: <sip:desk@pool>;tag=d\r\nCall-ID: flood9999\r\nCSeq: %d INFO\r\n\r\n", n, user, n+2)
 		q, err := message.Parse(text)
@@ -56,47 +56,47 @@
 		w.m.Tick(due)
 	}
 	if n := len(w.m.exchanges) + len(w.m.branches) + len(w.m.sources) + len(w.m.timers); n != 0 {
-		t.Errorf("%d things are left behind", n)
+		t.Errorf("%d exchanges, branches, sources and timers left behind", n)
 	}
 }
 
-// quietHost drops what it is given and counts requests by method.
-type quietHost struct {
-	*world
+// discardHost discards all messages and counts requests by method.
+type discardHost struct {
+	*simulation
 	sent map[string]int
 }
 
-func (h *quietHost) Transmit(_ Peer, _ string, text []byte) {
+func (h *discardHost) Transmit(_ Peer, _ string, text []byte) {
 	m, err := message.Parse(text)
 	if err != nil && bytes.Contains(text, []byte("\r\nWarning: 399 ")) {
-		return // it has the words of the broken request that it answers
+		return // it echoes fields of the malformed request that it answers
 	}
 	if err != nil {
-		h.t.Fatalf("the Machine wrote what can't be read: %v\n%s", err, text)
+		h.t.Fatalf("the Machine wrote a message that can't be parsed: %v\n%s", err, text)
 	}
 	if h.sent == nil {
 		h.sent = map[string]int{}
 	}
 	h.sent[m.Method]++
 }
-func (h *quietHost) Submit(Ask)         {}
-func (h *quietHost) Leave(uint64)       {}
-func (h *quietHost) Finish(uint64, End) {}
+func (h *discardHost) Submit(RoutingRequest) {}
+func (h *discardHost) Withdraw(uint64)       {}
+func (h *discardHost) Finish(uint64, End)    {}
 
-// Whatever datagrams come in whatever order, nothing panics, what the Machine writes
-// can be read, the bounds hold, and nothing is left when the timers have run.
+// For any datagrams in any order the Machine does not panic, writes messages that can be
+// parsed, keeps to its limits, and holds no state after all timers have run.
 func FuzzReceive(f *testing.F) {
 	invite := "INVITE sip:desk@pool SIP/2.0\r\nVia: SIP/2.0/UDP 10.0.0.1;rport;branch=z9hG4bKa\r\nFrom: <sip:a@b>;tag=t\r\nTo: <sip:desk@pool>\r\nCall-ID: c\r\nCSeq: 1 INVITE\r\n\r\n"
 	f.Add([]byte(invite), []byte("SIP/2.0 200 OK\r\nVia: SIP/2.0/UDP 127.0.0.1:5060;branch=BRANCH\r\nFrom: <sip:a@b>;tag=t\r\nTo: <sip:desk@pool>;tag=x\r\nCall-ID: c\r\nCSeq: 1 INVITE\r\nContact: <sip:x@y>\r\n\r\n"), byte(0))
 	f.Add([]byte(invite), []byte("CANCEL sip:desk@pool SIP/2.0\r\nVia: SIP/2.0/UDP 10.0.0.1;rport;branch=z9hG4bKa\r\nFrom: <sip:a@b>;tag=t\r\nTo: <sip:desk@pool>\r\nCall-ID: c\r\nCSeq: 1 CANCEL\r\n\r\n"), byte(1))
 	f.Add([]byte(invite), []byte("SIP/2.0 503 Full\r\nVia: SIP/2.0/UDP 127.0.0.1:5060;branch=BRANCH\r\nFrom: <sip:a@b>;tag=t\r\nTo: <sip:desk@pool>;tag=x\r\nCall-ID: c\r\nCSeq: 1 INVITE\r\nRecord-Route: <sip:a;lr>\r\n\r\n"), byte(2))
 	f.Fuzz(func(t *testing.T, first, second []byte, order byte) {
-		w := newWorld(t, uint64(order), 0)
-		w.m.o.Limits = Limits{Transactions: 8, PerSource: 4}
-		w.m.o.Host = &quietHost{world: w}
+		w := newSimulation(t, uint64(order), 0)
+		w.m.options.Limits = Limits{Transactions: 8, PerSource: 4}
+		w.m.options.Host = &discardHost{simulation: w}
 		from := Peer{Transport: UDP, Addr: netip.MustParseAddrPort("127.0.0.3:9000")}
 		receive := func(text []byte) {
-			// A response can name a branch only as the Machine chose it.
+			// A response must carry a branch ID that the Machine generated.
 			for id := range w.m.branches {
 				if m, err := message.Parse(text); err == nil && !m.IsRequest() && m.Via.Branch == "BRANCH" {
 					m.Via.Branch = w.m.branches[id].id
@@ -136,11 +136,11 @@
 	})
 }
 
-// A request without hops left ends here; one without the field gets 70.
-func TestHops(t *testing.T) {
-	w := newWorld(t, 1, 0)
-	quiet := &quietHost{world: w}
-	w.m.o.Host = quiet
+// A request with Max-Forwards 0 is answered 483; one without the field is forwarded with 70.
+func TestMaxForwards(t *testing.T) {
+	w := newSimulation(t, 1, 0)
+	quiet := &discardHost{simulation: w}
+	w.m.options.Host = quiet
 	for n, hops := range []string{"Max-Forwards: 0\r\n", "Max-Forwards: 1\r\n", ""} {
 		q, err := message.Parse(fmt.Appendf(nil, "INVITE sip:a@b SIP/2.0\r\nVia: SIP/2.0/UDP 10.0.0.1;branch=z9hG4bK%d\r\n%sFrom: <sip:a@b>;tag=t\r\nTo: <sip:a@b>\r\nCall-ID: hops%d\r\nCSeq: 1 INVITE\r\n\r\n", n, hops, n))
 		if err != nil {
--- a/internal/sip/proxy/branch.go
+++ b/internal/sip/proxy/branch.go
@@ -15,57 +15,58 @@
 	"otterstep/internal/sip/transaction"
 )
 
-// branch is a request sent on, with its client transaction.
+// branch is a forwarded or generated request with its client transaction.
 type branch struct {
-	exchange *exchange // nil for requests of the Machine's own: CANCEL, BYE
-	key      string
-	id       string           // of Via
-	request  *message.Message // as it was sent
-	text     []byte
-	vias     []message.Field // the caller's
-	to       Peer
-	machine  transaction.Machine
-	timer    timer
-	attempt  uint64 // the core waits for its end; 0 if not
-	sent     int    // datagrams or writes
-	heard    int    // highest provisional code
-	final    int
-	counted  bool // in the exchange's open
-	told     bool // its end is among the counts
-	given    bool // up: see giveUp
-	cancels  bool // CANCEL was sent
-	ack      []byte
-	ended    []string // To tags of late 2xx that were ended with BYE
+	exchange           *exchange // nil for the Machine's own CANCEL and BYE requests
+	key                string
+	id                 string           // branch parameter of its Via
+	request            *message.Message // as sent
+	text               []byte
+	vias               []message.Field // Vias of the received request
+	to                 Peer
+	machine            transaction.Machine
+	timer              timer
+	attempt            uint64 // the core's attempt that waits for its end; 0 if none
+	transmissions      int    // how often the request was sent
+	highestProvisional int    // highest provisional status code received
+	final              int
+	pending            bool // counted in exchange.pendingBranches
+	endCounted         bool // its end was added to Counts.Ends
+	abandoned          bool // see abandonBranch
+	cancelSent         bool
+	ack                []byte
+	byeTags            []string // To tags of late 2xx whose dialogs were ended with BYE
 }
 
-// endedMost bounds the late 2xx of one branch that are ended: forks behind one server.
-const endedMost = 16
+// maxLateDialogs bounds how many late 2xx of one branch, from forks behind its server, are
+// ended with BYE.
+const maxLateDialogs = 16
 
-// send puts a branch on the books and its request on the wire.
-func (m *Machine) send(now time.Duration, b *branch) {
+// startBranch registers a branch and sends its request.
+func (m *Machine) startBranch(now time.Duration, b *branch) {
 	b.text = b.request.Encode()
 	b.key = clientKey(b.request.Method, b.id)
-	b.machine = transaction.NewClient(now, m.o.Timing, b.request.Method == message.Invite, b.to.Transport.Reliable())
+	b.machine = transaction.NewClient(now, m.options.Timing, b.request.Method == message.Invite, b.to.Transport.Reliable())
 	b.timer = timer{owner: b, index: -1}
 	m.branches[b.key] = b
 	if x := b.exchange; x != nil {
 		x.branches = append(x.branches, b)
-		x.open++
-		b.counted = true
+		x.pendingBranches++
+		b.pending = true
 	}
 	m.transmit(b)
-	m.set(&b.timer, b.machine.Due())
+	m.setTimer(&b.timer, b.machine.Due())
 }
 
 func (m *Machine) transmit(b *branch) {
-	b.sent++
-	m.o.Host.Transmit(b.to, b.key, b.text)
+	b.transmissions++
+	m.options.Host.Transmit(b.to, b.key, b.text)
 }
 
 func clientKey(method, id string) string { return method + " " + id }
 
-// forwardTo makes the branch that carries an exchange's request to a peer (RFC 3261
-// section 16.6). server is the pool's id of it if this begins a dialog.
+// forwardTo forwards an exchange's request to a peer (RFC 3261 section 16.6). server is the
+// peer's ID in the pool, used in the token if the request may start a dialog.
 func (m *Machine) forwardTo(now time.Duration, x *exchange, to Peer, server uint64, attempt uint64) {
 	q := x.request.Clone()
 	hops := q.MaxForwards()
@@ -73,26 +74,27 @@
 		hops = 71
 	}
 	q.Set("max-forwards", strconv.Itoa(hops-1))
-	if begins(q) {
+	if mayStartDialog(q) {
 		caller := token.ReturnPath{Transport: byte(x.from.Transport), Source: x.from.Addr, Port: x.from.Port}
-		pin := token.Claims{Server: server, Caller: caller, Expires: m.o.Wall(now).Add(m.o.DialogFor)}
-		at, param := m.address(to.Transport)
-		q.Push("record-route", fmt.Sprintf("<sip:%s@%s%s;lr>", m.o.Sealer.Sign(pin, q.CallID, q.FromTag), at, param))
+		claims := token.Claims{Server: server, Caller: caller, Expires: m.options.WallTime(now).Add(m.options.TokenLifetime)}
+		at, param := m.listenAddress(to.Transport)
+		q.Push("record-route", fmt.Sprintf("<sip:%s@%s%s;lr>", m.options.Signer.Sign(claims, q.CallID, q.FromTag), at, param))
 	}
-	b := &branch{exchange: x, request: q, to: to, attempt: attempt, vias: viasOf(x.request)}
-	m.push(b, x.loop)
+	b := &branch{exchange: x, request: q, to: to, attempt: attempt, vias: viaFields(x.request)}
+	m.pushVia(b, x.loopHash)
 	if attempt != 0 {
 		m.attempts[attempt] = b
 	}
-	m.send(now, b)
+	m.startBranch(now, b)
 }
 
-// begins tells the requests that may begin a dialog (RFC 3261 section 12, RFC 6665, RFC 3515).
-func begins(q *message.Message) bool {
+// mayStartDialog reports whether a request may start a dialog (RFC 3261 section 12, RFC 6665,
+// RFC 3515).
+func mayStartDialog(q *message.Message) bool {
 	return q.ToTag == "" && (q.Method == message.Invite || q.Method == message.Subscribe || q.Method == "REFER")
 }
 
-func viasOf(q *message.Message) (vias []message.Field) {
+func viaFields(q *message.Message) (vias []message.Field) {
 	for _, f := range q.Fields {
 		if f.Name == "via" {
 			vias = append(vias, f)
@@ -101,20 +103,20 @@
 	return vias
 }
 
-// push gives a branch its id and Via.
-func (m *Machine) push(b *branch, loop string) {
+// pushVia generates a branch's ID and adds the proxy's Via.
+func (m *Machine) pushVia(b *branch, loop string) {
 	var random [8]byte
 	binary.BigEndian.PutUint64(random[:], m.rng.Uint64())
-	b.id = cookie + hex.EncodeToString(random[:]) + "." + loop
-	at, _ := m.address(b.to.Transport)
+	b.id = magicCookie + hex.EncodeToString(random[:]) + "." + loop
+	at, _ := m.listenAddress(b.to.Transport)
 	b.request.Push("via", "SIP/2.0/"+b.to.Transport.String()+" "+at.String()+";branch="+b.id+";rport")
 }
 
-// address gives the listener that a transport's peers are told of, with the URI
-// parameter that goes with it; where that transport has none, another one's.
-func (m *Machine) address(t Transport) (netip.AddrPort, string) {
+// listenAddress returns the listener address to announce to a transport's peers, with its
+// URI parameter. If the transport has no listener, it returns that of another transport.
+func (m *Machine) listenAddress(t Transport) (netip.AddrPort, string) {
 	for _, t := range []Transport{t, TCP, UDP, TLS} {
-		if at, ok := m.o.Listen[t]; ok {
+		if at, ok := m.options.Listen[t]; ok {
 			if t == UDP {
 				return at, ""
 			}
@@ -124,59 +126,59 @@
 	return netip.AddrPort{}, ""
 }
 
-// Attempt is the core's word to try an exchange at a server. begin is asked right
-// before the first byte. It is always followed by Finish for the attempt, unless
-// Abandon comes first.
+// Attempt forwards an exchange's request to the server that the core chose. It calls begin
+// just before it sends, and sends nothing if begin returns false. Host.Finish follows for
+// each attempt, unless Abandon comes first.
 func (m *Machine) Attempt(now time.Duration, id, attempt, server uint64, to Peer, begin func() bool) {
 	x := m.exchanges[id]
 	if x == nil || x.final != 0 || x.cancelled || !begin() {
-		m.o.Host.Finish(attempt, Unsent)
+		m.options.Host.Finish(attempt, NotSent)
 		return
 	}
 	m.forwardTo(now, x, to, server, attempt)
 }
 
-// Abandon is the core's word that it gave an attempt up. A call that may ring is
-// cancelled; a 2xx that still comes is passed on only if the caller has no final yet.
+// Abandon ends an attempt that the core has given up. An INVITE is cancelled; a 2xx that
+// still arrives is forwarded only if the caller has no final response yet.
 func (m *Machine) Abandon(now time.Duration, attempt uint64) {
 	if b := m.attempts[attempt]; b != nil {
 		delete(m.attempts, attempt)
 		b.attempt = 0
-		m.giveUp(now, b)
+		m.abandonBranch(now, b)
 	}
 }
 
-// Answer is the core's final word on an exchange that it was asked for.
+// Answer handles the core's result for a request that was submitted to it.
 func (m *Machine) Answer(now time.Duration, id uint64, a Answer, retryAfter time.Duration) {
 	x := m.exchanges[id]
 	if x == nil {
 		return
 	}
-	x.asked = false
+	x.awaitingCore = false
 	if x.final != 0 || x.cancelled {
 		return
 	}
 	switch a {
 	case AnswerRefused:
-		if x.best != nil && x.best.Code != 503 { // it may be repeated, and here is what servers say
-			m.conclude(now, x)
+		if x.bestResponse != nil && x.bestResponse.Code != 503 { // a server's own response is better than a 503
+			m.respondBest(now, x)
 			return
 		}
-		m.refused("no server")
-		m.respondWith(now, x, 503, max(retryAfter, m.o.RetryAfter))
+		m.countRefusal("no server")
+		m.respondStatus(now, x, 503, max(retryAfter, m.options.RetryAfter))
 	case AnswerFailed:
-		m.conclude(now, x)
+		m.respondBest(now, x)
 	case AnswerOverdue:
-		m.overdue(now, x)
+		m.respondTimeout(now, x)
 	case AnswerDuplicate:
-		m.respondWith(now, x, 482, 0)
+		m.respondStatus(now, x, 482, 0)
 	}
 }
 
-// Answer is how the core ended a request.
+// Answer is the core's result for a request.
 type Answer uint8
 
-// The answers; what was served has been responded to by then.
+// The answers. For AnswerServed the response was sent before.
 const (
 	AnswerServed Answer = iota
 	AnswerRefused
@@ -185,108 +187,109 @@
 	AnswerDuplicate
 )
 
-// fire implements owed.
+// fire implements timerOwner.
 func (b *branch) fire(m *Machine, now time.Duration) {
 	act := b.machine.Fire(now)
 	if act&transaction.Transmit != 0 {
 		m.transmit(b)
 	}
 	if act&transaction.TimedOut != 0 {
-		m.lost(now, b, b.silence())
+		m.failBranch(now, b, b.timeoutEnd())
 	}
-	m.tidy(now, b)
+	m.rescheduleOrRemoveBranch(now, b)
 }
 
-// silence names the end of a branch that brings nothing more.
-func (b *branch) silence() End {
+// timeoutEnd returns the End of a branch that received no final response.
+func (b *branch) timeoutEnd() End {
 	switch {
-	case b.heard > 100:
-		return RangOut
-	case b.heard > 0:
-		return Stalled
+	case b.highestProvisional > 100:
+		return TimedOutRinging
+	case b.highestProvisional > 0:
+		return TimedOutAfterTrying
 	}
-	return Silent
+	return NoResponse
 }
 
-// tidy forgets a branch that is over; else it sets its timer anew.
-func (m *Machine) tidy(now time.Duration, b *branch) {
+// rescheduleOrRemoveBranch removes a branch whose transaction has terminated, and else resets
+// its timer.
+func (m *Machine) rescheduleOrRemoveBranch(now time.Duration, b *branch) {
 	if b.machine.State() != transaction.Terminated {
-		m.set(&b.timer, b.machine.Due())
+		m.setTimer(&b.timer, b.machine.Due())
 		return
 	}
-	m.set(&b.timer, 0)
+	m.setTimer(&b.timer, 0)
 	if m.branches[b.key] == b {
 		delete(m.branches, b.key)
 	}
 	if b.final == 0 {
-		m.lost(now, b, b.silence())
+		m.failBranch(now, b, b.timeoutEnd())
 	}
 }
 
-// lost ends a branch that brings no final response.
-func (m *Machine) lost(now time.Duration, b *branch, e End) {
-	m.finish(b, e)
-	if x := b.exchange; x != nil && b.uncount() {
-		m.over(now, x, e)
-		m.settle(x)
+// failBranch ends a branch that received no final response.
+func (m *Machine) failBranch(now time.Duration, b *branch, e End) {
+	m.reportEnd(b, e)
+	if x := b.exchange; x != nil && b.clearPending() {
+		m.branchFailed(now, x, e)
+		m.rescheduleOrRemove(x)
 	}
 }
 
-// finish tells the core of a branch's end, once.
-func (m *Machine) finish(b *branch, e End) {
-	if b.exchange != nil && !b.told {
-		b.told = true
+// reportEnd counts a branch's end and reports it to the core, at most once.
+func (m *Machine) reportEnd(b *branch, e End) {
+	if b.exchange != nil && !b.endCounted {
+		b.endCounted = true
 		m.counts.Ends[e.String()]++
 	}
 	if b.attempt != 0 {
 		delete(m.attempts, b.attempt)
-		m.o.Host.Finish(b.attempt, e)
+		m.options.Host.Finish(b.attempt, e)
 		b.attempt = 0
 	}
 }
 
-// uncount takes a branch off its exchange's open ones; false if it was off already.
-func (b *branch) uncount() bool {
-	if !b.counted {
+// clearPending removes a branch from its exchange's count of pending ones. It returns false
+// if it was not counted.
+func (b *branch) clearPending() bool {
+	if !b.pending {
 		return false
 	}
-	b.counted = false
-	b.exchange.open--
+	b.pending = false
+	b.exchange.pendingBranches--
 	return true
 }
 
-// giveUp ends the wait for a branch from this side. An INVITE is cancelled, as soon as
-// the server has let hear of itself (RFC 3261 section 9.1); anything else is let go.
-func (m *Machine) giveUp(now time.Duration, b *branch) {
-	if b.final != 0 || b.given || b.machine.State() == transaction.Terminated {
+// abandonBranch stops waiting for a branch. An INVITE is cancelled as soon as the server has
+// sent a provisional response (RFC 3261 section 9.1); any other transaction is dropped.
+func (m *Machine) abandonBranch(now time.Duration, b *branch) {
+	if b.final != 0 || b.abandoned || b.machine.State() == transaction.Terminated {
 		return
 	}
-	b.given = true
+	b.abandoned = true
 	if b.request.Method == message.Invite {
 		b.machine.Abandon(now)
-		m.set(&b.timer, b.machine.Due())
-		if b.heard > 0 {
+		m.setTimer(&b.timer, b.machine.Due())
+		if b.highestProvisional > 0 {
 			m.sendCancel(now, b)
 		}
 		return
 	}
 	b.machine.Fail()
-	m.tidy(now, b)
+	m.rescheduleOrRemoveBranch(now, b)
 }
 
-// sendCancel sends the CANCEL of a branch: a transaction of its own with the INVITE's
-// branch id.
+// sendCancel sends the CANCEL of a branch: a separate transaction with the INVITE's branch ID.
 func (m *Machine) sendCancel(now time.Duration, b *branch) {
-	if b.cancels {
+	if b.cancelSent {
 		return
 	}
-	b.cancels = true
+	b.cancelSent = true
 	c := &branch{request: b.hopRequest(message.Cancel), to: b.to, id: b.id}
-	m.send(now, c)
+	m.startBranch(now, c)
 }
 
-// hopRequest makes the CANCEL of a branch, or the ACK to its final response, which go
-// one hop and have the INVITE's top Via (RFC 3261 sections 9.1 and 17.1.1.3).
+// hopRequest makes the CANCEL of a branch, or the ACK to its final response. These are
+// hop-by-hop and have the INVITE's top Via (RFC 3261 sections 9.1 and 17.1.1.3).
 func (b *branch) hopRequest(method string) *message.Message {
 	q := &message.Message{Method: method, URI: b.request.URI}
 	via, _ := b.request.Get("via")
@@ -302,7 +305,7 @@
 	return q
 }
 
-// Response takes a response in.
+// Response handles a response from a server.
 func (m *Machine) Response(now time.Duration, r *message.Message) {
 	b := m.branches[clientKey(r.CSeqMethod, r.Via.Branch)]
 	if b == nil || r.CallID != b.request.CallID && b.request.CallID != "" {
@@ -317,96 +320,97 @@
 			q.Set("to", to)
 			b.ack = q.Encode()
 		}
-		m.o.Host.Transmit(b.to, "", b.ack)
+		m.options.Host.Transmit(b.to, "", b.ack)
 	}
 	if x := b.exchange; act&transaction.Deliver != 0 && x != nil {
 		switch {
 		case r.Code < 200:
-			m.provisional(now, x, b, r)
+			m.receiveProvisional(now, x, b, r)
 		case r.Code < 300:
-			m.succeeded(now, x, b, r)
+			m.receiveSuccess(now, x, b, r)
 		default:
-			m.declined(now, x, b, r)
+			m.receiveFailure(now, x, b, r)
 		}
 	}
-	m.tidy(now, b)
+	m.rescheduleOrRemoveBranch(now, b)
 }
 
-// provisional passes a 1xx over 100 on while the caller has no final response.
-func (m *Machine) provisional(now time.Duration, x *exchange, b *branch, r *message.Message) {
-	b.heard = max(b.heard, r.Code)
-	if b.given {
+// receiveProvisional handles a 1xx response. One above 100 is forwarded while the caller has no
+// final response.
+func (m *Machine) receiveProvisional(now time.Duration, x *exchange, b *branch, r *message.Message) {
+	b.highestProvisional = max(b.highestProvisional, r.Code)
+	if b.abandoned {
 		m.sendCancel(now, b)
 	}
 	if r.Code == 100 && b.attempt != 0 {
-		m.o.Host.Taken(b.attempt)
+		m.options.Host.Accepted(b.attempt)
 	}
 	if r.Code == 100 || x.final != 0 || x.method != message.Invite {
 		return
 	}
 	if b.attempt != 0 {
-		m.o.Host.Started(b.attempt)
+		m.options.Host.Started(b.attempt)
 	}
-	m.forward(now, x, b, r)
+	m.forwardResponse(now, x, b, r)
 }
 
-// succeeded passes a 2xx on. To an INVITE that has another final response it comes too
-// late: the dialog that it began is ended.
-func (m *Machine) succeeded(now time.Duration, x *exchange, b *branch, r *message.Message) {
+// receiveSuccess forwards a 2xx. If the INVITE already got a final response other than 2xx,
+// the 2xx is too late and its dialog is ended.
+func (m *Machine) receiveSuccess(now time.Duration, x *exchange, b *branch, r *message.Message) {
 	first := b.final == 0
 	b.final = r.Code
 	if first {
-		defer m.finish(b, Success)
-		b.uncount()
+		defer m.reportEnd(b, Success)
+		b.clearPending()
 	}
 	if x.final == 0 || x.final/100 == 2 && x.method == message.Invite {
-		m.forward(now, x, b, r)
+		m.forwardResponse(now, x, b, r)
 	} else if x.method == message.Invite {
-		m.endLate(now, b, r)
+		m.terminateLateDialog(now, b, r)
 	}
 }
 
-// declined takes a final response over 299 in.
-func (m *Machine) declined(now time.Duration, x *exchange, b *branch, r *message.Message) {
+// receiveFailure handles a final response of 300 or above.
+func (m *Machine) receiveFailure(now time.Duration, x *exchange, b *branch, r *message.Message) {
 	b.final = r.Code
 	e := endOf(r.Code)
-	// The core must not try elsewhere what the server has settled, so the response
-	// goes out before it hears of the end.
-	defer m.finish(b, e)
-	b.uncount()
+	// Send the response before the core learns of the end, so that the core does not retry a
+	// request that is already answered.
+	defer m.reportEnd(b, e)
+	b.clearPending()
 	if x.final != 0 {
 		return
 	}
-	if Outcomes[e].Final || x.pinned && e != Full {
-		m.forward(now, x, b, r)
+	if Outcomes[e].Final || x.inDialog && e != Unavailable {
+		m.forwardResponse(now, x, b, r)
 		return
 	}
-	if !x.cancelled && (x.best == nil || r.Code < x.best.Code) {
-		x.best = b.own(r)
+	if !x.cancelled && (x.bestResponse == nil || r.Code < x.bestResponse.Code) {
+		x.bestResponse = b.restoreVias(r)
 	}
-	m.over(now, x, e)
+	m.branchFailed(now, x, e)
 }
 
-// endLate acknowledges a 2xx that nobody waits for and ends its dialog (RFC 3261
-// section 13.2.2.4: whoever accepts no dialog sends ACK, then BYE).
-func (m *Machine) endLate(now time.Duration, b *branch, r *message.Message) {
+// terminateLateDialog acknowledges a late 2xx and ends its dialog, with ACK and then BYE as
+// RFC 3261 section 13.2.2.4 requires for an unwanted dialog.
+func (m *Machine) terminateLateDialog(now time.Duration, b *branch, r *message.Message) {
 	target, _ := r.Get("contact")
 	contact, err := message.ParseAddress(target)
 	if err != nil {
 		contact.URI = b.request.URI
 	}
-	ack := m.inside(b, r, message.Ack, contact.URI)
-	m.o.Host.Transmit(b.to, "", ack.request.Encode())
-	if slices.Contains(b.ended, r.ToTag) || len(b.ended) >= endedMost {
-		return // the 2xx again: its ACK was lost
+	ack := m.newInDialogRequest(b, r, message.Ack, contact.URI)
+	m.options.Host.Transmit(b.to, "", ack.request.Encode())
+	if slices.Contains(b.byeTags, r.ToTag) || len(b.byeTags) >= maxLateDialogs {
+		return // a retransmitted 2xx: its ACK was lost
 	}
-	b.ended = append(b.ended, r.ToTag)
+	b.byeTags = append(b.byeTags, r.ToTag)
 	m.counts.Late++
-	m.send(now, m.inside(b, r, message.Bye, contact.URI))
+	m.startBranch(now, m.newInDialogRequest(b, r, message.Bye, contact.URI))
 }
 
-// inside makes a request in the dialog that a 2xx to a branch has begun.
-func (m *Machine) inside(b *branch, r *message.Message, method, uri string) *branch {
+// newInDialogRequest makes a request in the dialog that a 2xx to a branch established.
+func (m *Machine) newInDialogRequest(b *branch, r *message.Message, method, uri string) *branch {
 	number := b.request.CSeq
 	if method != message.Ack {
 		number++
@@ -418,38 +422,38 @@
 		{Name: "max-forwards", Value: "70"}, {Name: "from", Value: from}, {Name: "to", Value: to},
 		{Name: "call-id", Value: b.request.CallID}, {Name: "cseq", Value: strconv.FormatUint(uint64(number), 10) + " " + method},
 	}
-	// The route set is what stands between us and the server: the Record-Routes above
-	// ours, backwards.
+	// The route set is the proxies between this one and the server: the Record-Routes above
+	// this proxy's own, in reverse order.
 	for _, hop := range r.All("record-route") {
-		if a, err := message.ParseAddress(hop); err != nil || m.ours(a.URI) {
+		if a, err := message.ParseAddress(hop); err != nil || m.isOwnURI(a.URI) {
 			break
 		}
 		q.Push("route", hop)
 	}
 	late := &branch{request: q, to: b.to}
-	m.push(late, m.loopHash(q))
+	m.pushVia(late, m.loopHash(q))
 	return late
 }
 
-// Failed tells that a message could not be delivered: the branch's request, by the id
-// that Transmit was given. ran is false only where no part of it can have been read.
-func (m *Machine) Failed(now time.Duration, id string, ran bool) {
+// DeliveryFailed reports that a branch's request could not be delivered. id is the one passed to
+// Host.Transmit. ran is false only if the server can't have received the whole request.
+func (m *Machine) DeliveryFailed(now time.Duration, id string, ran bool) {
 	b := m.branches[id]
 	if b == nil || b.final != 0 {
 		return
 	}
 	e := Refused
-	if ran || b.heard > 0 || b.sent > 1 {
-		e = Reset // an earlier datagram may have arrived
+	if ran || b.highestProvisional > 0 || b.transmissions > 1 {
+		e = Reset // an earlier transmission may have arrived
 	}
 	b.machine.Fail()
-	m.lost(now, b, e)
-	m.tidy(now, b)
+	m.failBranch(now, b, e)
+	m.rescheduleOrRemoveBranch(now, b)
 }
 
-// Closed tells that a connection has ended: what was sent on it, or to its address on
-// whichever there was, may have run and brings no response any more.
-func (m *Machine) Closed(now time.Duration, conn uint64, addr netip.AddrPort) {
+// ConnectionClosed reports that a connection was closed. Requests that were sent on it, or to its
+// address without a specific connection, may have run but get no response.
+func (m *Machine) ConnectionClosed(now time.Duration, conn uint64, addr netip.AddrPort) {
 	var ended []string
 	for key, b := range m.branches {
 		if b.to.Transport.Reliable() && (b.to.Conn == conn || b.to.Conn == 0 && b.to.Addr == addr) {
@@ -458,6 +462,6 @@
 	}
 	slices.Sort(ended)
 	for _, key := range ended {
-		m.Failed(now, key, true)
+		m.DeliveryFailed(now, key, true)
 	}
 }
--- a/internal/sip/proxy/exchange.go
+++ b/internal/sip/proxy/exchange.go
@@ -9,41 +9,41 @@
 	"otterstep/internal/sip/transaction"
 )
 
-// exchange is a request with its server transaction, its attempts and its one final
-// response: the response context of RFC 3261 section 16. Only the Machine touches it.
+// exchange is a request with its server transaction, its branches and its one final
+// response: the response context of RFC 3261 section 16.
 type exchange struct {
-	id       uint64
-	key      string
-	method   string
-	request  *message.Message // as it came, with Via completed and own Routes taken off; nil once it is not needed
-	loop     string           // see loopHash
-	from     Peer
-	way      Peer       // where responses go
-	source   netip.Addr // counted against the source's bound; zero if it isn't
-	server   transaction.Machine
-	last     []byte // the response that a retransmission is answered with
-	timer    timer
-	deadline time.Duration
-
-	own       bool // a ping of the Machine's own: nobody gets its responses
-	pinned    bool // inside a dialog: the core is not asked
-	asked     bool // the core owes an answer
-	cancelled bool
-	final     int // the code that was sent; 0 so far
-	best      *message.Message
-	worst     End // of the latest attempt without a response, for the final's code
-	failed    bool
-	open      int // branches without a final response
-	branches  []*branch
-}
-
-// newExchange puts a request on the books; now is when it came.
-func (m *Machine) newExchange(now time.Duration, key string, q *message.Message, from, way Peer) *exchange {
+	id           uint64
+	key          string
+	method       string
+	request      *message.Message // as received, with Via completed and own Routes removed; nil after the final response
+	loopHash     string           // see loopHash
+	from         Peer
+	responseDest Peer       // destination of responses
+	source       netip.Addr // source whose limit it counts against; invalid if none
+	server       transaction.Machine
+	lastResponse []byte // the response to send again for a retransmission
+	timer        timer
+	deadline     time.Duration
+
+	internal        bool // an OPTIONS ping by the Machine itself: its responses go nowhere
+	inDialog        bool // routed by its token instead of by the core
+	awaitingCore    bool // the core has yet to call Answer
+	cancelled       bool
+	final           int // status code of the final response; 0 if none was sent
+	bestResponse    *message.Message
+	lastFailure     End // end of the last failed branch, for the choice of the final response
+	failed          bool
+	pendingBranches int // number of branches without a final response
+	branches        []*branch
+}
+
+// newExchange registers a request that was received at now.
+func (m *Machine) newExchange(now time.Duration, key string, q *message.Message, from, dest Peer) *exchange {
 	m.lastID++
 	x := &exchange{
-		id: m.lastID, key: key, method: q.Method, request: q, from: from, way: way,
-		server:   transaction.NewServer(m.o.Timing, q.Method == message.Invite, way.Transport.Reliable()),
-		deadline: now + m.o.Deadlines[ClassOf(q.Method)],
+		id: m.lastID, key: key, method: q.Method, request: q, from: from, responseDest: dest,
+		server:   transaction.NewServer(m.options.Timing, q.Method == message.Invite, dest.Transport.Reliable()),
+		deadline: now + m.options.Deadlines[ClassOf(q.Method)],
 	}
 	x.timer = timer{owner: x, index: -1}
 	m.exchanges[x.id] = x
@@ -54,60 +54,60 @@
 	return x
 }
 
-// schedule sets the exchange's timer: its transaction's, and its deadline while it has
-// no final response.
+// schedule sets the exchange's timer to the transaction's next timer or, before a final
+// response, to the deadline if that is earlier.
 func (m *Machine) schedule(x *exchange) {
 	due := x.server.Due()
-	if x.own {
+	if x.internal {
 		due = 0
 	}
 	if x.final == 0 && (due == 0 || x.deadline < due) {
 		due = x.deadline
 	}
-	m.set(&x.timer, due)
+	m.setTimer(&x.timer, due)
 }
 
-// fire implements owed.
+// fire implements timerOwner.
 func (x *exchange) fire(m *Machine, now time.Duration) {
 	if x.final == 0 && now >= x.deadline {
-		m.overdue(now, x)
+		m.respondTimeout(now, x)
 	}
 	if act := x.server.Fire(now); act&transaction.Transmit != 0 {
-		m.o.Host.Transmit(x.way, "", x.last)
+		m.options.Host.Transmit(x.responseDest, "", x.lastResponse)
 	}
-	m.settle(x)
+	m.rescheduleOrRemove(x)
 }
 
-// overdue gives the final response that is due at the deadline, or after a CANCEL that
-// no server heeded.
-func (m *Machine) overdue(now time.Duration, x *exchange) {
+// respondTimeout sends the final response at the deadline, or after a CANCEL to which no
+// server reacted.
+func (m *Machine) respondTimeout(now time.Duration, x *exchange) {
 	switch {
 	case x.cancelled:
-		m.respondWith(now, x, 487, 0)
+		m.respondStatus(now, x, 487, 0)
 	case x.method == message.Invite:
-		m.respondWith(now, x, 408, 0)
+		m.respondStatus(now, x, 408, 0)
 	default:
-		m.respondWith(now, x, 504, 0) // RFC 4320 section 4.2: no 408 here
+		m.respondStatus(now, x, 504, 0) // RFC 4320 section 4.2: no 408 here
 	}
-	m.leave(x)
+	m.withdraw(x)
 }
 
-// leave tells the core once that an answer is not needed any more.
-func (m *Machine) leave(x *exchange) {
-	if x.asked {
-		x.asked = false
-		m.o.Host.Leave(x.id)
+// withdraw tells the core, at most once, that its answer is no longer needed.
+func (m *Machine) withdraw(x *exchange) {
+	if x.awaitingCore {
+		x.awaitingCore = false
+		m.options.Host.Withdraw(x.id)
 	}
 }
 
-// settle forgets an exchange that is over; else it sets its timer anew.
-func (m *Machine) settle(x *exchange) {
-	ended := x.server.State() == transaction.Terminated || x.own && x.final != 0
-	if !ended || x.open > 0 && x.final == 0 {
+// rescheduleOrRemove removes an exchange that has ended, and else resets its timer.
+func (m *Machine) rescheduleOrRemove(x *exchange) {
+	ended := x.server.State() == transaction.Terminated || x.internal && x.final != 0
+	if !ended || x.pendingBranches > 0 && x.final == 0 {
 		m.schedule(x)
 		return
 	}
-	m.set(&x.timer, 0)
+	m.setTimer(&x.timer, 0)
 	if m.exchanges[x.id] != x {
 		return
 	}
@@ -115,11 +115,11 @@
 	if m.byKey[x.key] == x {
 		delete(m.byKey, x.key)
 	}
-	m.release(x)
+	m.releaseSource(x)
 }
 
-// release gives back the exchange's part of its source's bound.
-func (m *Machine) release(x *exchange) {
+// releaseSource removes the exchange from its source's count.
+func (m *Machine) releaseSource(x *exchange) {
 	if !x.source.IsValid() {
 		return
 	}
@@ -129,26 +129,27 @@
 	x.source = netip.Addr{}
 }
 
-// respondWith makes a response and sends it.
-func (m *Machine) respondWith(now time.Duration, x *exchange, code int, retryAfter time.Duration) {
+// respondStatus sends a response with a status code, and with Retry-After if retryAfter is
+// positive.
+func (m *Machine) respondStatus(now time.Duration, x *exchange, code int, retryAfter time.Duration) {
 	if x.final != 0 {
 		return
 	}
 	r := x.request.Response(code, m.tag(x.key))
 	if retryAfter > 0 {
-		r.Set("retry-after", m.spread(retryAfter))
+		r.Set("retry-after", m.jitteredRetryAfter(retryAfter))
 	}
 	m.respond(now, x, r)
 }
 
-// respond sends a response on, if the transaction allows it: the one place where a
-// final response is given. What is still out then is cancelled.
+// respond sends a response if the transaction allows it. All final responses of exchanges go
+// through it. After the first one, branches that are still open are abandoned.
 func (m *Machine) respond(now time.Duration, x *exchange, r *message.Message) {
 	if x.final != 0 && !(x.final/100 == 2 && r.Code/100 == 2 && x.method == message.Invite) {
 		return
 	}
 	first := x.final == 0 && r.Code >= 200
-	if x.own {
+	if x.internal {
 		if first {
 			x.final = r.Code
 		}
@@ -156,97 +157,97 @@
 		if x.server.Respond(now, r.Code)&transaction.Transmit == 0 {
 			return
 		}
-		x.last = r.Encode()
+		x.lastResponse = r.Encode()
 		if first {
 			x.final = r.Code
 			m.counts.Finals[r.Code]++
-			if r.Code/100 == 2 && x.method == message.Invite && !x.pinned {
+			if r.Code/100 == 2 && x.method == message.Invite && !x.inDialog {
 				m.counts.Dialogs++
 			}
 		}
-		m.o.Host.Transmit(x.way, "", x.last)
+		m.options.Host.Transmit(x.responseDest, "", x.lastResponse)
 	}
 	if first {
-		x.best, x.request = nil, nil
+		x.bestResponse, x.request = nil, nil
 		for _, b := range x.branches {
-			m.giveUp(now, b)
+			m.abandonBranch(now, b)
 		}
 		x.branches = nil
 	}
-	m.settle(x)
+	m.rescheduleOrRemove(x)
 }
 
-// forward passes a server's response on.
-func (m *Machine) forward(now time.Duration, x *exchange, b *branch, r *message.Message) {
-	m.respond(now, x, b.own(r))
+// forwardResponse forwards a server's response to the caller.
+func (m *Machine) forwardResponse(now time.Duration, x *exchange, b *branch, r *message.Message) {
+	m.respond(now, x, b.restoreVias(r))
 }
 
-// own puts the caller's own Vias back into a server's response, whatever the server made
-// of them.
-func (b *branch) own(r *message.Message) *message.Message {
+// restoreVias replaces the Vias of a server's response with the caller's, since the server
+// may have altered them.
+func (b *branch) restoreVias(r *message.Message) *message.Message {
 	r.Drop("via")
 	r.Fields = append(append(make([]message.Field, 0, len(r.Fields)+len(b.vias)), b.vias...), r.Fields...)
 	return r
 }
 
-// cancel is the caller's CANCEL (RFC 3261 section 16.10).
+// cancel handles the caller's CANCEL (RFC 3261 section 16.10).
 func (m *Machine) cancel(now time.Duration, x *exchange) {
 	if x.final != 0 || x.cancelled || x.method != message.Invite {
 		return
 	}
 	x.cancelled = true
-	m.leave(x)
+	m.withdraw(x)
 	for _, b := range x.branches {
-		m.giveUp(now, b)
+		m.abandonBranch(now, b)
 	}
-	if x.open == 0 {
-		m.respondWith(now, x, 487, 0)
+	if x.pendingBranches == 0 {
+		m.respondStatus(now, x, 487, 0)
 		return
 	}
-	x.deadline = min(x.deadline, now+m.o.Timing.TransactionTimeout())
+	x.deadline = min(x.deadline, now+m.options.Timing.TransactionTimeout())
 	m.schedule(x)
 }
 
-// over is told when a branch will bring no more, without its response being the final.
-func (m *Machine) over(now time.Duration, x *exchange, e End) {
-	x.failed, x.worst = true, e
-	if x.final != 0 || x.open > 0 {
+// branchFailed handles the end of a branch whose response, if any, was not forwarded.
+func (m *Machine) branchFailed(now time.Duration, x *exchange, e End) {
+	x.failed, x.lastFailure = true, e
+	if x.final != 0 || x.pendingBranches > 0 {
 		return
 	}
 	switch {
 	case x.cancelled:
-		m.respondWith(now, x, 487, 0)
-	case x.pinned:
-		m.conclude(now, x)
+		m.respondStatus(now, x, 487, 0)
+	case x.inDialog:
+		m.respondBest(now, x)
 	}
 }
 
-// conclude gives the final response of a request that nothing more will be tried for
-// (RFC 3261 section 16.7, step 6).
-func (m *Machine) conclude(now time.Duration, x *exchange) {
-	silent := x.open > 0 || x.failed && Outcomes[x.worst].Ran && x.worst >= Silent
+// respondBest sends the final response when no more attempts will follow (RFC 3261 section
+// 16.7, step 6).
+func (m *Machine) respondBest(now time.Duration, x *exchange) {
+	silent := x.pendingBranches > 0 || x.failed && Outcomes[x.lastFailure].MayHaveRun && x.lastFailure >= NoResponse
 	switch {
-	case x.best != nil && !silent:
-		b := x.best
-		x.best = nil
+	case x.bestResponse != nil && !silent:
+		b := x.bestResponse
+		x.bestResponse = nil
 		m.respond(now, x, b)
 	case silent || !x.failed:
-		m.overdue(now, x)
-	case x.pinned && x.worst == Refused:
-		m.respondWith(now, x, 481, 0) // the process that knew the dialog is gone
+		m.respondTimeout(now, x)
+	case x.inDialog && x.lastFailure == Refused:
+		m.respondStatus(now, x, 481, 0) // the server process that held the dialog no longer exists
 	default:
-		m.respondWith(now, x, 500, 0)
+		m.respondStatus(now, x, 500, 0)
 	}
 }
 
-// tag gives the To tag of responses of the Machine's own to a transaction: the same
-// for each, also where none is on the books.
+// tag returns the To tag for the Machine's own responses. It depends on the transaction's
+// key only, so that stateless responses to retransmissions carry the same tag.
 func (m *Machine) tag(key string) string {
 	return "o" + strconv.FormatUint(m.hash(key), 36)
 }
 
-// spread gives a Retry-After in whole seconds, from d to twice as much.
-func (m *Machine) spread(d time.Duration) string {
+// jitteredRetryAfter returns a random Retry-After between d and 2d in whole seconds.
+func (m *Machine) jitteredRetryAfter(d time.Duration) string {
 	d += time.Duration(m.rng.Int64N(int64(d) + 1))
 	return strconv.Itoa(int((d + time.Second - 1) / time.Second))
 }
--- a/internal/sip/proxy/model_test.go
+++ b/internal/sip/proxy/model_test.go
@@ -15,21 +15,21 @@
 	"otterstep/internal/sip/transaction"
 )
 
-// world is a network in virtual time: callers, servers with moods and a core that tries
-// as the module would, round one Machine. Datagrams are lost, doubled and delayed. It
-// holds what the reference says of each call and looks at it after each event.
-type world struct {
-	t     *testing.T
-	rng   *rand.Rand
-	now   time.Duration
-	queue events
-	order int
-	m     *Machine
-	calls map[string]*callModel // by Call-ID
-	asks  map[uint64]*askModel
-	tries map[uint64]*askModel // by attempt
-	last  uint64
-	loss  float64
+// simulation runs one Machine in virtual time with callers, servers of differing behavior and
+// a core that retries as the decision module does. Datagrams are lost, duplicated and
+// delayed. It checks each call against the reference model after each event.
+type simulation struct {
+	t           *testing.T
+	rng         *rand.Rand
+	now         time.Duration
+	queue       events
+	order       int
+	m           *Machine
+	calls       map[string]*callModel // by Call-ID
+	requests    map[uint64]*requestModel
+	attempts    map[uint64]*requestModel // by attempt
+	lastAttempt uint64
+	loss        float64
 }
 
 type event struct {
@@ -53,72 +53,72 @@
 	return e
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) schedule(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.queue, event{w.now + d, w.order, do})
 }
 
-// callModel is the reference: what may be true of one call, whatever the order of things.
+// callModel is the reference model of one call, independent of the order of events.
 type callModel struct {
 	method   string
-	came     bool // the Machine has had the request
+	received bool // the Machine has received the request
 	deadline time.Duration
-	finals   []int        // different ones that went to the caller
-	final    int          // the caller's, as it arrived
-	cancels  []int        // finals of the CANCEL
-	ran      map[int]bool // servers that have worked on it
-	up       map[int]bool // servers with an answered call that was not ended
+	finals   []int        // distinct final status codes that were sent to the caller
+	final    int          // final status code that the caller received
+	cancels  []int        // final status codes of the CANCEL
+	ran      map[int]bool // servers that have processed it
+	active   map[int]bool // servers with an answered call that was not ended
 	acked    map[int]bool
 	client   transaction.Machine
 	text     []byte
 	caller   Peer
 }
 
-type askModel struct {
-	ask     Ask
+type requestModel struct {
+	request RoutingRequest
 	tried   map[int]bool
-	out     uint64 // the attempt that is out
+	attempt uint64 // the attempt in progress; 0 if none
 	settled bool
 }
 
 var timing = transaction.Timing{T1: 50 * time.Millisecond, T2: 400 * time.Millisecond, T4: 500 * time.Millisecond}
 
-const serversOfWorld = 4
+const numServers = 4
 
 func serverPeer(n int) Peer {
 	return Peer{Transport: UDP, Addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(7000+n))}
 }
 
-func newWorld(t *testing.T, seed uint64, loss float64) *world {
-	w := &world{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), calls: map[string]*callModel{}, asks: map[uint64]*askModel{},
-		tries: map[uint64]*askModel{}, loss: loss, now: time.Second,
+func newSimulation(t *testing.T, seed uint64, loss float64) *simulation {
+	w := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), calls: map[string]*callModel{}, requests: map[uint64]*requestModel{},
+		attempts: map[uint64]*requestModel{}, loss: loss, now: time.Second,
 	}
 	sealer, err := token.New([]byte(strings.Repeat("k", token.MinKeySize)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.m = New(Options{
-		Host: w, Timing: timing, Limits: Limits{Transactions: 400, PerSource: 400}, RetryAfter: time.Second, Sealer: sealer,
-		Deadlines: [Classes]time.Duration{3 * time.Second, time.Second, time.Second, time.Second, time.Second}, DialogFor: time.Hour,
-		Listen: map[Transport]netip.AddrPort{UDP: netip.MustParseAddrPort("127.0.0.1:5060")},
-		Wall:   func(d time.Duration) time.Time { return time.Unix(1e9, 0).Add(d) },
+		Host: w, Timing: timing, Limits: Limits{Transactions: 400, PerSource: 400}, RetryAfter: time.Second, Signer: sealer,
+		Deadlines: [NumClasses]time.Duration{3 * time.Second, time.Second, time.Second, time.Second, time.Second}, TokenLifetime: time.Hour,
+		Listen:   map[Transport]netip.AddrPort{UDP: netip.MustParseAddrPort("127.0.0.1:5060")},
+		WallTime: func(d time.Duration) time.Time { return time.Unix(1e9, 0).Add(d) },
 	})
 	list := map[uint64]Peer{}
-	for n := range serversOfWorld {
+	for n := range numServers {
 		list[uint64(n)] = serverPeer(n)
 	}
-	w.m.Servers(list)
+	w.m.SetServers(list)
 	return w
 }
 
-// pin is a token's content for a dialog of a caller at a server.
-func (w *world) pin(server uint64) token.Claims {
-	return token.Claims{Server: server, Caller: token.ReturnPath{Source: netip.MustParseAddrPort("127.0.0.8:5060")}, Expires: w.m.o.Wall(w.now).Add(time.Hour)}
+// claims returns the token claims for a dialog at a server.
+func (w *simulation) claims(server uint64) token.Claims {
+	return token.Claims{Server: server, Caller: token.ReturnPath{Source: netip.MustParseAddrPort("127.0.0.8:5060")}, Expires: w.m.options.WallTime(w.now).Add(time.Hour)}
 }
 
-// run runs events and the Machine's timers in order until nothing is left.
-func (w *world) run() {
+// run processes events and the Machine's timers in order until none is left.
+func (w *simulation) run() {
 	for range 2_000_000 {
 		due := w.m.Due()
 		switch {
@@ -134,29 +134,29 @@
 		}
 		w.check()
 	}
-	w.t.Fatal("it does not come to rest")
+	w.t.Fatal("events remain after 2,000,000 steps")
 }
 
-// check holds each call against the rules.
-func (w *world) check() {
+// check checks the invariants of each call.
+func (w *simulation) check() {
 	for id, c := range w.calls {
 		if len(c.finals) > 1 {
-			w.t.Fatalf("%s at %v: the finals %v", id, w.now, c.finals)
+			w.t.Fatalf("%s at %v: final responses %v", id, w.now, c.finals)
 		}
 		if len(c.cancels) > 1 {
-			w.t.Fatalf("%s at %v: its CANCEL has the finals %v", id, w.now, c.cancels)
+			w.t.Fatalf("%s at %v: CANCEL got the final responses %v", id, w.now, c.cancels)
 		}
 		if len(c.ran) > 1 && c.method != message.Options {
-			w.t.Fatalf("%s at %v: it ran at the servers %v", id, w.now, c.ran)
+			w.t.Fatalf("%s at %v: processed by the servers %v", id, w.now, c.ran)
 		}
-		if c.came && len(c.finals) == 0 && w.now > c.deadline {
-			w.t.Fatalf("%s at %v: no final by its deadline, %v", id, w.now, c.deadline)
+		if c.received && len(c.finals) == 0 && w.now > c.deadline {
+			w.t.Fatalf("%s at %v: no final response by the deadline, %v", id, w.now, c.deadline)
 		}
 	}
 }
 
-// travel brings a datagram to its end, or not, or twice.
-func (w *world) travel(arrive func()) {
+// deliver delivers a datagram after a random delay, or drops or duplicates it.
+func (w *simulation) deliver(arrive func()) {
 	copies := 1
 	switch r := w.rng.Float64(); {
 	case r < w.loss:
@@ -165,16 +165,16 @@
 		copies = 2
 	}
 	for range copies {
-		w.after(time.Duration(1+w.rng.IntN(30))*time.Millisecond, arrive)
+		w.schedule(time.Duration(1+w.rng.IntN(30))*time.Millisecond, arrive)
 	}
 }
 
-// ---- the Machine's host
+// ---- Host implementation
 
-func (w *world) Transmit(to Peer, id string, text []byte) {
+func (w *simulation) Transmit(to Peer, id string, text []byte) {
 	m, err := message.Parse(text)
 	if err != nil {
-		w.t.Fatalf("the Machine wrote what can't be read: %v\n%s", err, text)
+		w.t.Fatalf("the Machine wrote a message that can't be parsed: %v\n%s", err, text)
 	}
 	c := w.calls[m.CallID]
 	if c == nil {
@@ -192,22 +192,22 @@
 				*at = append(*at, m.Code)
 			}
 		}
-		w.travel(func() { w.toCaller(c, m) })
+		w.deliver(func() { w.toCaller(c, m) })
 		return
 	}
 	n := int(to.Addr.Port()) - 7000
-	if w.mood(m.CallID, n) == 0 && m.Method == c.method { // nobody listens there
-		w.after(time.Millisecond, func() { w.m.Failed(w.now, id, false) })
+	if w.behavior(m.CallID, n) == 0 && m.Method == c.method { // no process listens there
+		w.schedule(time.Millisecond, func() { w.m.DeliveryFailed(w.now, id, false) })
 		return
 	}
-	w.travel(func() { w.toServer(c, n, m) })
+	w.deliver(func() { w.toServer(c, n, m) })
 }
 
-func (w *world) Submit(a Ask) {
-	q := &askModel{ask: a, tried: map[int]bool{}}
-	w.asks[a.ID] = q
-	w.after(time.Duration(w.rng.IntN(5))*time.Millisecond, func() { w.try(q) })
-	w.after(a.Deadline-w.now, func() {
+func (w *simulation) Submit(a RoutingRequest) {
+	q := &requestModel{request: a, tried: map[int]bool{}}
+	w.requests[a.ID] = q
+	w.schedule(time.Duration(w.rng.IntN(5))*time.Millisecond, func() { w.startAttempt(q) })
+	w.schedule(a.Deadline-w.now, func() {
 		if !q.settled {
 			w.abandon(q)
 			w.settle(q, AnswerOverdue)
@@ -215,59 +215,59 @@
 	})
 }
 
-func (w *world) try(q *askModel) {
+func (w *simulation) startAttempt(q *requestModel) {
 	if q.settled {
 		return
 	}
-	n := w.rng.IntN(serversOfWorld)
+	n := w.rng.IntN(numServers)
 	for q.tried[n] {
-		n = (n + 1) % serversOfWorld
+		n = (n + 1) % numServers
 	}
 	q.tried[n] = true
-	w.last++
-	q.out = w.last
-	w.tries[w.last] = q
-	w.m.Attempt(w.now, q.ask.ID, w.last, uint64(n), serverPeer(n), func() bool { return true })
+	w.lastAttempt++
+	q.attempt = w.lastAttempt
+	w.attempts[w.lastAttempt] = q
+	w.m.Attempt(w.now, q.request.ID, w.lastAttempt, uint64(n), serverPeer(n), func() bool { return true })
 }
 
-func (w *world) settle(q *askModel, a Answer) {
+func (w *simulation) settle(q *requestModel, a Answer) {
 	q.settled = true
-	w.m.Answer(w.now, q.ask.ID, a, time.Second)
+	w.m.Answer(w.now, q.request.ID, a, time.Second)
 }
 
-func (w *world) abandon(q *askModel) {
-	if q.out != 0 {
-		w.m.Abandon(w.now, q.out)
-		delete(w.tries, q.out)
-		q.out = 0
+func (w *simulation) abandon(q *requestModel) {
+	if q.attempt != 0 {
+		w.m.Abandon(w.now, q.attempt)
+		delete(w.attempts, q.attempt)
+		q.attempt = 0
 	}
 }
 
-func (w *world) Leave(id uint64) {
-	q := w.asks[id]
+func (w *simulation) Withdraw(id uint64) {
+	q := w.requests[id]
 	if q.settled {
-		w.t.Fatal("left after its answer")
+		w.t.Fatal("request withdrawn after its answer")
 	}
 	q.settled = true
-	w.after(time.Duration(w.rng.IntN(3))*time.Millisecond, func() { w.abandon(q) })
+	w.schedule(time.Duration(w.rng.IntN(3))*time.Millisecond, func() { w.abandon(q) })
 }
 
-func (w *world) Finish(attempt uint64, e End) {
-	q := w.tries[attempt]
+func (w *simulation) Finish(attempt uint64, e End) {
+	q := w.attempts[attempt]
 	if q == nil {
 		w.t.Fatalf("attempt %d ended twice", attempt)
 	}
-	delete(w.tries, attempt)
-	q.out = 0
-	w.after(0, func() {
+	delete(w.attempts, attempt)
+	q.attempt = 0
+	w.schedule(0, func() {
 		o := Outcomes[e]
 		switch {
 		case q.settled:
 		case o.Final:
 			w.settle(q, AnswerServed)
-		case !o.Ran && len(q.tried) < 3:
-			w.after(time.Duration(20+w.rng.IntN(50))*time.Millisecond, func() { w.try(q) })
-		case !o.Ran:
+		case !o.MayHaveRun && len(q.tried) < 3:
+			w.schedule(time.Duration(20+w.rng.IntN(50))*time.Millisecond, func() { w.startAttempt(q) })
+		case !o.MayHaveRun:
 			w.settle(q, AnswerRefused)
 		default:
 			w.settle(q, AnswerFailed)
@@ -275,13 +275,13 @@
 	})
 }
 
-func (w *world) Taken(uint64)   {}
-func (w *world) Started(uint64) {}
+func (w *simulation) Accepted(uint64) {}
+func (w *simulation) Started(uint64)  {}
 
 // ---- servers
 
-// mood is how a server takes a call: the same each time it is asked.
-func (w *world) mood(callID string, server int) int {
+// behavior selects how a server reacts to a call. It is the same for each retransmission.
+func (w *simulation) behavior(callID string, server int) int {
 	h := rand.New(rand.NewPCG(uint64(len(callID))<<32|uint64(server), hashOf(callID)))
 	return h.IntN(10)
 }
@@ -293,20 +293,20 @@
 	return h
 }
 
-// toServer plays a server, statelessly but for what the call's model holds: a repeat
-// gets the same responses again, as a retransmission would.
-func (w *world) toServer(c *callModel, n int, q *message.Message) {
+// toServer simulates a server. Its only state is the call's model, so that a retransmitted
+// request gets the same responses again.
+func (w *simulation) toServer(c *callModel, n int, q *message.Message) {
 	reply := func(after time.Duration, code int) {
-		q := q // CANCEL goes on with its INVITE below
-		w.after(after, func() {
+		q := q // the CANCEL case below reassigns q
+		w.schedule(after, func() {
 			r := q.Response(code, fmt.Sprint("s", n))
 			if code/100 == 2 && q.Method == message.Invite {
 				if c.acked[n] {
 					return
 				}
-				c.up[n] = true
+				c.active[n] = true
 			}
-			w.travel(func() { w.m.Receive(w.now, serverPeer(n), r, nil) })
+			w.deliver(func() { w.m.Receive(w.now, serverPeer(n), r, nil) })
 		})
 	}
 	ms := time.Millisecond
@@ -315,13 +315,13 @@
 		c.acked[n] = true
 		return
 	case message.Bye:
-		delete(c.up, n)
+		delete(c.active, n)
 		c.acked[n] = true // it may have overtaken the ACK
 		reply(0, 200)
 		return
 	case message.Cancel:
 		reply(0, 200)
-		if mood := w.mood(q.CallID, n); mood == 3 || mood == 4 { // rings for long: it heeds the CANCEL
+		if mood := w.behavior(q.CallID, n); mood == 3 || mood == 4 { // no final response yet: it reacts to the CANCEL
 			invite := q.Clone()
 			invite.Method, invite.CSeqMethod = message.Invite, message.Invite
 			invite.Set("cseq", fmt.Sprint(q.CSeq, " ", message.Invite))
@@ -335,7 +335,7 @@
 		reply(10*ms, 200)
 		return
 	}
-	mood := w.mood(q.CallID, n)
+	mood := w.behavior(q.CallID, n)
 	if mood != 1 {
 		c.ran[n] = true
 	}
@@ -345,7 +345,7 @@
 	case 2: // silent
 	case 3:
 		reply(0, 100)
-	case 4: // rings, then nothing
+	case 4: // rings, then no final response
 		reply(0, 100)
 		reply(20*ms, 180)
 	case 5:
@@ -353,7 +353,7 @@
 		reply(1000*ms, 486)
 	case 6:
 		reply(20*ms, 500)
-	case 7: // answers when its caller has given up, or about then
+	case 7: // answers close to the deadline or after it
 		reply(20*ms, 180)
 		reply(2950*ms+time.Duration(hashOf(q.CallID)%100)*ms, 200)
 	default:
@@ -371,11 +371,11 @@
 
 // ---- callers
 
-func (w *world) call(n int, method string, cancelAfter time.Duration) {
+func (w *simulation) call(n int, method string, cancelAfter time.Duration) {
 	id := fmt.Sprintf("call-%d-%d", n, w.rng.IntN(1000))
 	caller := Peer{Transport: UDP, Addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.3"), uint16(9000+n)), Port: uint16(9000 + n)}
 	c := &callModel{
-		method: method, ran: map[int]bool{}, up: map[int]bool{}, acked: map[int]bool{}, caller: caller,
+		method: method, ran: map[int]bool{}, active: map[int]bool{}, acked: map[int]bool{}, caller: caller,
 		client: transaction.NewClient(w.now, timing, method == message.Invite, false),
 	}
 	w.calls[id] = c
@@ -385,13 +385,13 @@
 	}
 	c.text = write(method, "", 1, id)
 	send := func(text []byte) {
-		w.travel(func() {
+		w.deliver(func() {
 			q, err := message.Parse(text)
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			if q.Method == c.method && !c.came {
-				c.came, c.deadline = true, w.now+w.m.o.Deadlines[ClassOf(method)]
+			if q.Method == c.method && !c.received {
+				c.received, c.deadline = true, w.now+w.m.options.Deadlines[ClassOf(method)]
 			}
 			from := caller
 			from.Port = 0
@@ -401,7 +401,7 @@
 	var resend func()
 	resend = func() {
 		if due := c.client.Due(); due > 0 && c.final == 0 {
-			w.after(max(0, due-w.now), func() {
+			w.schedule(max(0, due-w.now), func() {
 				if c.client.Fire(w.now)&transaction.Transmit != 0 && c.final == 0 {
 					send(c.text)
 				}
@@ -413,7 +413,7 @@
 	resend()
 	if cancelAfter > 0 && method == message.Invite {
 		for again, at := timing.T1, cancelAfter; at < cancelAfter+2*time.Second; again, at = 2*again, at+again {
-			w.after(at, func() {
+			w.schedule(at, func() {
 				if len(c.cancels) == 0 {
 					send(write(message.Cancel, "", 1, id))
 				}
@@ -422,7 +422,7 @@
 	}
 }
 
-func (w *world) toCaller(c *callModel, r *message.Message) {
+func (w *simulation) toCaller(c *callModel, r *message.Message) {
 	if r.CSeqMethod != c.method {
 		return
 	}
@@ -447,7 +447,7 @@
 	}
 	q.Drop("record-route")
 	text := q.Encode()
-	w.travel(func() {
+	w.deliver(func() {
 		ack, err := message.Parse(text)
 		if err != nil {
 			w.t.Fatal(err)
@@ -458,15 +458,16 @@
 	})
 }
 
-// Whatever is lost, doubled, late or crossed: each request that came has one final by
-// its deadline and one at most; no INVITE runs at two servers; a CANCEL has one final; a
-// call whose caller was told otherwise is ended at its server; nothing is left behind.
-func TestAgainstTheReference(t *testing.T) {
+// With loss, duplication, delay and crossing messages, each received request gets exactly
+// one final response by its deadline, no INVITE is processed by two servers, and a CANCEL gets
+// one final response. A call that failed for its caller is ended at its server. No state is
+// left behind.
+func TestAgainstReferenceModel(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			w := newWorld(t, seed, []float64{0, 0.1, 0.3}[seed%3])
+			w := newSimulation(t, seed, []float64{0, 0.1, 0.3}[seed%3])
 			for n := range 40 {
-				w.after(time.Duration(w.rng.IntN(2000))*time.Millisecond, func() {
+				w.schedule(time.Duration(w.rng.IntN(2000))*time.Millisecond, func() {
 					method := message.Invite
 					if n%8 == 7 {
 						method = []string{message.Options, message.Register, "MESSAGE"}[w.rng.IntN(3)]
@@ -481,18 +482,18 @@
 			w.run()
 			ends := map[int]int{}
 			for id, c := range w.calls {
-				if c.came && len(c.finals) != 1 {
-					t.Errorf("%s: the finals %v", id, c.finals)
+				if c.received && len(c.finals) != 1 {
+					t.Errorf("%s: final responses %v", id, c.finals)
 				}
 				if len(c.finals) == 1 {
 					ends[c.finals[0]]++
 				}
-				if len(c.up) > 0 && len(c.finals) == 1 && c.finals[0]/100 != 2 {
-					t.Errorf("%s was told %v, yet the servers %v hold the call", id, c.finals, c.up)
+				if len(c.active) > 0 && len(c.finals) == 1 && c.finals[0]/100 != 2 {
+					t.Errorf("%s: caller got %v, but the call is still active at the servers %v", id, c.finals, c.active)
 				}
 			}
 			if len(ends) < 4 {
-				t.Errorf("only the ends %v were met", ends)
+				t.Errorf("only the final responses %v occurred", ends)
 			}
 			m := w.m
 			if len(m.exchanges)+len(m.byKey)+len(m.branches)+len(m.attempts)+len(m.sources)+len(m.timers) > 0 {
--- a/internal/sip/proxy/proxy.go
+++ b/internal/sip/proxy/proxy.go
@@ -1,8 +1,8 @@
-// Package proxy is a transaction-stateful SIP proxy (RFC 3261 section 16, RFC 6026,
-// RFC 3581) without sockets, clock or goroutine: a Machine is stepped with messages,
-// times and the words of the core, and acts through its Host. Which server a request
-// outside a dialog goes to, whether it is tried again and what is refused is the core's
-// to say; a request inside a dialog goes where its token pins it.
+// Package proxy implements a transaction-stateful SIP proxy (RFC 3261 section 16, RFC 6026,
+// RFC 3581) without sockets, a clock or goroutines. A Machine is driven by messages, timers
+// and the core's decisions, and acts through its Host. For a request outside a dialog the
+// core decides which server it goes to, whether it is retried and whether it is refused. A
+// request inside a dialog is routed by its token.
 package proxy
 
 import (
@@ -20,7 +20,7 @@
 	"otterstep/internal/sip/transaction"
 )
 
-// Transport is how a message travels.
+// Transport is a SIP transport protocol.
 type Transport byte
 
 // The transports.
@@ -30,7 +30,7 @@
 	TLS
 )
 
-// String gives a transport as Via and URIs name it.
+// String returns the transport's name in Via; URIs use it in lower case.
 func (t Transport) String() string {
 	switch t {
 	case UDP:
@@ -43,52 +43,52 @@
 	return fmt.Sprintf("transport %d", byte(t))
 }
 
-// Reliable tells whether a transport loses nothing.
+// Reliable reports whether the transport is reliable, so that retransmissions aren't needed.
 func (t Transport) Reliable() bool { return t != UDP }
 
-// Peer is where a message came from or goes to.
+// Peer is the source or destination of a message.
 type Peer struct {
 	Transport Transport
 	Addr      netip.AddrPort
-	Conn      uint64 // of a stream: the connection; 0 for any to Addr
-	Port      uint16 // of a stream: where to connect to once that is gone; 0 for Addr's
+	Conn      uint64 // connection ID on a stream transport; 0 for any connection to Addr
+	Port      uint16 // port to reconnect to after a stream's connection has closed; 0 for Addr's port
 }
 
-// Class is one of the pool's classes of requests outside dialogs.
+// Class is a request class of the pool, for requests outside dialogs.
 type Class int
 
 // The classes, in the order of the pool's settings.
 const (
-	Calls Class = iota // INVITE
-	Registers
-	Subscribes
-	Pings // OPTIONS
-	Others
-	Classes // how many there are
+	ClassInvite Class = iota // INVITE
+	ClassRegister
+	ClassSubscribe
+	ClassOptions // OPTIONS
+	ClassOther
+	NumClasses // number of classes
 )
 
-// String names a class as settings and operators do.
+// String returns the class's name, as used in settings and shown to operators.
 func (c Class) String() string {
-	return [Classes]string{"invite", "register", "subscribe", "options", "other"}[c]
+	return [NumClasses]string{"invite", "register", "subscribe", "options", "other"}[c]
 }
 
-// ClassOf gives a method's class.
+// ClassOf returns the class of a method.
 func ClassOf(method string) Class {
 	switch method {
 	case message.Invite:
-		return Calls
+		return ClassInvite
 	case message.Register:
-		return Registers
+		return ClassRegister
 	case message.Subscribe:
-		return Subscribes
+		return ClassSubscribe
 	case message.Options:
-		return Pings
+		return ClassOptions
 	}
-	return Others
+	return ClassOther
 }
 
-// Ask is a request that the core is to place.
-type Ask struct {
+// RoutingRequest asks the core to choose a server for a request.
+type RoutingRequest struct {
 	ID       uint64
 	Class    Class
 	Key      uint64
@@ -96,90 +96,89 @@
 	Deadline time.Duration
 }
 
-// Host carries out what a Machine decides. Its methods come from within the Machine's
-// own and must not call back into it.
+// Host carries out what a Machine decides. The Machine calls it from its own methods, so a
+// Host must not call back into the Machine.
 type Host interface {
-	// Transmit sends a message. What is known to have failed is told by Failed with id,
-	// if that is not empty.
+	// Transmit sends a message. Unless id is empty, a known failure is later reported with
+	// id to Machine.DeliveryFailed.
 	Transmit(to Peer, id string, text []byte)
-	// Submit hands a request to the core, whose Answer follows, unless Leave comes first.
-	Submit(Ask)
-	// Leave tells the core that nobody waits for a request any more.
-	Leave(id uint64)
-	// Finish tells the core how an attempt ended, once for each Attempt that was taken.
+	// Submit passes a request to the core. Machine.Answer follows, unless Withdraw comes first.
+	Submit(RoutingRequest)
+	// Withdraw tells the core that the answer to a request is no longer needed.
+	Withdraw(id uint64)
+	// Finish tells the core how an attempt ended, once for each call of Machine.Attempt.
 	Finish(attempt uint64, e End)
-	// Taken tells the core that an attempt's server has let hear of itself.
-	Taken(attempt uint64)
-	// Started tells the core that an attempt's server rings.
+	// Accepted tells the core that the attempt's server has sent a 100 response.
+	Accepted(attempt uint64)
+	// Started tells the core that the attempt's server has sent a provisional response above 100.
 	Started(attempt uint64)
 }
 
-// Limits bound what a Machine holds. All must be positive.
+// Limits bound the state that a Machine holds. All must be positive.
 type Limits struct {
-	Transactions int // open and lingering; a quarter of it is for requests inside dialogs
-	PerSource    int // of those, begun outside dialogs, for each IPv4 address or IPv6 /64
+	Transactions int // open and lingering ones; a quarter is reserved for requests inside dialogs
+	PerSource    int // of those, the ones outside dialogs for each IPv4 address or IPv6 /64
 }
 
-// Options are what a Machine is made of.
+// Options configure a Machine.
 type Options struct {
-	Host       Host
-	Timing     transaction.Timing
-	Deadlines  [Classes]time.Duration
-	Limits     Limits
-	RetryAfter time.Duration // least; up to as much again is added, so that not all return at once
-	Sealer     *token.Signer
-	DialogFor  time.Duration // how long a token is good for
-	Listen     map[Transport]netip.AddrPort
-	Seed       [32]byte // of branches and tags: not to be guessed
-	Wall       func(time.Duration) time.Time
+	Host          Host
+	Timing        transaction.Timing
+	Deadlines     [NumClasses]time.Duration
+	Limits        Limits
+	RetryAfter    time.Duration // minimum; a random part of up to as much is added, so that clients don't return all at once
+	Signer        *token.Signer
+	TokenLifetime time.Duration // validity of a token
+	Listen        map[Transport]netip.AddrPort
+	Seed          [32]byte // seed for branches and tags, which must be unpredictable
+	WallTime      func(time.Duration) time.Time
 }
 
-// Machine is one proxy. It is not safe for concurrent use.
+// Machine is the state of one proxy. It is not safe for concurrent use.
 type Machine struct {
-	o    Options
-	rng  *rand.Rand
-	seed maphash.Seed
-
-	exchanges map[uint64]*exchange
-	byKey     map[string]*exchange // server transactions by RFC 3261 section 17.2.3
-	branches  map[string]*branch   // client transactions by method and branch
-	attempts  map[uint64]*branch   // those that the core waits for
-	sources   map[netip.Addr]int
-	servers   map[uint64]Peer
-	listed    bool
-	draining  bool
-	lastID    uint64
-	timers    timers
-	counts    Counts
+	options  Options
+	rng      *rand.Rand
+	hashSeed maphash.Seed
+
+	exchanges     map[uint64]*exchange
+	byKey         map[string]*exchange // server transactions, matched as in RFC 3261 section 17.2.3
+	branches      map[string]*branch   // client transactions, by method and branch ID
+	attempts      map[uint64]*branch   // branches whose end the core waits for, by attempt
+	sources       map[netip.Addr]int
+	servers       map[uint64]Peer
+	hasServerList bool
+	draining      bool
+	lastID        uint64
+	timers        timers
+	counts        Counts
 }
 
-// New makes a Machine.
 func New(o Options) *Machine {
 	return &Machine{
-		o: o, rng: rand.New(rand.NewChaCha8(o.Seed)), seed: maphash.MakeSeed(),
+		options: o, rng: rand.New(rand.NewChaCha8(o.Seed)), hashSeed: maphash.MakeSeed(),
 		exchanges: map[uint64]*exchange{}, byKey: map[string]*exchange{}, branches: map[string]*branch{},
 		attempts: map[uint64]*branch{}, sources: map[netip.Addr]int{}, servers: map[uint64]Peer{},
 		counts: Counts{Refused: map[string]int64{}, Finals: map[int]int64{}, Ends: map[string]int64{}},
 	}
 }
 
-// Servers takes the pool's list: all servers that are there, draining ones too. Dialogs
-// at any other have lost their server.
-func (m *Machine) Servers(list map[uint64]Peer) { m.servers, m.listed = list, true }
+// SetServers sets the list of the pool's servers, including draining ones. Requests in the
+// dialogs of any other server are answered 481.
+func (m *Machine) SetServers(list map[uint64]Peer) { m.servers, m.hasServerList = list, true }
 
-// Drain makes the Machine refuse requests outside dialogs from now on.
+// Drain makes the Machine refuse new requests outside dialogs.
 func (m *Machine) Drain() { m.draining = true }
 
-// End gives all requests that have none their final response, as if their time were up.
-func (m *Machine) End(now time.Duration) {
+// ExpireAll sends a final response to each request that has none, as at its deadline.
+func (m *Machine) ExpireAll(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(m.exchanges)) {
 		if x := m.exchanges[id]; x != nil && x.final == 0 {
-			m.overdue(now, x)
+			m.respondTimeout(now, x)
 		}
 	}
 }
 
-// Due gives when Tick is to be called next; 0 for never.
+// Due returns when Tick has to be called next, or 0 if no timer is running.
 func (m *Machine) Due() time.Duration {
 	if len(m.timers) == 0 {
 		return 0
@@ -187,27 +186,27 @@
 	return m.timers[0].due
 }
 
-// Tick handles all timers that are due.
+// Tick fires all timers that are due at now.
 func (m *Machine) Tick(now time.Duration) {
 	for len(m.timers) > 0 && m.timers[0].due <= now {
 		m.timers[0].owner.fire(m, now)
 	}
 }
 
-// owed is whoever has a timer: an exchange or a branch.
-type owed interface {
+// timerOwner is an exchange or a branch, each of which has one timer.
+type timerOwner interface {
 	fire(m *Machine, now time.Duration)
 }
 
-// timer is one owner's place among the timers.
+// timer is an entry of the timer heap.
 type timer struct {
-	owner owed
+	owner timerOwner
 	due   time.Duration
-	index int // -1 while it is not among them
+	index int // position in the heap; -1 if not in it
 }
 
-// timers is a heap by due time that knows where each one is, so that none outlives its
-// owner.
+// timers is a heap ordered by due time. Each timer knows its position, so that it can be
+// removed together with its owner.
 type timers []*timer
 
 func (h timers) Len() int           { return len(h) }
@@ -234,8 +233,8 @@
 	return t
 }
 
-// set moves a timer to a new time; 0 stops it.
-func (m *Machine) set(t *timer, due time.Duration) {
+// setTimer sets a timer to a new time; 0 stops it.
+func (m *Machine) setTimer(t *timer, due time.Duration) {
 	switch {
 	case due == t.due && (t.index >= 0) == (due > 0):
 	case due == 0:
@@ -250,33 +249,33 @@
 	}
 }
 
-// Counts are what has happened so far.
+// Counts are event counters.
 type Counts struct {
-	Requests  int64            // outside dialogs, taken in
-	Inside    int64            // inside dialogs, taken in
-	Dialogs   int64            // begun by a 2xx to an INVITE
-	Byes      int64            // BYEs that were passed on
+	Requests  int64            // requests accepted outside dialogs
+	Inside    int64            // requests accepted inside dialogs
+	Dialogs   int64            // dialogs established by a 2xx to an INVITE
+	Byes      int64            // forwarded BYEs
 	Finals    map[int]int64    // final responses sent, by status code
-	Ends      map[string]int64 // of attempts and of requests inside dialogs
-	Refused   map[string]int64 // by cause
-	Late      int64            // 2xx after another final: acknowledged and ended
-	Stray     int64            // responses and ACKs of no transaction or dialog
-	Repeats   int64            // requests that came again
+	Ends      map[string]int64 // by name of the End: attempts, and requests inside dialogs
+	Refused   map[string]int64 // refused requests, by cause
+	Late      int64            // 2xx after another final response, answered with ACK and BYE
+	Stray     int64            // responses and ACKs that match no transaction or dialog
+	Repeats   int64            // retransmitted requests
 	Malformed int64
 }
 
-// View is a Machine's state for those who look on.
+// View is a snapshot of a Machine's state for inspection.
 type View struct {
 	Counts
 	Servers    map[string]int // server transactions by state
 	Clients    map[string]int // client transactions by state
 	Unanswered int            // requests without a final response
-	Sources    int            // with transactions outside dialogs
+	Sources    int            // sources with open transactions outside dialogs
 	Timers     int
 	Draining   bool
 }
 
-// Inspect copies the state, at a cost that grows with the open transactions.
+// Inspect copies the state. Its cost is linear in the number of open transactions.
 func (m *Machine) Inspect() View {
 	v := View{
 		Counts: m.counts, Servers: map[string]int{}, Clients: map[string]int{},
@@ -284,7 +283,7 @@
 	}
 	v.Finals, v.Ends, v.Refused = maps.Clone(m.counts.Finals), maps.Clone(m.counts.Ends), maps.Clone(m.counts.Refused)
 	for _, x := range m.exchanges {
-		if !x.own {
+		if !x.internal {
 			v.Servers[x.server.State().String()]++
 			if x.final == 0 {
 				v.Unanswered++
--- a/internal/sip/streams.go
+++ b/internal/sip/streams.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	connectWait = time.Second     // for a connection and its handshake
-	writeWait   = 2 * time.Second // for the other side to take a message
-	queueMost   = 64              // messages that wait to be written on one connection
-	dialsMost   = 64              // connections being made for messages that wait
+	connectTimeout    = time.Second     // for connecting and the TLS handshake
+	writeTimeout      = 2 * time.Second // for writing one message
+	maxQueuedMessages = 64              // messages queued for writing on one connection
+	maxDials          = 64              // concurrent connection attempts for queued messages
 )
 
 var (
-	errNoConnections = errors.New("all connections in use")
-	errStreamsClosed = errors.New("the front has stopped")
+	errNoConnections = errors.New("connection limit reached")
+	errStreamsClosed = errors.New("SIP front has stopped")
 )
 
-// streams owns the connections over TCP and TLS, accepted and made, of which there are
-// at most so many together.
+// streams owns the TCP and TLS connections, inbound and outbound, and limits their total
+// number.
 type streams struct {
-	front  *Front
-	most   int
-	client *tls.Config // for servers
-	dials  chan struct{}
-	all    sync.WaitGroup
+	front          *Front
+	maxConnections int
+	client         *tls.Config // for connections to servers
+	dialSlots      chan struct{}
+	goroutines     sync.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	lastID  uint64
-	byID    map[uint64]*stream
-	byAddr  map[netip.AddrPort]*stream // the latest to each address
-	making  map[netip.AddrPort]*making
-	refused int64 // accepted and closed at once, as there were too many
+	mu           sync.Mutex
+	closed       bool
+	lastID       uint64
+	byID         map[uint64]*stream
+	byAddr       map[netip.AddrPort]*stream // the latest connection to each address
+	pendingDials map[netip.AddrPort]*pendingDial
+	rejected     int64 // connections closed at once because of the limit
 }
 
-// making is a connection being made, for all who want it.
-type making struct {
+// pendingDial is a connection attempt, shared by all callers that wait for it.
+type pendingDial struct {
 	done   chan struct{}
 	stream *stream
 	err    error
@@ -57,13 +57,13 @@
 	id        uint64
 	transport proxy.Transport
 	remote    netip.AddrPort
-	made      bool // from this side
+	outbound  bool // connected by this node
 	out       chan outgoing
-	ended     chan struct{} // closed by end
+	ended     chan struct{} // closed by shutdown
 	once      sync.Once
 }
 
-// outgoing is a message that waits to be written; id is that of Host.Transmit.
+// outgoing is a message queued for writing; id is the one passed to Host.Transmit.
 type outgoing struct {
 	id   string
 	text []byte
@@ -71,27 +71,27 @@
 
 func newStreams(f *Front, most int, client *tls.Config) *streams {
 	return &streams{
-		front: f, most: most, client: client, dials: make(chan struct{}, dialsMost),
-		byID: map[uint64]*stream{}, byAddr: map[netip.AddrPort]*stream{}, making: map[netip.AddrPort]*making{},
+		front: f, maxConnections: most, client: client, dialSlots: make(chan struct{}, maxDials),
+		byID: map[uint64]*stream{}, byAddr: map[netip.AddrPort]*stream{}, pendingDials: map[netip.AddrPort]*pendingDial{},
 	}
 }
 
-// end closes a stream; its goroutines notice.
-func (s *stream) end() {
+// shutdown closes a stream, which ends its goroutines.
+func (s *stream) shutdown() {
 	s.once.Do(func() {
 		close(s.ended)
 		s.Conn.Close()
 	})
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (f *Front) accept(l net.Listener, transport proxy.Transport) {
 	for {
 		conn, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // out of descriptors, most likely: some will come free
+		case err != nil: // most likely out of file descriptors: retry until some are free
 			select {
 			case <-f.stopped:
 				return
@@ -105,37 +105,37 @@
 	}
 }
 
-// add puts a connection on the books and starts its goroutines.
+// add registers a connection and starts its goroutines.
 func (t *streams) add(conn net.Conn, transport proxy.Transport, made bool) (*stream, error) {
 	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
-		return nil, fmt.Errorf("a connection from %v, which is no address of TCP", conn.RemoteAddr())
+		return nil, fmt.Errorf("connection from %v, which is not a TCP address", conn.RemoteAddr())
 	}
 	at := tcp.AddrPort()
 	s := &stream{
-		Conn: conn, transport: transport, remote: netip.AddrPortFrom(at.Addr().Unmap(), at.Port()), made: made,
-		out: make(chan outgoing, queueMost), ended: make(chan struct{}),
+		Conn: conn, transport: transport, remote: netip.AddrPortFrom(at.Addr().Unmap(), at.Port()), outbound: made,
+		out: make(chan outgoing, maxQueuedMessages), ended: make(chan struct{}),
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case t.closed:
 		return nil, errStreamsClosed
-	case len(t.byID) >= t.most:
-		t.refused++
+	case len(t.byID) >= t.maxConnections:
+		t.rejected++
 		return nil, errNoConnections
 	}
 	t.lastID++
 	s.id = t.lastID
 	t.byID[s.id], t.byAddr[s.remote] = s, s
-	t.all.Go(func() { t.read(s) })
-	t.all.Go(func() { t.write(s) })
+	t.goroutines.Go(func() { t.read(s) })
+	t.goroutines.Go(func() { t.write(s) })
 	return s, nil
 }
 
-// read hands what comes to the Machine until the stream ends.
+// read passes received messages to the Machine until the stream ends.
 func (t *streams) read(s *stream) {
-	defer s.end()
+	defer s.shutdown()
 	limits := t.front.config.Limits
 	in := message.NewReader(s, limits.Message.Bytes)
 	from := proxy.Peer{Transport: s.transport, Addr: s.remote, Conn: s.id}
@@ -148,18 +148,18 @@
 		switch {
 		case errors.As(err, &bad):
 			t.front.receive(from, m, err)
-			// Where the next message begins can't be known. What answers this one goes out
-			// before the end, as the Machine sends it in the order of its events.
+			// The start of the next message is unknown, so close the stream. The empty message
+			// ends it and is queued behind the response, as the Machine handles events in order.
 			t.front.post(func() { t.queue(s, outgoing{}) })
 			select {
 			case <-s.ended:
-			case <-time.After(writeWait):
+			case <-time.After(writeTimeout):
 			}
 			return
 		case err != nil:
 			return
 		case m == nil:
-			if empty++; empty == 2 { // RFC 5626 section 3.5.1: a ping of two gets one
+			if empty++; empty == 2 { // RFC 5626 section 3.5.1: a double CRLF is a ping, answered with a single one
 				t.queue(s, outgoing{text: []byte("\r\n")})
 				empty = 0
 			}
@@ -170,8 +170,8 @@
 	}
 }
 
-// write sends what is queued until the stream ends, then takes it off the books and
-// tells the Machine: first what was never sent whole, then the end.
+// write writes queued messages until the stream ends, then removes the stream and reports to
+// the Machine: first the messages that were not fully written, then the close.
 func (t *streams) write(s *stream) {
 	var failed []string
 loop:
@@ -183,27 +183,27 @@
 			if o.text == nil {
 				break loop
 			}
-			if err := s.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+			if err := s.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 				failed = append(failed, o.id)
 				break loop
 			}
-			if _, err := s.Write(o.text); err != nil { // short, so that it can't have been read whole
+			if _, err := s.Write(o.text); err != nil { // a partial write, so the peer can't have read the whole message
 				failed = append(failed, o.id)
 				break loop
 			}
 		}
 	}
-	s.end()
+	s.shutdown()
 	t.remove(s)
-	for len(s.out) > 0 { // nobody adds to it any more
+	for len(s.out) > 0 { // no sender can add to it after remove
 		failed = append(failed, (<-s.out).id)
 	}
 	f := t.front
 	f.post(func() {
 		for _, id := range failed {
-			f.machine.Failed(f.now(), id, false)
+			f.machine.DeliveryFailed(f.now(), id, false)
 		}
-		f.machine.Closed(f.now(), s.id, s.remote)
+		f.machine.ConnectionClosed(f.now(), s.id, s.remote)
 	})
 }
 
@@ -216,8 +216,8 @@
 	}
 }
 
-// queue hands a message to a stream's writer; false if it has ended, or is so far behind
-// that it is ended now.
+// queue queues a message for a stream's writer. It returns false if the stream has ended, or
+// if its queue is full, in which case it is closed.
 func (t *streams) queue(s *stream, o outgoing) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,13 +228,13 @@
 	case s.out <- o:
 		return true
 	default:
-		s.end()
+		s.shutdown()
 		return false
 	}
 }
 
-// send sends a message on the connection that it belongs to, on any to its address, or
-// on a new one. It never waits.
+// send sends a message on its own connection, else on one to the same address, else on a new
+// one. It never blocks.
 func (t *streams) send(to proxy.Peer, id string, text []byte) {
 	f, o := t.front, outgoing{id, text}
 	t.mu.Lock()
@@ -250,14 +250,14 @@
 		to.Addr = netip.AddrPortFrom(to.Addr.Addr(), to.Port)
 	}
 	select {
-	case t.dials <- struct{}{}:
+	case t.dialSlots <- struct{}{}:
 	default:
 		f.failed(id, false)
 		return
 	}
-	t.all.Go(func() {
-		defer func() { <-t.dials }()
-		ctx, cancel := context.WithTimeout(context.Background(), connectWait)
+	t.goroutines.Go(func() {
+		defer func() { <-t.dialSlots }()
+		ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 		defer cancel()
 		conn, err := t.connect(ctx, to)
 		if err == nil {
@@ -269,31 +269,31 @@
 			}
 		}
 		if id != "" {
-			f.post(func() { f.machine.Failed(f.now(), id, false) })
+			f.post(func() { f.machine.DeliveryFailed(f.now(), id, false) })
 		}
 	})
 }
 
-// connect gives the connection to an address, an open one or a new one. Only servers
-// are met over TLS: a caller that is gone can't be known again by its certificate.
+// connect returns an open or a new connection to an address. New TLS connections are made to
+// servers only: a caller that has disconnected can't be verified by its certificate.
 func (t *streams) connect(ctx context.Context, to proxy.Peer) (uint64, error) {
 	t.mu.Lock()
 	if s := t.byAddr[to.Addr]; s != nil {
 		t.mu.Unlock()
 		return s.id, nil
 	}
-	m := t.making[to.Addr]
+	m := t.pendingDials[to.Addr]
 	if m == nil {
 		if t.closed {
 			t.mu.Unlock()
 			return 0, errStreamsClosed
 		}
-		m = &making{done: make(chan struct{})}
-		t.making[to.Addr] = m
-		t.all.Go(func() {
+		m = &pendingDial{done: make(chan struct{})}
+		t.pendingDials[to.Addr] = m
+		t.goroutines.Go(func() {
 			m.stream, m.err = t.dial(to)
 			t.mu.Lock()
-			delete(t.making, to.Addr)
+			delete(t.pendingDials, to.Addr)
 			t.mu.Unlock()
 			close(m.done)
 		})
@@ -311,12 +311,12 @@
 }
 
 func (t *streams) dial(to proxy.Peer) (*stream, error) {
-	dialer := &net.Dialer{Timeout: connectWait}
+	dialer := &net.Dialer{Timeout: connectTimeout}
 	var conn net.Conn
 	var err error
 	if to.Transport == proxy.TLS {
 		if t.client == nil {
-			return nil, errors.New("connect: no certificates to meet a server by TLS with")
+			return nil, errors.New("connect: TLS to servers is not configured")
 		}
 		conn, err = tls.DialWithDialer(dialer, "tcp", to.Addr.String(), t.client)
 	} else {
@@ -332,31 +332,31 @@
 	return s, err
 }
 
-// drop closes connections that were made to a server that is gone; it is core's Drop.
+// drop closes the outbound connections to a server that is gone. It is the core's Drop hook.
 func (t *streams) drop(gone core.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.byID {
-		if s.made && s.remote.String() == gone.Addr {
-			s.end()
+		if s.outbound && s.remote.String() == gone.Addr {
+			s.shutdown()
 		}
 	}
 }
 
-// close ends all connections and waits for their goroutines.
+// close closes all connections and waits for their goroutines.
 func (t *streams) close() {
 	t.mu.Lock()
 	t.closed = true
 	for _, s := range t.byID {
-		s.end()
+		s.shutdown()
 	}
 	t.mu.Unlock()
-	t.all.Wait()
+	t.goroutines.Wait()
 }
 
-// count gives how many connections are open, and how many were turned away.
-func (t *streams) count() (open int, refused int64) {
+// counts returns the number of open connections and of rejected ones.
+func (t *streams) counts() (open int, refused int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.byID), t.refused
+	return len(t.byID), t.rejected
 }
