--- a/internal/sip/datagrams.go
+++ b/internal/sip/datagrams.go
@@ -58,8 +58,8 @@
 // the socket is closed.
 func (d *udpSocket) receive(buf []byte) (n int, from netip.AddrPort, refused []string, err error) {
 	n, from, err = d.ReadFromUDPAddrPort(buf)
-	var told syscall.Errno
-	if errors.As(err, &told) { // the kernel reports an ICMP error at the next call of any kind
+	var errno syscall.Errno
+	if errors.As(err, &errno) { // the kernel reports an ICMP error at the next call of any kind
 		return 0, netip.AddrPort{}, d.readErrorQueue(), nil
 	}
 	return n, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), nil, err
--- a/internal/sip/failure_test.go
+++ b/internal/sip/failure_test.go
@@ -69,7 +69,7 @@
 				expectFinal(t, tx, 408)
 				close(finalSent)
 				if took := time.Since(began); took > waitLimit/2 {
-					t.Errorf("after %v", took)
+					t.Errorf("final response after %v", took)
 				}
 				s := d.servers[0]
 				for _, method := range []string{"CANCEL", "ACK", "BYE"} {
@@ -140,7 +140,7 @@
 			tx.Heard(180, waitLimit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
-		{"after 180, heeded by nobody", func(c *sipua.Call) { c.Reply(180) }, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
+		{"after 180, ignored by the server", func(c *sipua.Call) { c.Reply(180) }, func(_ *testFront, tx *sipua.Transaction) []*sipua.Transaction {
 			tx.Heard(180, waitLimit)
 			return []*sipua.Transaction{tx.Cancel()}
 		}, 487},
@@ -263,15 +263,15 @@
 					}
 					tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 					if code := tx.Final(waitLimit); code != 200 {
-						t.Errorf("%d", code)
+						t.Errorf("INVITE: final response %d", code)
 					}
 					q := tx.Dialog()
 					q.Method = "BYE"
 					if code := d.caller.Send(q).Final(waitLimit); code != 200 {
-						t.Errorf("BYE: %d", code)
+						t.Errorf("BYE: final response %d", code)
 					}
 					if n := d.countInvites(tx); n != 1 || len(tx.Finals()) != 1 {
-						t.Errorf("%d INVITEs, finals %q", n, tx.Finals())
+						t.Errorf("servers got %d INVITEs, final responses %q", n, tx.Finals())
 					}
 				})
 			}
@@ -453,7 +453,7 @@
 	d.start(c)
 	inside("BYE", 7, 403)
 	if v := d.view(); v.Refused["forged token"] != 1 {
-		t.Errorf("%v", v.Refused)
+		t.Errorf("refusals by cause: %v", v.Refused)
 	}
 }
 
@@ -472,7 +472,7 @@
 		all.Go(func() {
 			for range 5 {
 				if code := d.caller.Send(sipua.Request{Method: "INVITE"}).Final(waitLimit); code != 200 {
-					t.Errorf("%d", code)
+					t.Errorf("INVITE: final response %d", code)
 				}
 			}
 		})
@@ -487,7 +487,7 @@
 	close(ready)
 	all.Wait()
 	if n := d.servers[0].Count("INVITE", "") + d.servers[1].Count("INVITE", "") + d.servers[2].Count("INVITE", ""); n != 200 {
-		t.Errorf("%d calls at servers", n)
+		t.Errorf("servers got %d calls, want 200", n)
 	}
 }
 
@@ -506,7 +506,7 @@
 				t.Errorf("refused after %v", took)
 			}
 		case code != 500 || n > 30:
-			t.Fatalf("%d, no breaker opens: %+v", code, d.view().Pool.Servers)
+			t.Fatalf("final response %d, and no breaker opened: %+v", code, d.view().Pool.Servers)
 		}
 	}
 	if v, err := strconv.Atoi(retryAfter(refused)); err != nil || v < 5 || v > 10 {
@@ -543,7 +543,7 @@
 	tx := d.caller.Send(sipua.Request{Method: "INVITE"})
 	s := d.servers[0]
 	if tx.Final(waitLimit) != 200 || !s.Await("ACK", tx.CallID, 2, waitLimit) {
-		t.Fatalf("%q", tx.Finals())
+		t.Fatalf("final responses %q, or an ACK is missing", tx.Finals())
 	}
 	got := map[string]bool{}
 	for _, r := range tx.Responses() {
@@ -595,7 +595,7 @@
 		}
 	}
 	if v := d.view(); v.Refused["source"] == 0 || v.Refused["transactions"] == 0 || len(lost) == 0 {
-		t.Errorf("%v", v.Refused)
+		t.Errorf("refusals by cause: %v", v.Refused)
 	}
 	if len(waits) < 3 {
 		t.Errorf("Retry-After values %v, want at least 3", waits)
@@ -648,7 +648,7 @@
 					t.Fatal(err)
 				}
 				if code := c.Send(q).Final(waitLimit); code != want {
-					t.Errorf("%d, want %d", code, want)
+					t.Errorf("final response %d, want %d", code, want)
 				}
 				c.Close()
 			}
@@ -701,7 +701,7 @@
 	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE", URI: "sip:loop@pool.invalid"}), 482)
 	expectFinal(t, d.caller.Send(sipua.Request{Method: "INVITE", URI: "sip:spiral@pool.invalid"}), 200)
 	if v := d.view(); v.Refused["loop"] != 1 {
-		t.Errorf("%v", v.Refused)
+		t.Errorf("refusals by cause: %v", v.Refused)
 	}
 	d.front.Drain(t.Context())
 	if err := Check(t.Context(), "udp:"+d.front.Listen()["udp"]); err == nil || !strings.Contains(err.Error(), "503") {
--- a/internal/sip/front_test.go
+++ b/internal/sip/front_test.go
@@ -194,7 +194,7 @@
 			back := d.caller.Send(sipua.Request{Method: "INVITE"})
 			expectFinal(t, back, 200)
 			if !d.caller.AwaitAsked("BYE", back.CallID, waitLimit) || !s.Await("200", back.CallID, 1, waitLimit) {
-				t.Error("a BYE from the server did not go through")
+				t.Error("the server's BYE or its 200 was not forwarded")
 			}
 			for _, method := range []string{"REGISTER", "OPTIONS", "SUBSCRIBE", "MESSAGE"} {
 				expectFinal(t, d.caller.Send(sipua.Request{Method: method}), 200)
--- a/internal/sip/proxy/bounds_test.go
+++ b/internal/sip/proxy/bounds_test.go
@@ -49,7 +49,7 @@
 		w.m.Receive(w.now, Peer{Transport: UDP, Addr: netip.MustParseAddrPort("127.0.0.8:5060")}, q, nil)
 	}
 	if n := quiet.sent["INFO"]; n != 50 || len(w.m.exchanges) != 200 {
-		t.Errorf("%d requests inside a dialog went on, %d exchanges; %+v", n, len(w.m.exchanges), w.m.counts)
+		t.Errorf("%d requests inside a dialog were forwarded, %d exchanges; %+v", n, len(w.m.exchanges), w.m.counts)
 	}
 	for due := w.m.Due(); due > 0; due = w.m.Due() {
 		w.now = due
@@ -157,6 +157,6 @@
 	}
 	slices.Sort(left)
 	if w.m.counts.Finals[483] != 1 || !slices.Equal(left, []int{0, 70}) {
-		t.Errorf("finals %v, hops left %v", w.m.counts.Finals, left)
+		t.Errorf("final responses %v, Max-Forwards of forwarded requests %v", w.m.counts.Finals, left)
 	}
 }
