--- a/cmd/otterlab/load.go
+++ b/cmd/otterlab/load.go
@@ -136,7 +136,7 @@
 	if !strings.HasPrefix(o.http.URL, "sip:") {
 		return load.NewHTTP(o.http)
 	}
-	calls, err := sipua.NewCalls(sipua.CallsOptions{URL: o.http.URL, Callers: o.http.Sources, T1: transaction.Standard().T1})
+	calls, err := sipua.NewCalls(sipua.CallsOptions{URL: o.http.URL, Callers: o.http.Sources, T1: transaction.DefaultTiming().T1})
 	return reportingCalls{calls, out}, err
 }
 
--- a/internal/node/inspect.go
+++ b/internal/node/inspect.go
@@ -147,10 +147,10 @@
 		return nil, err
 	}
 	return &control.SIP{
-		Listen: v.Listen, Transactions: v.View.Servers, Attempts: v.Clients, Requests: v.Counts.Requests, Inside: v.Inside,
-		Dialogs: v.Dialogs, Byes: v.Byes, Finals: v.Finals, Ends: v.Ends, Refused: v.Refused, Late: v.Late, Stray: v.Stray,
-		Repeats: v.Repeats, Malformed: v.Malformed, Dropped: v.Dropped, Sources: v.Sources,
-		Connections: v.Connections, TurnedAway: v.TurnedAway, Servers: serversOf(v.Pool, i.loop.Clock()), Held: v.Pool.Queued,
+		Listen: v.Listen, Transactions: v.View.Servers, Attempts: v.Clients, Requests: v.Counts.Requests, Inside: v.InDialog,
+		Dialogs: v.Dialogs, Byes: v.Byes, Finals: v.Finals, Ends: v.Ends, Refused: v.Refused, Late: v.LateSuccesses, Stray: v.Unmatched,
+		Repeats: v.Retransmissions, Malformed: v.Malformed, Dropped: v.Dropped, Sources: v.Sources,
+		Connections: v.Connections, TurnedAway: v.RejectedConnections, Servers: serversOf(v.Pool, i.loop.Clock()), Held: v.Pool.Queued,
 		Counts: countsOf(v.Pool, func(class int) string { return proxy.Class(class).String() }),
 	}, nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -148,7 +148,7 @@
 		defer func() { stop(); <-operatorDone }()
 	}
 	var sipFront *sip.Front
-	if op.SIP.On() {
+	if op.SIP.Enabled() {
 		if sipFront, err = sip.New(op.SIP, cfg.Seed, c, log); err != nil {
 			return err
 		}
