--- a/internal/standin/racedetector/on.go
+++ b/internal/standin/racedetector/on.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package racing
+package racedetector
 
 const raceEnabled = true
