--- a/policy/policy.go
+++ b/policy/policy.go
@@ -66,8 +66,8 @@
 
 // ---- server list
 
-// UpdateServers applies a server list event. A list that has to be watched is watched from the start, and again
-// after each failure, with growing delays.
+// UpdateServers applies a server list event. A list that has to be watched is watched from the start, and
+// again after each failure, with growing delays.
 func (b *Balancer) UpdateServers(now time.Duration, kind ListKind, entries []Entry) {
 	if kind == ListFailed {
 		delay := b.jitter(b.watchDelay)
