--- a/policy/cordon.go
+++ b/policy/cordon.go
@@ -75,7 +75,8 @@
 func (s *server) lastStart() time.Duration { return max(s.Started, s.cordon.uncordonedAt) }
 
 // SetNodePart sets the part of its node that this process makes up, with another process as the rest, as
-// during an upgrade. The process keeps to that part of each cold server's budget and of each quota. 1: the whole.
+// during an upgrade. The process keeps to that part of each cold server's budget and of each quota. 1: the
+// whole.
 func (b *Balancer) SetNodePart(now time.Duration, part float64) {
 	for i := range b.tenants {
 		t := &b.tenants[i]
