--- a/internal/standin/lab/campaign_test.go
+++ b/internal/standin/lab/campaign_test.go
@@ -56,8 +56,8 @@
 	skipIfShort(t)
 	bin := buildChangedAgent(t, mutant.Change{
 		File: "internal/fleet/recovery/recovery.go",
-		Old:  "\tcase f.Council == Silent:\n",
-		New:  "\tcase f.Council == Silent:\n\t\treturn Verdict{Do: Follow, Word: Word{Source: \"nobody\", Up: true}}\n",
+		Old:  "\tcase f.Council == Unanswered:\n",
+		New:  "\tcase f.Council == Unanswered:\n\t\treturn Decision{Action: Follow, Claim: Claim{Source: \"nobody\", Up: true}}\n",
 	})
 	t.Parallel()
 	c := Campaign{Faults: 12, MaxUnavailable: 1, Losses: true}
--- a/internal/standin/lab/desired_test.go
+++ b/internal/standin/lab/desired_test.go
@@ -239,10 +239,10 @@
 func TestCheckerDetectsOutdatedChange(t *testing.T) {
 	skipIfShort(t)
 	changes := []mutant.Change{
-		{File: "internal/fleet/book/book.go", Old: "\tif f.Word.Version < b.word.Version {\n", New: "\tif false {\n"},
-		{File: "internal/fleet/book/book.go", Old: "\treturn f.Token == highest, b.checkFence(f.Fence)\n", New: "\treturn f.Token == highest, nil\n"},
-		{File: "internal/cordon/fleet.go", Old: "\tcase w.Token < s.word.Token:\n", New: "\tcase false:\n"},
-		{File: "internal/cordon/fleet.go", Old: "\tcase w.Version < s.word.Version:\n", New: "\tcase false:\n"},
+		{File: "internal/fleet/agentstate/state.go", Old: "\tif f.Bans.Version < b.fleetBans.Version {\n", New: "\tif false {\n"},
+		{File: "internal/fleet/agentstate/state.go", Old: "\treturn f.Token == highest, b.checkFence(f.Fence)\n", New: "\treturn f.Token == highest, nil\n"},
+		{File: "internal/cordon/fleet.go", Old: "\tcase w.Token < s.fleetBans.Token:\n", New: "\tcase false:\n"},
+		{File: "internal/cordon/fleet.go", Old: "\tcase w.Version < s.fleetBans.Version:\n", New: "\tcase false:\n"},
 	}
 	agent, node := buildChangedAgent(t, changes...), buildChangedNode(t, changes...)
 	t.Parallel()
--- a/internal/standin/lab/fleetrestart_test.go
+++ b/internal/standin/lab/fleetrestart_test.go
@@ -309,7 +309,7 @@
 	skipIfShort(t)
 	dir := t.TempDir()
 	bin, err := mutant.Build(dir, "cmd/otterstep", mutant.Change{
-		File: "policy/policy.go", Old: "if s.Doubted && b.set.Rules.ColdFor > 0 {", New: "if s.Doubted && false {",
+		File: "policy/policy.go", Old: "if s.Unconfirmed && b.set.Rules.ColdFor > 0 {", New: "if s.Unconfirmed && false {",
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -437,7 +437,7 @@
 // values that are spread. The test has to detect a build without the spread.
 func TestRetryAfterIsSpreadDuringRecovery(t *testing.T) {
 	bin, err := mutant.Build(t.TempDir(), "cmd/otterstep", mutant.Change{
-		File: "policy/comeback.go", Old: "return wait/2 + time.Duration(b.rng.Float64()*float64(most-wait/2))", New: "return most",
+		File: "policy/recovery.go", Old: "return wait/2 + time.Duration(b.rng.Float64()*float64(most-wait/2))", New: "return most",
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/lab/owner_test.go
+++ b/internal/standin/lab/owner_test.go
@@ -438,7 +438,7 @@
 func TestCheckerDetectsMissingFencing(t *testing.T) {
 	skipIfShort(t)
 	bin := buildChangedAgent(t, mutant.Change{
-		File: "internal/fleet/book/book.go",
+		File: "internal/fleet/agentstate/state.go",
 		Old:  "if highest := b.fences[f.Duty]; f.Token < highest {", New: "if highest := b.fences[f.Duty]; false {",
 	})
 	t.Parallel()
@@ -820,7 +820,7 @@
 func TestMixedAgentVersions(t *testing.T) {
 	next := buildChangedAgent(t,
 		mutant.Change{File: "internal/fleet/duty/answers.go", Old: "type Renewal struct {", New: "type Renewal struct {\n\tNewer int `json:\"newer\"`"},
-		mutant.Change{File: "internal/fleet/duty/duty.go", Old: "type Mark struct {", New: "type Mark struct {\n\tNewer int `json:\"newer\"`"})
+		mutant.Change{File: "internal/fleet/duty/duty.go", Old: "type SetPhase struct {", New: "type SetPhase struct {\n\tNewer int `json:\"newer\"`"})
 	t.Parallel()
 	w := councilLab(t, func(o *Options) { o.Instances = 9 })
 	j := w.submit(1)
