--- a/internal/clientretry/clientretry.go
+++ b/internal/clientretry/clientretry.go
@@ -1,4 +1,4 @@
-// Package comeback models how clients retry: whether a client sends a request again after
+// Package clientretry models how clients retry: whether a client sends a request again after
 // a refusal or a failure, and after which delay. The simulator and the load generator share
 // it, so it does no I/O and reads no clock.
 package clientretry
@@ -18,7 +18,7 @@
 	RetryImmediately float64 // share of clients that retry immediately after a refusal or failure, ignoring Retry-After
 }
 
-// Client is the retry behavior of one client, created by Habits.Draw.
+// Client is the retry behavior of one client, created by Behavior.Draw.
 type Client struct {
 	maxAttempts                          int
 	honorsRetryAfter, retriesImmediately bool
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -46,7 +46,7 @@
 // Conn is a connection to one incarnation of a server: a restart makes it another one.
 type Conn struct {
 	net.Conn
-	In        *bufio.Reader    // buffers reads from Budget
+	In        *bufio.Reader    // buffers reads from ReadLimit
 	ReadLimit io.LimitedReader // limits the bytes read; N is set before each response
 
 	to        core.Server
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -95,7 +95,7 @@
 	defer p.Close()
 	one, two := get(t, p, to), get(t, p, to)
 	if _, err := p.Get(t.Context(), other); !errors.Is(err, ErrExhausted) {
-		t.Errorf("Get beyond the limit: %v, want ErrNone", err)
+		t.Errorf("Get beyond the limit: %v, want ErrExhausted", err)
 	}
 	p.Put(one, true)
 	three := get(t, p, other)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -107,7 +107,8 @@
 	Hand    []string  `json:"by_hand,omitempty"` // servers cordoned manually at this node
 }
 
-// Errors of ApplyFleetBans and Tell. ErrOutdatedBans means that a later version or a later owner's token has been seen.
+// Errors of ApplyFleetBans and SendFleetBans. ErrOutdatedBans means that a later version or a later owner's token has
+// been seen.
 var (
 	ErrOutdatedBans = errors.New("a later version or token has already been received")
 	ErrNoFleet      = errors.New("this node accepts no fleet bans: its operator's file has no [fleet]")
@@ -118,7 +119,7 @@
 	Do string `json:"do"` // one of the constants below
 }
 
-// The values of Keep.Do.
+// The values of StateCommand.Do.
 const (
 	StateForget  = "forget"  // delete servers and statistics from the disk; manual cordons and fleet bans stay
 	StateHold    = "hold"    // freeze the files, except for manual cordons and fleet bans
--- a/internal/cordon/fleet.go
+++ b/internal/cordon/fleet.go
@@ -75,7 +75,7 @@
 	return began, ended, nil
 }
 
-// FleetBans returns the latest fleet bans, or the zero Word if there were none.
+// FleetBans returns the latest fleet bans, or the zero value if there were none.
 func (s *Set) FleetBans() FleetBans { return s.fleetBans }
 
 // Banned returns the fleet's ban of a server.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -81,7 +81,7 @@
 
 // Request is a client's request as submitted by a front.
 type Request struct {
-	policy.Request // ID and Left are set by this package
+	policy.Request // ID and TimeLeft are set by this package
 	// Name must be unique: a second request with a name that is in use, or was recently,
 	// ends as Duplicate.
 	Name     string
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -355,7 +355,7 @@
 
 // An attempt is given the time at which it ends, not the time left. When it was given the time left, it counted that from
 // the moment at which its goroutine was scheduled, and beside busy loops a server was told 11 ms more than its client had
-// left (TestToldTimeIsWhatIsLeft in package node). The goroutine is delayed here by 300 ms.
+// left (TestTimeLeftExcludesConnect in package node). The goroutine is delayed here by 300 ms.
 func TestDelayedGoroutineKeepsItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, err := New(Options{Settings: settings(), Clock: NewClock(), Watch: func() {}, Drop: func(Server) {}})
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -69,7 +69,7 @@
 
 	commitMu sync.Mutex // held while an entry is checked, written and applied; see commit
 	record   *record.Log
-	// recordErr is set when the book holds changes that could not be written to the record:
+	// recordErr is set when the state holds changes that could not be written to the record:
 	// commands are refused until a rewrite succeeds.
 	recordErr       error
 	loggedRecordErr string      // the last record error that was logged, so that each is logged once
@@ -362,7 +362,7 @@
 	return false, nil
 }
 
-// apply applies an entry to the book and to the state derived from it.
+// apply applies an entry to the agent's state and to the state derived from it.
 func (a *Agent) apply(e agentstate.Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/desired/desired.go
+++ b/internal/fleet/desired/desired.go
@@ -39,7 +39,7 @@
 	Reason string    `json:"reason"`
 	By     string    `json:"by"`
 	At     time.Time `json:"at"` // by the operator's clock; for display only
-	// Duration is the ban's duration, 0 until it is lifted. Left is the time remaining when the duty's owner last
+	// Duration is the ban's duration, 0 until it is lifted. Remaining is the time left when the duty's owner last
 	// saved it. No wall clock ends a ban.
 	Duration  time.Duration `json:"for,omitempty"`
 	Remaining time.Duration `json:"left,omitempty"`
@@ -80,7 +80,7 @@
 	Budgets Budgets           `json:"budgets"`
 }
 
-// Change is a requested change of the document. Exactly one of Set, Undo and End is given.
+// Change is a requested change of the document. Exactly one of Set, Undo and Expire is given.
 type Change struct {
 	ID      string    `json:"id"`  // as protocol.NewID makes it; a repeated change has the same one
 	BasedOn Version   `json:"saw"` // the version that the requester has seen
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -220,7 +220,7 @@
 }
 
 // Acquire assigns a duty to an owner. The leader proposes it once it has observed that the lease under
-// token After has ended; it is refused if another acquisition was applied first.
+// PreviousToken has ended; it is refused if another acquisition was applied first.
 type Acquire struct {
 	Duty          string `json:"duty"`
 	Owner         string `json:"owner"`
@@ -239,7 +239,7 @@
 }
 
 // SetPhase sets a step's phase: the intent before the order is sent, and the outcome afterwards. The phase
-// Waiting withdraws an intent whose order was not started.
+// NotStarted withdraws an intent whose order was not started.
 type SetPhase struct {
 	Token      Token     `json:"token"`
 	Job        string    `json:"job"`
@@ -259,7 +259,7 @@
 	Reason string `json:"why"`
 }
 
-// SetJobState changes a job's state by an operator's command: To is Active, Paused or Cancelled.
+// SetJobState changes a job's state by an operator's command: State is Active, Paused or Cancelled.
 type SetJobState struct {
 	Job   string `json:"job"`
 	State string `json:"to"`
@@ -271,8 +271,8 @@
 // Result is the outcome of applying a command.
 type Result struct {
 	Token Token `json:"token,omitempty"` // Acquire
-	Job   *Job  `json:"job,omitempty"`   // Submit, Mark, Stop, Turn, Base: the job after the command
-	// ReportAnswer is the result of a Report. Kept is the result of a Restore: descriptions of the entries that
+	Job   *Job  `json:"job,omitempty"`   // Submit, SetPhase, Stop, SetJobState, Baseline: the job after the command
+	// ReportAnswer is the result of a Report. KeptNewer is the result of a Restore: descriptions of the entries that
 	// were newer than the backup's and were kept.
 	ReportAnswer *ReportAnswer `json:"told,omitempty"`
 	KeptNewer    []string      `json:"kept,omitempty"`
--- a/internal/fleet/group/fleet.go
+++ b/internal/fleet/group/fleet.go
@@ -57,7 +57,7 @@
 	return f.VersionStatusOf(ctx, latest, func(string) bool { return true })
 }
 
-// VersionStatusOf is Standing for the agents that of selects. The others are not called and count as not confirmed.
+// VersionStatusOf is VersionStatus for the agents that of selects. The others are not called and count as not confirmed.
 func (f *Fleet) VersionStatusOf(ctx context.Context, latest desired.Version, of func(agent string) bool) (reconcile.Progress, map[string]protocol.FleetStatus) {
 	began := time.Now()
 	answers := make([]protocol.FleetStatus, len(f.agents))
--- a/internal/fleet/owner/fleet.go
+++ b/internal/fleet/owner/fleet.go
@@ -31,7 +31,7 @@
 // reconcile decides the next steps; this package makes the calls. Run it with Run.
 type FleetOwner struct{ opt Options }
 
-// NewFleetOwner returns a Keeper.
+// NewFleetOwner returns a FleetOwner.
 func NewFleetOwner(opt Options) *FleetOwner { return &FleetOwner{opt.withDefaults()} }
 
 // Run acquires the duty whenever it has no owner, until ctx ends: an owner is needed to count the servers even
--- a/internal/fleet/owner/owner.go
+++ b/internal/fleet/owner/owner.go
@@ -69,7 +69,7 @@
 	KnownDesired(known desired.Version) *desired.State
 }
 
-// Options configures an Owner or a Keeper.
+// Options configures an Owner or a FleetOwner.
 type Options struct {
 	Name    string
 	Lease   time.Duration
@@ -438,7 +438,7 @@
 	return e
 }
 
-// sendOrder sends an order and waits for its end. The phase is Waiting if the order was not started.
+// sendOrder sends an order and waits for its end. The phase is NotStarted if the order was not started.
 func (jr *jobRunner) sendOrder(ctx context.Context, a *client.Client, step rollout.Step, i protocol.Instance, id string) (phase, text string) {
 	name := step.Target.Instance
 	for {
--- a/internal/fleet/protocol/protocol.go
+++ b/internal/fleet/protocol/protocol.go
@@ -46,7 +46,7 @@
 	// MaxWait limits how long a call may wait for an operation to end.
 	MaxWait = 30 * time.Second
 
-	// MaxTextSize limits a reason or a note, in bytes; see Clip.
+	// MaxTextSize limits a reason or a note, in bytes; see Truncate.
 	MaxTextSize = 200
 
 	// LeaseDuration is how long a command's lease on its instances lasts without renewal. It
@@ -392,7 +392,7 @@
 // NamePattern matches the name of an agent, instance or group.
 var NamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Truncate truncates a text to WordsMost bytes.
+// Truncate truncates a text to MaxTextSize bytes.
 func Truncate(words string) string {
 	if len(words) <= MaxTextSize {
 		return words
--- a/internal/fleet/rollout/scheduler.go
+++ b/internal/fleet/rollout/scheduler.go
@@ -64,7 +64,7 @@
 	active      bool
 }
 
-// NewScheduler creates a Desk without jobs.
+// NewScheduler creates a Scheduler without jobs.
 func NewScheduler() *Scheduler {
 	return &Scheduler{plans: map[string]*jobPlan{}, busy: map[string]string{}}
 }
@@ -73,7 +73,7 @@
 func (d *Scheduler) Busy() int { return len(d.busy) }
 
 // Next returns what to do now. seen has every instance of the fleet by key. No step of a job
-// begins before its Before is known.
+// begins before its Baseline is known.
 func (d *Scheduler) Next(now time.Time, jobs []*duty.Job, seen map[string]InstanceStatus, limits Limits) Decision {
 	decision := Decision{Stop: map[string]string{}, Messages: map[string]string{}}
 	intents := map[string]string{} // by key, of any job
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package life holds a node's lifecycle state. It is the single source of that state for /up, the
+// Package lifecycle holds a node's lifecycle state. It is the single source of that state for /up, the
 // operator API, signal handling and the control socket.
 package lifecycle
 
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -341,8 +341,8 @@
 }
 
 // accepts reports whether a process that was told to end the given time ago may still get new connections: for
-// life.AcceptWindow, unless a successor accepts instead, and then until all accepted connections have been returned by the
-// listener.
+// lifecycle.AcceptWindow, unless a successor accepts instead, and then until all accepted connections have been returned
+// by the listener.
 func (s *handoverManager) accepts(sinceTermination time.Duration) bool {
 	s.mu.Lock()
 	handingOver := s.role == handover.HandingOver
--- a/internal/node/operations.go
+++ b/internal/node/operations.go
@@ -39,7 +39,7 @@
 
 var errNotServing = errors.New("no list of servers is in place yet")
 
-// Health implements door.Node.
+// Health implements operatorapi.Node.
 func (o *operations) Health() error {
 	if s := o.life.State(); s == lifecycle.Starting {
 		return errNotServing
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Cordon implements door.Node.
+// Cordon implements operatorapi.Node.
 func (o *operations) Cordon(ctx context.Context, id string, out bool) error {
 	e, err := o.cordon(ctx, id, out)
 	if err != nil {
@@ -183,7 +183,7 @@
 	return missing, cordoned, o.cordons.ListedCount()
 }
 
-// Quiesce implements door.Node.
+// Quiesce implements operatorapi.Node.
 func (o *operations) Quiesce(ctx context.Context) error {
 	if o.life.State() == lifecycle.Ending {
 		return fmt.Errorf("%w: the node is shutting down", operatorapi.ErrRefused)
@@ -193,7 +193,7 @@
 	return o.propagate(ctx, handover.Message{Quiesce: &d})
 }
 
-// Resume implements door.Node.
+// Resume implements operatorapi.Node.
 func (o *operations) Resume(ctx context.Context) error {
 	if o.life.State() == lifecycle.Ending {
 		return fmt.Errorf("%w: the node is shutting down", operatorapi.ErrRefused)
--- a/internal/node/statesaver.go
+++ b/internal/node/statesaver.go
@@ -188,7 +188,7 @@
 }
 
 // command carries out an operator's command on the saved state, and returns once the change is on disk. After
-// KeepForget a node that started with the saved servers goes on using them until discovery answers or it is restarted.
+// StateForget a node that started with the saved servers goes on using them until discovery answers or it is restarted.
 func (r *stateSaver) command(k control.StateCommand) error {
 	r.saving.Lock()
 	defer r.saving.Unlock()
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -31,7 +31,7 @@
 	streamStallTimeout = 8 * time.Second        // maximum pause within a streamed answer
 	clientWriteTimeout = 10 * time.Second       // timeout of a write to a client that receives a streamed answer
 	serverWriteTimeout = 3 * time.Second        // timeout of a write of a request body to a server
-	settleTime         = 10 * time.Millisecond  // see Settle in conns.Options
+	settleTime         = 10 * time.Millisecond  // see SettleTime in conns.Options
 )
 
 // forwardedHeaders are the client's headers that are sent to servers unchanged.
@@ -225,7 +225,7 @@
 	if err != nil {
 		return broken, false
 	}
-	closeAnnounced := h.Closes // Framed sets Closes for an answer without a length, even if the server did not announce a close
+	closeAnnounced := h.Closes // OpenBody sets Closes for an answer without a length, even if the server did not announce a close
 	c.ReadLimit.N = h1.NoReadLimit
 	b, err := h.OpenBody(c.In, m.method)
 	if err != nil || b.UntilClose && !closeAnnounced {
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -269,7 +269,7 @@
 func TestAbandonedAttemptSendsNothing(t *testing.T) {
 	s, u := newServer(t, respondWith(ok("x"), true)), testUpstream(t, 8)
 	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), deny); p.status != policy.NotSent {
-		t.Errorf("status %d, want Moot", p.status)
+		t.Errorf("status %d, want NotSent", p.status)
 	}
 	// The connection is unused and carries the next request as its first.
 	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Now().Add(time.Second), permit); p.status != policy.OK {
@@ -299,7 +299,7 @@
 	}()
 	waitFor(t, "request at the busy server", func() bool { return busy.requests.Load() == 1 })
 	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Now().Add(time.Second), permit); p.status != policy.NotSent {
-		t.Errorf("status %d beyond the limit, want Moot", p.status)
+		t.Errorf("status %d beyond the limit, want NotSent", p.status)
 	}
 	close(hold)
 	if p := <-done; p.status != policy.OK {
--- a/internal/nodestate/nodestate.go
+++ b/internal/nodestate/nodestate.go
@@ -1,4 +1,4 @@
-// Package kept stores a node's state on disk, for a restart without discovery: the servers, the operators'
+// Package nodestate stores a node's state on disk, for a restart without discovery: the servers, the operators'
 // manual cordons and what the decision module has learnt. There are two generations, so that a corrupt file
 // leaves the previous one. During an upgrade a second process of the node reads the files, and writes them
 // only once the first process has ended.
@@ -21,7 +21,7 @@
 )
 
 const (
-	// Form is the version of the file format. A file of another version is moved aside.
+	// FormatVersion is the version of the file format. A file of another version is moved aside.
 	FormatVersion = 1
 	// MaxServers is the maximum number of servers in a file.
 	MaxServers = 100_000
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,4 +1,4 @@
-// Package door is the operator API of one instance: a separate listener on which each connection carries one
+// Package operatorapi is the operator API of one instance: a separate listener on which each connection carries one
 // request (HTTP/1.1, RFC 9112). Its file descriptors are reserved, so that clients cannot exhaust them, and
 // connections without a complete request are dropped in favour of new ones.
 package operatorapi
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,4 +1,4 @@
-// Package listed handles server pools that are listed statically in a configuration file.
+// Package serverlist handles server pools that are listed statically in a configuration file.
 package serverlist
 
 import (
--- a/internal/sim/many_nodes_test.go
+++ b/internal/sim/many_nodes_test.go
@@ -74,7 +74,7 @@
 // has a single limit for all servers. This was seen as 36% of the attempts at 23% of the servers, of which 6% failed
 // (0.2% elsewhere), and a p50 of 200 ms instead of 130 ms. Now the share of requests that may leave the zone rises with
 // the latency there. This test fails only without both that change and the fix of the concurrency limit; policy's
-// TestRequestsSpillOverFromASlowZone fails without the former alone.
+// TestRequestsSpillFromSlowZone fails without the former alone.
 func TestRequestsLeaveOverloadedZone(t *testing.T) {
 	racedetector.Skip(t)
 	requireNearBaseline(t, func(o *Options) {
--- a/internal/sim/tier_restart.go
+++ b/internal/sim/tier_restart.go
@@ -29,7 +29,8 @@
 	CutServers      bool    // every other server is unreachable for the first 3 s
 }
 
-// TierRestartResult is the result of a Herd. Times are counted from the restart; zero means not reached within For.
+// TierRestartResult is the result of a TierRestart. Times are counted from the restart; zero means not reached
+// within Observe.
 type TierRestartResult struct {
 	First, Half, Most, Full time.Duration // until the rate of served requests reached any, 50%, 90%, 97% of the rate before
 	Attempts, Refusals      float64       // per request served until 90% was reached
@@ -51,7 +52,7 @@
 // Run simulates the scenario with the given seed.
 func (h TierRestart) Run(seed uint64) (TierRestartResult, error) {
 	if h.Nodes < 1 || h.Servers < 1 || h.Load <= 0 || h.Observe < time.Second || h.DiscoveryDown < 0 || h.CallTime <= 0 {
-		return TierRestartResult{}, errors.New("sim: invalid herd: at least one node and one server, a positive load, at least 1 s after the restart, a non-negative discovery outage and a positive duration of discovery calls are required")
+		return TierRestartResult{}, errors.New("sim: invalid tier restart: at least one node and one server, a positive load, at least 1 s after the restart, a non-negative discovery outage and a positive duration of discovery calls are required")
 	}
 	set := policy.Defaults()
 	set.Classes = []policy.Class{
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -1,4 +1,4 @@
-// Package confidence decides how far a restarted node can trust the state it saved earlier: whether a saved
+// Package staleness decides how far a restarted node can trust the state it saved earlier: whether a saved
 // server is confirmed, given the age of the data and what discovery says, and how much weight the saved
 // statistics still have. It does no I/O and has no clock.
 package staleness
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -280,7 +280,7 @@
 }
 
 // ColdOver returns the number of requests, of mean work, that came while the box was cold beyond what the rules
-// allow and chance explains; see ledger.ColdLoad.
+// allow and chance explains; see rulecheck.ColdLoad.
 func (b *Box) ColdOver() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/faults/bans.go
+++ b/internal/standin/faults/bans.go
@@ -24,7 +24,7 @@
 	Asked, Answer time.Time
 }
 
-// BanEvidence is the input of CheckWords, the checker of the fleet's word (the fleet-wide bans).
+// BanEvidence is the input of CheckBans, the checker of the fleet-wide bans.
 type BanEvidence struct {
 	Logs     map[string]string // paths of the nodes' own logs, by AGENT/INSTANCE
 	Arrivals []Arrival
--- a/internal/standin/faults/process.go
+++ b/internal/standin/faults/process.go
@@ -36,7 +36,7 @@
 	Slow time.Duration `json:"slow,omitempty"`
 }
 
-// WriteInstructions replaces the orders in a file.
+// WriteInstructions replaces the instructions in a file.
 func WriteInstructions(path string, o Instructions) error {
 	text, err := json.Marshal(o)
 	if err != nil {
--- a/internal/standin/faults/schedule.go
+++ b/internal/standin/faults/schedule.go
@@ -29,7 +29,7 @@
 	Pause     = "pause"      // pauses the latest job and resumes it after For
 	Lose      = "lose"       // kills an agent, takes Loss from its stored state and restarts it after For
 	PowerCut  = "power"      // likewise, and kills the agent's instances too
-	HoldBans  = "hold-word"  // holds the fleet's word from one agent to another
+	HoldBans  = "hold-word"  // holds fleet-wide bans from one agent to another
 	NodeStop  = "node-stop"  // SIGSTOP to a node's process, and SIGCONT after For
 	NodeKill  = "node-kill"  // kills a node's process; its agent starts another one
 	Ban       = "ban"        // bans a box fleet-wide, for For if that is not 0
--- a/internal/standin/fixedseed/fixedseed.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -1,4 +1,4 @@
-// Package drawn fixes the random seed of property tests, so that a build gives the same result on each run.
+// Package fixedseed fixes the random seed of property tests, so that a build gives the same result on each run.
 package fixedseed
 
 import (
--- a/internal/standin/lab/experiment.go
+++ b/internal/standin/lab/experiment.go
@@ -27,8 +27,8 @@
 
 // RunExperiment runs an experiment in real time on loopback sockets, with node processes as configured by opt, and boxes,
 // clients and faults as configured by the experiment. If the experiment needs anything that the machine or loopback
-// sockets do not support, Play returns an error before it starts any process. Network latency is that of loopback,
-// whatever the experiment says.
+// sockets do not support, RunExperiment returns an error before it starts any process. Network latency is that of
+// loopback, whatever the experiment says.
 func RunExperiment(ctx context.Context, x *experiment.Experiment, opt Options, seed uint64) (experiment.Run, error) {
 	if err := checkSupported(x); err != nil {
 		return experiment.Run{}, err
--- a/internal/standin/lab/fleetrestart.go
+++ b/internal/standin/lab/fleetrestart.go
@@ -199,7 +199,8 @@
 	return n
 }
 
-// readReadyTimes reads from the instances' logs when they became ready, and sets Burst and Wrong of the result.
+// readReadyTimes reads from the instances' logs when they became ready, and sets MaxReadyBurst and DrainedStarted of the
+// result.
 func (l *Lab) readReadyTimes(r *RestartResult, since time.Time, down map[string]bool) error {
 	var times []time.Time
 	for _, i := range l.Instances {
--- a/internal/standin/lab/lab.go
+++ b/internal/standin/lab/lab.go
@@ -205,7 +205,7 @@
 	return l.waitForInstances(ready)
 }
 
-// StartClients starts the clients, which send requests until Unload or Close. It may be called once.
+// StartClients starts the clients, which send requests until StopClients or Close. It may be called once.
 func (l *Lab) StartClients(o standin.ClientOptions) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.stopClients = cancel
--- a/internal/standin/lab/plot.go
+++ b/internal/standin/lab/plot.go
@@ -17,7 +17,7 @@
 	color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff}, color.RGBA{0x33, 0x33, 0x33, 0xff},
 }
 
-// NamedResult is a Return with its name in the legend of a plot.
+// NamedResult is a RestartResult with its name in the legend of a plot.
 type NamedResult struct {
 	Name string
 	RestartResult
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -38,7 +38,7 @@
 )
 
 // Ledger records the attempts that app boxes receive and the answers that clients receive, and
-// checks them with the ledger of the four rules. It remembers a bounded number of the latest
+// checks them with the checker of the four rules. It remembers a bounded number of the latest
 // requests. It is safe for concurrent use.
 type Ledger struct {
 	maxRequests int
--- a/internal/standin/racedetector/racedetector.go
+++ b/internal/standin/racedetector/racedetector.go
@@ -1,4 +1,4 @@
-// Package racing lets single-threaded tests skip runs under the race detector, which finds nothing in them and
+// Package racedetector lets single-threaded tests skip runs under the race detector, which finds nothing in them and
 // makes them take five times as long. The README's first command runs them without it.
 package racedetector
 
--- a/internal/streaming/streaming.go
+++ b/internal/streaming/streaming.go
@@ -1,4 +1,4 @@
-// Package passing hands a streamed answer from the attempt that reads it from the server to
+// Package streaming hands a streamed answer from the attempt that reads it from the server to
 // the goroutine that writes it to the client. All fronts that stream answers share it.
 package streaming
 
@@ -15,7 +15,7 @@
 	"otterstep/policy"
 )
 
-// Answer is a server's answer that is streamed to the client. Its attempt waits until End is called.
+// Answer is a server's answer that is streamed to the client. Its attempt waits until Finish is called.
 type Answer struct {
 	h1.Head
 	h1.Body
--- a/policy/api.go
+++ b/policy/api.go
@@ -71,7 +71,7 @@
 	ColdFor         time.Duration // and is warm after this long at most
 	FallMultiple    float64       // a cold server that is sent more than this multiple of its present capacity
 	FallFor         time.Duration // for this long falls over
-	MaxCallInterval time.Duration // with ListAsked: the longest time between two calls for the list
+	MaxCallInterval time.Duration // with ListWatched: the longest time between two calls for the list
 }
 
 // Prices holds the deductions that a site makes from its service score, as shares of it.
@@ -121,7 +121,7 @@
 	Unconfirmed bool
 }
 
-// ListKind says how to apply a Members event.
+// ListKind says how to apply an UpdateServers event.
 type ListKind uint8
 
 // The kinds of a list event.
@@ -181,6 +181,6 @@
 	Fail(id RequestID)
 	// SetTimer requests a Timer event at the given time, after the current event.
 	SetTimer(at time.Duration, token uint64)
-	// WatchList subscribes to changes of the server list (with ListAsked).
+	// WatchList subscribes to changes of the server list (with ListWatched).
 	WatchList()
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -742,7 +742,7 @@
 		{"Rules.ColdFor", func(s *Settings) { s.Rules.ColdFor = -1 }},
 		{"Rules.FallMultiple", func(s *Settings) { s.Rules.FallMultiple = nan }},
 		{"Rules.FallFor", func(s *Settings) { s.Rules.FallFor = -1 }},
-		{"Rules.MustAsk", func(s *Settings) { s.Rules.MaxCallInterval = -1 }},
+		{"Rules.MaxCallInterval", func(s *Settings) { s.Rules.MaxCallInterval = -1 }},
 	} {
 		set := testSettings()
 		tc.change(&set)
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -18,7 +18,7 @@
 	r = newRig(t, testSettings(), 0)
 	r.list(ListCached, e...)
 	for i := range m.Servers {
-		s := &m.Servers[i] // as left by confidence.Decay
+		s := &m.Servers[i] // as left by staleness.Decay
 		s.SentRate, s.ServedRate, s.ColdSaved, s.Earned, s.Successes, s.Failed = 0, 0, 0, 0, 0, 0
 	}
 	m.Admitted, m.Demand = 1, 0
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -96,7 +96,7 @@
 	case s.Rules.FallFor < 0:
 		return invalid("Rules.FallFor", s.Rules.FallFor)
 	case s.Rules.MaxCallInterval < 0:
-		return invalid("Rules.MustAsk", s.Rules.MaxCallInterval)
+		return invalid("Rules.MaxCallInterval", s.Rules.MaxCallInterval)
 	}
 	for i, c := range s.Classes {
 		field := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
@@ -116,7 +116,7 @@
 		case c.Scope > ScopeCell:
 			return invalid(field("Scope"), c.Scope)
 		case c.LatencyFloor < 0:
-			return invalid(field("Grain"), c.LatencyFloor)
+			return invalid(field("LatencyFloor"), c.LatencyFloor)
 		case c.Window < 0:
 			return invalid(field("Window"), c.Window)
 		}
--- a/policy/upload_test.go
+++ b/policy/upload_test.go
@@ -6,7 +6,7 @@
 )
 
 // While a request is still arriving from the client, no deadline applies: its server does not count as silent, no
-// copy is sent and the request is not given up, however long the client takes. From Sent on, its time and its
+// copy is sent and the request is not given up, however long the client takes. From RequestSent on, its time and its
 // server's latency count.
 func TestTimeCountsFromSent(t *testing.T) {
 	set := testSettings()
@@ -30,7 +30,7 @@
 	if s := r.b.servers[to[0]]; s.latency > 3 {
 		t.Errorf("the upload counts as latency: %v times the unloaded one", s.latency)
 	}
-	// A server that does not answer after Sent is overdue.
+	// A server that does not answer after RequestSent is overdue.
 	r.next++
 	id = r.next
 	r.b.Request(r.now, Request{ID: id, Class: 0, TimeLeft: 2 * time.Second, Uploading: true})
