--- a/internal/sip/front.go
+++ b/internal/sip/front.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// Members applies the pool's list or changes to it, as core.Loop.Members does.
+// Members applies the pool's list or changes to it, as core.Loop.UpdateServers does.
 func (f *Front) Members(kind policy.ListKind, entries []policy.Entry, addrs []string) {
 	// The Machine must learn of servers before the core's loop starts dialogs at them.
 	f.post(func() {
